--- a/crates/scheduler/src/daemon.rs
+++ b/crates/scheduler/src/daemon.rs
@@ -1,7 +1,7 @@
 //! Starting the daemon, and stopping it gracefully.
 
 use crate::clock;
-use crate::follow::{self, Minions, Operators};
+use crate::follow::{self, MinionSink, OperatorSink};
 use crate::front::Front;
 use crate::in_force;
 use crate::journal::Journal;
@@ -30,23 +30,23 @@
 use stop_token::StopSource;
 
 /// Time between two looks at whether a stop is complete.
-const STOP_POLL: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// From the stop on, callers' new connections may still come for this long: the balancer looks
 /// once a second and takes an entry out after two misses.
-const STOP_NOTICE: Duration = Duration::from_millis(2600);
+const BALANCER_DRAIN_TIME: Duration = Duration::from_millis(2600);
 
 /// Kept free of the bound of a stop, for the process to end.
-const STOP_MARGIN: Duration = Duration::from_millis(800);
+const PROCESS_EXIT_MARGIN: Duration = Duration::from_millis(800);
 
 /// Most connections of callers at once; descriptors are 4,100 on the smallest instances.
 const MAX_CONNECTIONS: usize = 3000;
 
 /// Pause before a failed call at the start is repeated.
-const RETRY: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Longest wait for a call at the start.
-const CALL_LIMIT: Duration = Duration::from_millis(700);
+const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Why a daemon could not start.
 #[derive(Debug, Snafu)]
@@ -64,7 +64,7 @@
 /// A running daemon.
 pub struct Daemon {
     node: Arc<Node>,
-    callers: SocketAddr,
+    caller_address: SocketAddr,
     stop: StopSource,
     closing: StopSource,
     ended: StopSource,
@@ -77,9 +77,9 @@
     /// # Errors
     /// When an address cannot be listened at.
     pub async fn start(settings: Settings) -> Result<Self, Error> {
-        let callers = listen(settings.caller_listen).await?;
-        let address = local(&callers, settings.caller_listen)?;
-        let mut listeners = vec![callers];
+        let caller_listener = listen(settings.caller_listen).await?;
+        let address = local_address(&caller_listener, settings.caller_listen)?;
+        let mut listeners = vec![caller_listener];
         if settings.ready_listen != settings.caller_listen {
             listeners.push(listen(settings.ready_listen).await?);
         }
@@ -89,13 +89,19 @@
         };
         let (stop, closing, ended) = (StopSource::new(), StopSource::new(), StopSource::new());
         let node = Arc::new(Node::new(settings, Peers::default(), stop.token()));
-        let daemon =
-            Self { node, callers: address, stop, closing, ended, connections: Arc::default() };
+        let daemon = Self {
+            node,
+            caller_address: address,
+            stop,
+            closing,
+            ended,
+            connections: Arc::default(),
+        };
         for listener in listeners {
             daemon.serve(listener, Arc::new(Front::new(daemon.node.clone())));
         }
         if let Some(listener) = metrics {
-            daemon.serve(listener, Arc::new(Page(daemon.node.clone())));
+            daemon.serve(listener, Arc::new(MetricsPage(daemon.node.clone())));
         }
         daemon.spawn_tasks();
         Ok(daemon)
@@ -108,7 +114,7 @@
 
     /// Where callers reach it.
     pub fn caller_address(&self) -> SocketAddr {
-        self.callers
+        self.caller_address
     }
 
     /// Its log lines.
@@ -131,11 +137,11 @@
 
     fn spawn_tasks(&self) {
         let node = &self.node;
-        let operators = Arc::new(Operators(node.clone()));
+        let operators = Arc::new(OperatorSink(node.clone()));
         async_std::task::spawn(follow::follow(node.clone(), follow::operator_table(), operators));
-        let minions = Arc::new(Minions(node.clone()));
+        let minions = Arc::new(MinionSink(node.clone()));
         async_std::task::spawn(follow::follow(node.clone(), follow::minion_table(), minions));
-        async_std::task::spawn(in_force::ask_forever(node.clone()));
+        async_std::task::spawn(in_force::query_peers_forever(node.clone()));
         async_std::task::spawn(join(node.clone()));
     }
 
@@ -144,33 +150,33 @@
     pub async fn stop(self) {
         let node = &self.node;
         let began = clock::now();
-        let bound = node.settings.stop_bound.0.saturating_sub(STOP_MARGIN);
+        let bound = node.settings.stop_bound.0.saturating_sub(PROCESS_EXIT_MARGIN);
         node.journal.note("stopping", &[("entry", &node.me)]);
         node.stopping.store(true, Ordering::SeqCst);
         drop(self.closing);
         // Bounded as a whole: with the store away it would never end, and the process would be
         // killed with callers' requests in flight.
-        if timeout(bound / 2, hand_over_all(node)).await.is_err() {
+        if timeout(bound / 2, hand_over_cells(node)).await.is_err() {
             node.journal.warn("handover_incomplete", &[("entry", &node.me)]);
         }
         node.owners.read().values().for_each(|owner| owner.stop());
-        let left = |limit: Duration| limit.saturating_sub(clock::now().since(began));
-        async_std::task::sleep(left(STOP_NOTICE.min(bound))).await;
-        while node.flying.load(Ordering::SeqCst) > 0 && !left(bound).is_zero() {
-            async_std::task::sleep(STOP_POLL).await;
+        let remaining = |limit: Duration| limit.saturating_sub(clock::now().since(began));
+        async_std::task::sleep(remaining(BALANCER_DRAIN_TIME.min(bound))).await;
+        while node.flying.load(Ordering::SeqCst) > 0 && !remaining(bound).is_zero() {
+            async_std::task::sleep(STOP_POLL_INTERVAL).await;
         }
         drop(self.ended);
-        async_std::task::sleep(STOP_POLL * 2).await;
+        async_std::task::sleep(STOP_POLL_INTERVAL * 2).await;
         node.peers.close();
         node.journal.note("stopped", &[("unanswered", &node.flying.load(Ordering::SeqCst))]);
         drop(self.stop);
         // Lets the last line out.
-        async_std::task::sleep(STOP_POLL).await;
+        async_std::task::sleep(STOP_POLL_INTERVAL).await;
     }
 }
 
 /// Hands all cells of this entry over, each after what it owes the store is kept.
-async fn hand_over_all(node: &Arc<Node>) {
+async fn hand_over_cells(node: &Arc<Node>) {
     membership::renew(node, node.settings.peer_listen).await;
     loop {
         let held: Vec<String> = {
@@ -178,7 +184,7 @@
             let mine = view.holdings.iter().filter(|(_, holding)| holding.holder == node.me);
             mine.map(|(cell, _)| cell.clone()).collect()
         };
-        let mut open = false;
+        let mut incomplete = false;
         for cell in held {
             let owner = node.owner(&cell);
             if let Some(owner) = &owner {
@@ -189,21 +195,21 @@
                 node.owners.write().remove(&cell);
                 node.view.write().holdings.remove(&cell);
             } else {
-                open = true;
+                incomplete = true;
             }
         }
-        if !open {
+        if !incomplete {
             return;
         }
-        async_std::task::sleep(RETRY).await;
+        async_std::task::sleep(RETRY_DELAY).await;
     }
 }
 
 /// Serves the figures.
-struct Page(Arc<Node>);
+struct MetricsPage(Arc<Node>);
 
 #[async_trait::async_trait]
-impl Handler for Page {
+impl Handler for MetricsPage {
     async fn handle(&self, _: Request) -> Response {
         let mut response = Response::new(StatusCode::Ok);
         let dropped = self.0.journal.dropped();
@@ -238,7 +244,7 @@
     };
     async_std::task::spawn(membership::follow_control(node.clone()));
     while node.view.read().version == 0 {
-        if !node.pause(STOP_POLL).await {
+        if !node.pause(STOP_POLL_INTERVAL).await {
             return;
         }
     }
@@ -251,9 +257,9 @@
 /// This entry's identity, signed by the authority that the first entry made and kept.
 async fn identity(node: &Arc<Node>) -> Option<Identity> {
     loop {
-        match read_authority(node).await {
+        match read_or_create_authority(node).await {
             Some(authority) => return issue(node, &authority),
-            None if !node.pause(RETRY).await => return None,
+            None if !node.pause(RETRY_DELAY).await => return None,
             None => {}
         }
     }
@@ -276,13 +282,13 @@
     }
 }
 
-async fn read_authority(node: &Node) -> Option<Pair> {
-    let row = node.store.get(rows::CONTROL, "", rows::AUTHORITY_KEY, CALL_LIMIT).await;
+async fn read_or_create_authority(node: &Node) -> Option<Pair> {
+    let row = node.store.get(rows::CONTROL, "", rows::AUTHORITY_KEY, STORE_CALL_TIMEOUT).await;
     node.store_result(&row);
     match row.ok()? {
         Some(row) => {
-            let kept: rows::Authority = decode(&row.value).ok()?;
-            Some(Pair { certificate: kept.certificate, key: kept.key })
+            let stored: rows::Authority = decode(&row.value).ok()?;
+            Some(Pair { certificate: stored.certificate, key: stored.key })
         }
         None => {
             let pair = authority::create("entries").ok()?;
@@ -294,7 +300,7 @@
                 ..Transaction::default()
             };
             // Whoever was first, the next read brings the one that is kept.
-            let _ = node.commit(&change, CALL_LIMIT).await;
+            let _ = node.commit(&change, STORE_CALL_TIMEOUT).await;
             None
         }
     }
@@ -304,6 +310,6 @@
     TcpListener::bind(address).await.context(ListenSnafu { address })
 }
 
-fn local(listener: &TcpListener, address: SocketAddr) -> Result<SocketAddr, Error> {
+fn local_address(listener: &TcpListener, address: SocketAddr) -> Result<SocketAddr, Error> {
     listener.local_addr().context(ListenSnafu { address })
 }
--- a/crates/scheduler/src/fleet.rs
+++ b/crates/scheduler/src/fleet.rs
@@ -11,9 +11,9 @@
 
 pub(crate) mod emptying;
 pub(crate) mod list;
+mod log_limiter;
 pub(crate) mod maintenance;
 pub(crate) mod pools;
-mod telling;
 
 use crate::clock;
 use crate::node::Node;
@@ -32,35 +32,35 @@
 use std::time::Duration;
 
 /// Longest wait for a call.
-pub(crate) const CALL_LIMIT: Duration = Duration::from_millis(1000);
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Pause before something that failed is tried again.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A holder whose last renewal is older gives no order: another one may take over when it has
 /// been silent for the takeover time, and then waits the lease before its own orders.
-const FRESH_RENEWAL: Duration = Duration::from_millis(1500);
+const MAX_RENEWAL_AGE: Duration = Duration::from_millis(1500);
 
 /// Age of a demand after which it isn't planned with any more: an owner that is lost is replaced within
 /// that time, and the rows keep what was emptied.
-const LOAD_AGE: Duration = Duration::from_millis(2000);
+const MAX_LOAD_AGE: Duration = Duration::from_millis(2000);
 
 /// Looks at the pools' demand in a second, at most; each pool may be given its share of the orders that
 /// the platform takes in a second.
-const LOOKS_PER_S: f64 = 4.0;
+const LOAD_POLLS_PER_S: f64 = 4.0;
 
 /// Orders under way at once.  An answer takes some 5 ms, so this many are more than the platform takes in
 /// a second, and few enough for the connections that are kept open.
-const ORDERS_AT_ONCE: usize = 16;
+const MAX_CONCURRENT_ORDERS: usize = 16;
 
 /// The duty in the hands of this entry.
-pub(crate) struct Fleet {
+pub(crate) struct Controller {
     pub(crate) owner: Arc<Owner>,
     pub(crate) client: machine::Client,
     /// Locked after the entry's view, and never across a call.
     pub(crate) state: Mutex<State>,
     /// Woken when an owner has told its demand, or won't.
-    pub(crate) answered: Wake,
+    pub(crate) load_answered: Wake,
 }
 
 /// What the holder of the duty knows and plans.
@@ -72,15 +72,15 @@
     /// What each pool's owner told last.
     pub(crate) loads: BTreeMap<String, Load>,
     /// When it was asked for that.
-    asked: BTreeMap<String, Time>,
+    load_asked_at: BTreeMap<String, Time>,
     /// Minions named lately as to be emptied, and when that was written.
-    named: BTreeMap<String, Time>,
+    emptying_written_at: BTreeMap<String, Time>,
     /// Pools whose owners are being asked.
-    pub(crate) asking: BTreeSet<String>,
+    pub(crate) awaited_loads: BTreeSet<String>,
     /// Machines whose maintenance has begun and is not kept yet, with their wave.
-    pub(crate) unkept: BTreeSet<(u64, String)>,
+    pub(crate) unsaved_begun: BTreeSet<(u64, String)>,
     /// Machines whose rows are being dropped.
-    pub(crate) dropping: BTreeSet<String>,
+    pub(crate) dropping_rows: BTreeSet<String>,
     /// Machines for which an order may have been given, by this holder or the former one, and
     /// until when nobody else may give one.
     ///
@@ -89,13 +89,13 @@
     /// row and the row stays for the lease, so a new holder knows exactly which machines to leave
     /// alone, and can order all others at once: in a burst, a pause of the lease would be most of
     /// it.
-    ordered: BTreeMap<String, Time>,
+    order_leases: BTreeMap<String, Time>,
 }
 
 impl State {
     /// Whether a machine must be left alone: somebody may have given an order for it lately.
-    pub(crate) fn is_held_back(&self, machine: &str) -> bool {
-        self.ordered.get(machine).is_some_and(|until| clock::now() < *until)
+    pub(crate) fn has_recent_order(&self, machine: &str) -> bool {
+        self.order_leases.get(machine).is_some_and(|until| clock::now() < *until)
     }
 
     /// Whether either duty is about to order a machine.
@@ -104,16 +104,16 @@
     }
 
     /// Takes in what a pool's owner tells, asked at `asked`.
-    pub(crate) fn note_load(&mut self, pool: String, load: Load, asked: Time) {
-        if self.asked.get(&pool).is_none_or(|known| *known <= asked) {
-            self.asked.insert(pool.clone(), asked);
+    pub(crate) fn record_load(&mut self, pool: String, load: Load, asked: Time) {
+        if self.load_asked_at.get(&pool).is_none_or(|known| *known <= asked) {
+            self.load_asked_at.insert(pool.clone(), asked);
             self.loads.insert(pool, load);
         }
     }
 
     /// Notes that it is written of a minion that it is to be emptied.
-    pub(crate) fn note_named(&mut self, minion: &str) {
-        self.named.insert(minion.into(), clock::now());
+    pub(crate) fn record_emptying(&mut self, minion: &str) {
+        self.emptying_written_at.insert(minion.into(), clock::now());
     }
 
     /// Minions that are to be emptied and are empty.
@@ -123,38 +123,39 @@
     pub(crate) fn empty_minions(&self) -> BTreeSet<String> {
         let mut empty = BTreeSet::new();
         for (pool, load) in &self.loads {
-            let asked = self.asked.get(pool);
-            let tells =
-                |minion: &&String| self.named.get(*minion).is_none_or(|at| asked > Some(at));
+            let asked = self.load_asked_at.get(pool);
+            let tells = |minion: &&String| {
+                self.emptying_written_at.get(*minion).is_none_or(|at| asked > Some(at))
+            };
             empty.extend(load.empty.iter().filter(tells).cloned());
         }
         empty
     }
 
     /// Forgets the demand of pools whose owners have been silent for too long.
-    pub(crate) fn forget_loads(&mut self) {
+    pub(crate) fn expire_loads(&mut self) {
         let now = clock::now();
-        self.asked.retain(|_, at| now.since(*at) < LOAD_AGE);
-        self.loads.retain(|pool, _| self.asked.contains_key(pool));
+        self.load_asked_at.retain(|_, at| now.since(*at) < MAX_LOAD_AGE);
+        self.loads.retain(|pool, _| self.load_asked_at.contains_key(pool));
         // Whatever is still known was asked for since these were written.
-        self.named.retain(|_, at| now.since(*at) < LOAD_AGE);
+        self.emptying_written_at.retain(|_, at| now.since(*at) < MAX_LOAD_AGE);
     }
 
     /// Takes back that an order was given: it was refused before anything was done.
-    pub(crate) fn release_order(&mut self, machine: &str) {
-        self.ordered.remove(machine);
+    pub(crate) fn revert_order(&mut self, machine: &str) {
+        self.order_leases.remove(machine);
         self.waves.put_off(machine);
     }
 
     /// Machines whose lease of orders is over are anybody's again.
-    pub(crate) fn forget_orders(&mut self) {
+    pub(crate) fn expire_order_leases(&mut self) {
         let now = clock::now();
-        self.ordered.retain(|_, until| now < *until);
+        self.order_leases.retain(|_, until| now < *until);
     }
 }
 
 /// Carries the duty until it is lost.
-pub(crate) async fn carry(owner: Arc<Owner>) {
+pub(crate) async fn run(owner: Arc<Owner>) {
     let node = owner.node.clone();
     let Some(client) = node.machines.clone() else { return };
     let settings = maintenance_plan::Settings {
@@ -164,56 +165,61 @@
     let state = State {
         waves: maintenance_plan::Planner::new(settings),
         pools: pool_plan::Planner::new(pool_plan::Settings {
-            at_once: (node.settings.orders_per_s / LOOKS_PER_S).max(1.0) as usize,
+            at_once: (node.settings.orders_per_s / LOAD_POLLS_PER_S).max(1.0) as usize,
             ..pool_plan::Settings::default()
         }),
         ..State::default()
     };
     let state = Mutex::new(state);
-    let fleet = Arc::new(Fleet { owner: owner.clone(), client, state, answered: Wake::default() });
-    while !fleet.load().await {
-        if !owner.pause(RETRY).await {
+    let controller = Arc::new(Controller {
+        owner: owner.clone(),
+        client,
+        state,
+        load_answered: Wake::default(),
+    });
+    while !controller.restore().await {
+        if !owner.pause(RETRY_DELAY).await {
             return;
         }
     }
     futures::join!(
-        list::read_forever(&fleet),
-        pools::move_forever(&fleet),
-        maintenance::carry_forever(&fleet)
+        list::read_forever(&controller),
+        pools::move_forever(&controller),
+        maintenance::run_forever(&controller)
     );
 }
 
-impl Fleet {
+impl Controller {
     /// The entry's shared parts.
     pub(crate) fn node(&self) -> &Node {
         &self.owner.node
     }
 
     /// Reads what a former holder kept; true if it is read.
-    async fn load(&self) -> bool {
+    async fn restore(&self) -> bool {
         let node = self.node();
-        let rows = node.store.all(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_LIMIT).await;
+        let rows = node.store.all(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_TIMEOUT).await;
         node.store_result(&rows);
         let Ok(rows) = rows else { return false };
         for row in &rows.rows {
             if let Some(machine) = row.key.strip_prefix(rows::EMPTYING_PREFIX) {
-                self.note_order(machine);
+                self.record_order(machine);
             }
         }
-        pools::load(self).await && maintenance::load(self).await
+        pools::restore(self).await && maintenance::restore(self).await
     }
 
     /// Notes that an order for a machine is about to be given, or may have been.
-    pub(crate) fn note_order(&self, machine: &str) {
-        let lease = self.node().settings.maintenance_lease.0 + CALL_LIMIT / 4;
-        self.state.lock().ordered.insert(machine.into(), clock::now() + lease);
+    pub(crate) fn record_order(&self, machine: &str) {
+        let lease = self.node().settings.maintenance_lease.0 + CALL_TIMEOUT / 4;
+        self.state.lock().order_leases.insert(machine.into(), clock::now() + lease);
     }
 
     /// Whether this holder may give an order for a machine now.
     pub(crate) fn may_order(&self) -> bool {
         let node = self.node();
         let stops = self.owner.is_stopped() || node.is_stopping();
-        !stops && node.since_renewal() <= FRESH_RENEWAL
+        !stops && node.since_renewal() <= MAX_RENEWAL_AGE
     }
 
     /// In whose name orders are given.
@@ -224,30 +230,33 @@
 
 /// Gives orders, some at a time.
 pub(crate) async fn order_all(orders: impl Iterator<Item = impl Future<Output = ()>>) {
-    futures::stream::iter(orders).buffer_unordered(ORDERS_AT_ONCE).for_each(|()| async {}).await;
+    futures::stream::iter(orders)
+        .buffer_unordered(MAX_CONCURRENT_ORDERS)
+        .for_each(|()| async {})
+        .await;
 }
 
 /// What became of an order for a machine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Ordered {
+pub(crate) enum OrderOutcome {
     /// It was carried out.
     Done,
     /// Nothing was done, and it can be given again.
-    PutOff,
+    Deferred,
     /// Nothing was done, and giving it again is of no use now.
     Refused,
     /// Nobody knows.
     Unknown,
 }
 
-impl Ordered {
+impl OrderOutcome {
     /// What an answer says, with a word for the log.
-    pub(crate) fn read(
+    pub(crate) fn from_answer(
         answer: Result<Result<(), Refusal>, celerythread_adapter::Failure>,
     ) -> (Self, String) {
         match answer {
             Ok(Ok(())) => (Self::Done, "done".to_owned()),
-            Ok(Err(Refusal::Rate | Refusal::Unavailable)) => (Self::PutOff, "put off".to_owned()),
+            Ok(Err(Refusal::Rate | Refusal::Unavailable)) => (Self::Deferred, "put off".to_owned()),
             Ok(Err(reason)) => (Self::Refused, reason.to_string()),
             Err(failure) => (Self::Unknown, failure.to_string()),
         }
--- a/crates/scheduler/src/fleet/list.rs
+++ b/crates/scheduler/src/fleet/list.rs
@@ -1,6 +1,6 @@
 //! The platform's machines, as last listed.
 
-use super::{CALL_LIMIT, Fleet, emptying};
+use super::{CALL_TIMEOUT, Controller, emptying};
 use crate::clock;
 use crate::node::Node;
 use celerythread_adapter::machine;
@@ -8,52 +8,52 @@
 use std::time::Duration;
 
 /// Age at which the list is read again while something is under way.
-const BUSY: Duration = Duration::from_millis(350);
+const BUSY_REFRESH_INTERVAL: Duration = Duration::from_millis(350);
 
 /// The same otherwise.
-const IDLE: Duration = Duration::from_secs(3);
+const IDLE_REFRESH_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Time between two looks whether the list is too old: what is under way may begin at any moment.
-const LOOK: Duration = Duration::from_millis(100);
+const DUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The machines as last read.
 #[derive(Default)]
 pub(crate) struct MachineList {
     pub(crate) machines: Vec<machine::Machine>,
-    read: Option<Time>,
+    read_at: Option<Time>,
 }
 
 /// Reads the list again and again until the duty is lost.
-pub(crate) async fn read_forever(fleet: &Fleet) {
-    while !fleet.owner.is_stopped() {
-        if is_due(fleet) && read(fleet).await {
-            emptying::drop_settled(fleet).await;
+pub(crate) async fn read_forever(controller: &Controller) {
+    while !controller.owner.is_stopped() {
+        if is_due(controller) && read(controller).await {
+            emptying::drop_stale_rows(controller).await;
         }
-        if !fleet.owner.pause(LOOK).await {
+        if !controller.owner.pause(DUE_CHECK_INTERVAL).await {
             return;
         }
     }
 }
 
-fn is_due(fleet: &Fleet) -> bool {
-    let empties = !fleet.node().view.read().emptying.is_empty();
-    let state = fleet.state.lock();
-    let busy = empties || state.waves.is_busy() || state.pools.is_busy();
-    let limit = if busy { BUSY } else { IDLE };
-    state.list.read.is_none_or(|read| clock::now().since(read) >= limit)
+fn is_due(controller: &Controller) -> bool {
+    let is_emptying = !controller.node().view.read().emptying.is_empty();
+    let state = controller.state.lock();
+    let busy = is_emptying || state.waves.is_busy() || state.pools.is_busy();
+    let limit = if busy { BUSY_REFRESH_INTERVAL } else { IDLE_REFRESH_INTERVAL };
+    state.list.read_at.is_none_or(|read_at| clock::now().since(read_at) >= limit)
 }
 
 /// Reads the list; true if it is read.
-async fn read(fleet: &Fleet) -> bool {
-    let Some(list) = fetch(fleet.node(), &fleet.client).await else { return false };
-    let read = Some(clock::now());
-    fleet.state.lock().list = MachineList { machines: list.machines, read };
+async fn read(controller: &Controller) -> bool {
+    let Some(list) = fetch(controller.node(), &controller.client).await else { return false };
+    let read_at = Some(clock::now());
+    controller.state.lock().list = MachineList { machines: list.machines, read_at };
     true
 }
 
 /// The platform's list; none if it can't be read.  What can't be read of it is noted.
 pub(crate) async fn fetch(node: &Node, client: &machine::Client) -> Option<machine::List> {
-    match client.list(CALL_LIMIT).await {
+    match client.list(CALL_TIMEOUT).await {
         Ok(list) => {
             if list.unreadable > 0 {
                 node.journal.warn("machines_unreadable", &[("machines", &list.unreadable)]);
--- /dev/null
+++ b/crates/scheduler/src/fleet/log_limiter.rs
@@ -0,0 +1,36 @@
+//! Telling in the log what the holder believes: on change, and at most once a second.
+
+use celerythread_engine::time::Time;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Shortest time between two rounds of lines.
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
+
+/// What was told last of each pool, or of each wave.
+pub(crate) struct LogLimiter<K, V> {
+    last_round: Option<Time>,
+    last_logged: BTreeMap<K, V>,
+}
+
+impl<K, V> Default for LogLimiter<K, V> {
+    fn default() -> Self {
+        Self { last_round: None, last_logged: BTreeMap::new() }
+    }
+}
+
+impl<K: Ord, V: PartialEq + Copy> LogLimiter<K, V> {
+    /// Whether another round is due; if so, it begins.
+    pub(crate) fn begin_round_if_due(&mut self, now: Time) -> bool {
+        let due = self.last_round.is_none_or(|last_round| now.since(last_round) >= ROUND_INTERVAL);
+        if due {
+            self.last_round = Some(now);
+        }
+        due
+    }
+
+    /// Whether something else is believed than was told last.
+    pub(crate) fn record_change(&mut self, key: K, value: V) -> bool {
+        self.last_logged.insert(key, value) != Some(value)
+    }
+}
--- a/crates/scheduler/src/fleet/pools.rs
+++ b/crates/scheduler/src/fleet/pools.rs
@@ -1,8 +1,8 @@
 //! Moving machines between pools with the decisions of the engine.
 
-use super::emptying::{self, Leaver};
-use super::telling::Telling;
-use super::{CALL_LIMIT, Fleet, Ordered, State, order_all};
+use super::emptying::{self, Target};
+use super::log_limiter::LogLimiter;
+use super::{CALL_TIMEOUT, Controller, OrderOutcome, State, order_all};
 use crate::clock;
 use crate::metrics::Counter;
 use crate::node::Node;
@@ -19,25 +19,25 @@
 
 /// Shortest time between two looks at the pools' demand.  A burst that lasts some seconds must
 /// be seen well within its first one.
-const TICK: Duration = Duration::from_millis(200);
+const STEP_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Added to a tick for each pool, so that asking many of them takes at most fifty questions a
 /// second, some 10 ms of processor time.
-const TICK_PER_POOL: Duration = Duration::from_millis(20);
+const STEP_INTERVAL_PER_POOL: Duration = Duration::from_millis(20);
 
 /// Longest wait for the owners' answers before moves are planned with those that came: ten times what an
 /// exchange takes as a rule.
-const GATHER: Duration = Duration::from_millis(100);
+const LOAD_ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Reads whose turns a former holder saw; true if they are read, or there are none.
-pub(crate) async fn load(fleet: &Fleet) -> bool {
-    let node = fleet.node();
-    let row = node.store.get(rows::FLEET, "", rows::TURNS_KEY, CALL_LIMIT).await;
+pub(crate) async fn restore(controller: &Controller) -> bool {
+    let node = controller.node();
+    let row = node.store.get(rows::FLEET, "", rows::TURNS_KEY, CALL_TIMEOUT).await;
     node.store_result(&row);
     match row.map(|row| row.map(|row| decode::<History>(&row.value))) {
         Ok(Some(Ok(history))) => {
             let ago = Duration::from_millis(clock::wall_ms().saturating_sub(history.began_ms));
-            let mut state = fleet.state.lock();
+            let mut state = controller.state.lock();
             state.pools.resume_turn(clock::now() - ago);
             state.pools.restore(history);
         }
@@ -49,26 +49,30 @@
 }
 
 /// Keeps the turns as they are now, for the next holder.
-async fn keep_turns(node: &Node, history: &History) {
+async fn save_turns(node: &Node, history: &History) {
     let pool = history.turns.last().map(String::as_str).unwrap_or_default();
     node.journal.note("turn_began", &[("pool", &pool), ("turns", &history.turns.len())]);
     let name = Name::new(rows::FLEET, "", rows::TURNS_KEY);
     let change = Transaction { writes: vec![(name, encode(history))], ..Transaction::default() };
     // If this is lost, the next holder knows one turn less, until it has seen it itself.
-    if let Err(error) = node.commit(&change, CALL_LIMIT).await {
+    if let Err(error) = node.commit(&change, CALL_TIMEOUT).await {
         node.journal.warn("turns_unkept", &[("reason", &error)]);
     }
 }
 
 /// Moves machines until the duty is lost.
-pub(crate) async fn move_forever(fleet: &Arc<Fleet>) {
-    let mut told = Telling::default();
-    while !fleet.owner.is_stopped() {
-        let services = services(fleet.node());
-        ask_loads(fleet, &services).await;
-        step(fleet).await;
-        tell(fleet, &mut told);
-        if !fleet.owner.pause(TICK.max(TICK_PER_POOL * services.len() as u32)).await {
+pub(crate) async fn move_forever(controller: &Arc<Controller>) {
+    let mut limiter = LogLimiter::default();
+    while !controller.owner.is_stopped() {
+        let services = services(controller.node());
+        request_loads(controller, &services).await;
+        advance_moves(controller).await;
+        log_balances(controller, &mut limiter);
+        if !controller
+            .owner
+            .pause(STEP_INTERVAL.max(STEP_INTERVAL_PER_POOL * services.len() as u32))
+            .await
+        {
             return;
         }
     }
@@ -84,51 +88,51 @@
 ///
 /// An owner that answers late is waited for beside the next steps: waited for here, it would keep all
 /// other pools' machines where they are.
-async fn ask_loads(fleet: &Arc<Fleet>, services: &[String]) {
+async fn request_loads(controller: &Arc<Controller>, services: &[String]) {
     for service in services {
-        if fleet.state.lock().asking.insert(service.clone()) {
-            async_std::task::spawn(ask_load(fleet.clone(), service.clone()));
+        if controller.state.lock().awaited_loads.insert(service.clone()) {
+            async_std::task::spawn(request_load(controller.clone(), service.clone()));
         }
     }
-    let until = clock::now() + GATHER;
-    while clock::now() < until && !fleet.state.lock().asking.is_empty() {
-        fleet.answered.wait(GATHER).await;
+    let until = clock::now() + LOAD_ANSWER_TIMEOUT;
+    while clock::now() < until && !controller.state.lock().awaited_loads.is_empty() {
+        controller.load_answered.wait(LOAD_ANSWER_TIMEOUT).await;
     }
-    fleet.state.lock().forget_loads();
+    controller.state.lock().expire_loads();
 }
 
-async fn ask_load(fleet: Arc<Fleet>, service: String) {
+async fn request_load(controller: Arc<Controller>, service: String) {
     let asked = clock::now();
     let question = Question::Load { service: service.clone() };
-    let answer = peers::ask_owner(fleet.node(), &service, question).await;
-    let mut state = fleet.state.lock();
-    state.asking.remove(&service);
+    let answer = peers::ask_owner(controller.node(), &service, question).await;
+    let mut state = controller.state.lock();
+    state.awaited_loads.remove(&service);
     if let Some(Answer::Load(load)) = answer {
-        state.note_load(service, load, asked);
+        state.record_load(service, load, asked);
     }
     drop(state);
-    fleet.answered.wake();
+    controller.load_answered.wake();
 }
 
 /// Moves machines as the demand asks for.
-async fn step(fleet: &Fleet) {
-    let node = fleet.node();
-    if fleet.state.lock().list.machines.is_empty() || !fleet.may_order() {
+async fn advance_moves(controller: &Controller) {
+    let node = controller.node();
+    if controller.state.lock().list.machines.is_empty() || !controller.may_order() {
         return;
     }
     let Some(configuration) = node.configuration() else { return };
-    let (moves, turn) = plan(&mut fleet.state.lock(), configuration.spare_pool());
+    let (moves, turn) = plan_moves(&mut controller.state.lock(), configuration.spare_pool());
     if let Some(history) = turn {
-        keep_turns(node, &history).await;
+        save_turns(node, &history).await;
     }
-    release(fleet, &moves).await;
-    order_ready(fleet).await;
-    give_up_overdue(fleet).await;
+    request_emptying(controller, &moves).await;
+    order_ready(controller).await;
+    abandon_overdue(controller).await;
 }
 
 /// Further moves, and the turns if another one began.
-fn plan(state: &mut State, spare: Option<&str>) -> (Vec<Move>, Option<History>) {
-    let machines = seen_all(state);
+fn plan_moves(state: &mut State, spare: Option<&str>) -> (Vec<Move>, Option<History>) {
+    let machines = machine_views(state);
     let turns = state.pools.history().turns.clone();
     let moves = state.pools.plan(&machines, &state.loads, spare, clock::now());
     let history = state.pools.history();
@@ -138,60 +142,63 @@
 }
 
 /// All machines as the engine sees them.
-pub(crate) fn seen_all(state: &State) -> BTreeMap<String, Machine> {
-    state.list.machines.iter().map(|machine| seen(machine, state)).collect()
+pub(crate) fn machine_views(state: &State) -> BTreeMap<String, Machine> {
+    state.list.machines.iter().map(|machine| machine_view(machine, state)).collect()
 }
 
-fn seen(machine: &machine::Machine, state: &State) -> (String, Machine) {
+fn machine_view(machine: &machine::Machine, state: &State) -> (String, Machine) {
     let name = machine.name.clone();
-    let seen = Machine {
+    let machine_view = Machine {
         pool: machine.pool.clone(),
         minion: machine.minion.clone(),
         up: machine.state == machine::State::Up,
         pinned: state.waves.is_emptying(&name)
-            || state.is_held_back(&name)
-            || state.dropping.contains(&name),
+            || state.has_recent_order(&name)
+            || state.dropping_rows.contains(&name),
     };
-    (name, seen)
+    (name, machine_view)
 }
 
 /// Has machines emptied; the moves of those that couldn't be asked are given up.
-async fn release(fleet: &Fleet, moves: &[Move]) {
+async fn request_emptying(controller: &Controller, moves: &[Move]) {
     if moves.is_empty() {
         return;
     }
-    let leaver = |plan: &Move| Leaver {
+    let target = |plan: &Move| Target {
         machine: plan.machine.clone(),
         pool: plan.from.clone(),
         minion: plan.minion.clone().unwrap_or_default(),
     };
-    let left = emptying::begin(fleet, moves.iter().map(leaver).collect()).await;
-    let mut state = fleet.state.lock();
-    left.iter().for_each(|machine| state.pools.abandon(machine));
+    let unwritten = emptying::request(controller, moves.iter().map(target).collect()).await;
+    let mut state = controller.state.lock();
+    unwritten.iter().for_each(|machine| state.pools.abandon(machine));
 }
 
 /// Orders the moves of machines that are empty by now.
-async fn order_ready(fleet: &Fleet) {
-    let ready = ready(&fleet.state.lock());
-    order_all(ready.into_iter().map(|plan| async move { order(fleet, &plan).await })).await;
+async fn order_ready(controller: &Controller) {
+    let ready_moves = ready_moves(&controller.state.lock());
+    order_all(
+        ready_moves.into_iter().map(|plan| async move { order_move(controller, &plan).await }),
+    )
+    .await;
 }
 
-fn ready(state: &State) -> Vec<Move> {
+fn ready_moves(state: &State) -> Vec<Move> {
     let empty = state.empty_minions();
     let is_ready = |plan: &&Move| plan.minion.as_ref().is_none_or(|minion| empty.contains(minion));
     state.pools.pending().filter(is_ready).cloned().collect()
 }
 
 /// Orders one move.
-async fn order(fleet: &Fleet, plan: &Move) {
-    let node = fleet.node();
-    if !fleet.may_order() {
+async fn order_move(controller: &Controller, plan: &Move) {
+    let node = controller.node();
+    if !controller.may_order() {
         return;
     }
-    fleet.note_order(&plan.machine);
-    let by = fleet.authority();
-    let answer = fleet.client.change_pool(&plan.machine, &plan.to, &by, CALL_LIMIT).await;
-    let (ordered, outcome) = Ordered::read(answer);
+    controller.record_order(&plan.machine);
+    let by = controller.authority();
+    let answer = controller.client.change_pool(&plan.machine, &plan.to, &by, CALL_TIMEOUT).await;
+    let (ordered, outcome) = OrderOutcome::from_answer(answer);
     let waited = clock::now().since(plan.since);
     node.journal.note(
         "move_ordered",
@@ -205,47 +212,47 @@
             ("outcome", &outcome),
         ],
     );
-    let mut state = fleet.state.lock();
+    let mut state = controller.state.lock();
     match ordered {
         // Its row stays for the lease, and until the list shows another minion, so that
         // nothing is started on the old one, which may be listed for some seconds more.
-        Ordered::Done => {
+        OrderOutcome::Done => {
             node.metrics.count(Counter::Moves);
             state.pools.ordered(&plan.machine, clock::now());
         }
-        Ordered::Refused | Ordered::Unknown => state.pools.abandon(&plan.machine),
+        OrderOutcome::Refused | OrderOutcome::Unknown => state.pools.abandon(&plan.machine),
         // Ordered again with the next step.
-        Ordered::PutOff => {}
+        OrderOutcome::Deferred => {}
     }
 }
 
-async fn give_up_overdue(fleet: &Fleet) {
-    let node = fleet.node();
-    let overdue = fleet.state.lock().pools.overdue(clock::now());
+async fn abandon_overdue(controller: &Controller) {
+    let node = controller.node();
+    let overdue = controller.state.lock().pools.overdue(clock::now());
     let mut rows = Vec::new();
     for plan in overdue {
-        let mut state = fleet.state.lock();
+        let mut state = controller.state.lock();
         state.pools.abandon(&plan.machine);
         node.journal.note("move_given_up", &[("machine", &plan.machine), ("to", &plan.to)]);
         // One that may have been ordered keeps its row for the lease.
-        if !state.is_held_back(&plan.machine) {
+        if !state.has_recent_order(&plan.machine) {
             rows.push(plan.machine.clone());
         }
     }
-    emptying::drop_rows(fleet, &rows).await;
+    emptying::drop_rows(controller, &rows).await;
 }
 
 /// Writes a line for each pool of which something else is believed.
-fn tell(fleet: &Fleet, told: &mut Telling<String, Balance>) {
-    let state = fleet.state.lock();
-    if state.list.machines.is_empty() || !told.is_due(clock::now()) {
+fn log_balances(controller: &Controller, limiter: &mut LogLimiter<String, Balance>) {
+    let state = controller.state.lock();
+    if state.list.machines.is_empty() || !limiter.begin_round_if_due(clock::now()) {
         return;
     }
-    for (pool, balance) in state.pools.balances(&seen_all(&state), &state.loads) {
-        if !told.is_news(pool.clone(), balance) {
+    for (pool, balance) in state.pools.balances(&machine_views(&state), &state.loads) {
+        if !limiter.record_change(pool.clone(), balance) {
             continue;
         }
-        fleet.node().journal.note(
+        controller.node().journal.note(
             "pool_balance",
             &[
                 ("pool", &pool),
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -13,35 +13,35 @@
 
 /// Longest wait of one feed call as a rule.  A connection that goes silent is found out only when
 /// the answer is overdue, so this bounds the age of a configuration then.
-pub(crate) const FEED_WAIT: Duration = Duration::from_millis(1000);
+pub(crate) const MAX_FEED_WAIT: Duration = Duration::from_millis(1000);
 
 /// Pause after a failed call.
-const RETRY: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Gathers the entries of minions that come together; what an owner knows of them then is at most
 /// this old, a fifteenth of the time that a minion takes to move.
-const MINIONS_PAUSE: Duration = Duration::from_millis(100);
+const MINION_BATCH_DELAY: Duration = Duration::from_millis(100);
 
 /// The same for entries that own no cell and only need the list when they take one; they read it
 /// at once then.  Every minion's entry changes at each of its heartbeats, so each entry would read as
 /// often as it may, and all entries of all minions each time: at 50 ms that was 44 of 100 calls to the
 /// store with 9 entries and 50 minions.  Two heartbeats; the history that a read goes on from lasts ten
 /// times as long.
-const MINIONS_IDLE_PAUSE: Duration = Duration::from_millis(3000);
+const MINION_IDLE_BATCH_DELAY: Duration = Duration::from_millis(3000);
 
 /// Longest wait for a read.
-const READ_LIMIT: Duration = Duration::from_millis(800);
+const READ_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Something that takes in a table's rows.
 pub(crate) trait Sink: Send + Sync {
     /// Takes in all rows of the table as of a version; what isn't among them is gone.
     fn replace(&self, rows: Vec<Row>, version: u64);
     /// Takes in changes.
-    fn change(&self, rows: Vec<Row>);
+    fn apply_changes(&self, rows: Vec<Row>);
     /// Takes in that a read was answered, before what it brought.
-    fn answered(&self) {}
+    fn read_answered(&self) {}
     /// Takes in that all that a read brought is taken in.
-    fn taken(&self) {}
+    fn read_applied(&self) {}
 }
 
 /// A table to follow.
@@ -49,21 +49,21 @@
     /// Its name.
     pub(crate) name: &'static str,
     /// Whether it has more partitions than the empty one.
-    pub(crate) has_parts: bool,
+    pub(crate) has_partitions: bool,
     /// Whether each entry keeps a row in it and all follow it, so that reading it whole takes each a call
     /// for each other.
-    pub(crate) has_all_entries: bool,
+    pub(crate) has_row_per_entry: bool,
     /// Pause between two calls, to gather changes.
-    pub(crate) pause: Duration,
+    pub(crate) batch_delay: Duration,
     /// The same while this entry owns no cell.
-    pub(crate) idle_pause: Duration,
+    pub(crate) idle_batch_delay: Duration,
     /// Longest wait of one call for a change.
-    pub(crate) wait: Duration,
+    pub(crate) max_wait: Duration,
 }
 
 /// Follows a table until the node stops or `sink` is dropped by its owner.
 pub(crate) async fn follow(node: Arc<Node>, table: Table, sink: Arc<dyn Sink>) {
-    let Some(mut version) = read_whole(&node, &table, sink.as_ref()).await else { return };
+    let Some(mut version) = read_table(&node, &table, sink.as_ref()).await else { return };
     follow_from(&node, &table, sink.as_ref(), &mut version).await;
 }
 
@@ -74,31 +74,31 @@
     sink: &dyn Sink,
     version: &mut u64,
 ) {
-    while node.pause(table.pause).await {
-        let idle_pause = table.idle_pause.saturating_sub(table.pause);
+    while node.pause(table.batch_delay).await {
+        let idle_batch_delay = table.idle_batch_delay.saturating_sub(table.batch_delay);
         // Tables without one must not take the wake-up that is meant for the others.
-        if !idle_pause.is_zero() && node.owners.read().is_empty() {
-            node.owning.wait(idle_pause).await;
+        if !idle_batch_delay.is_zero() && node.owners.read().is_empty() {
+            node.owning.wait(idle_batch_delay).await;
         }
-        let result = node.store.feed(table.name, *version, table.wait).await;
+        let result = node.store.feed(table.name, *version, table.max_wait).await;
         node.store_result(&result);
         match result {
             Ok(page) => {
-                sink.answered();
+                sink.read_answered();
                 note_unreadable(node, table, &page);
-                take(page, version, sink);
-                sink.taken();
+                apply_page(page, version, sink);
+                sink.read_applied();
             }
             Err(Error::HistoryGone) => {
                 node.journal.warn("history_gone", &[("table", &table.name), ("after", version)]);
-                if !node.pause(spread(node, table)).await {
+                if !node.pause(reread_delay(node, table)).await {
                     return;
                 }
-                let Some(read) = read_whole(node, table, sink).await else { return };
+                let Some(read) = read_table(node, table, sink).await else { return };
                 *version = read;
             }
             Err(_) => {
-                if !node.pause(RETRY).await {
+                if !node.pause(RETRY_DELAY).await {
                     return;
                 }
             }
@@ -115,39 +115,39 @@
     }
 }
 
-fn take(page: Page, version: &mut u64, sink: &dyn Sink) {
+fn apply_page(page: Page, version: &mut u64, sink: &dyn Sink) {
     if !page.rows.is_empty() {
-        sink.change(page.rows);
+        sink.apply_changes(page.rows);
     }
     *version = page.version.max(*version);
 }
 
 /// Reads a table whole, again and again until it succeeds; none when the node stops.
-async fn read_whole(node: &Arc<Node>, table: &Table, sink: &dyn Sink) -> Option<u64> {
+async fn read_table(node: &Arc<Node>, table: &Table, sink: &dyn Sink) -> Option<u64> {
     loop {
-        let result = if table.has_parts {
-            node.store.whole(table.name, "", READ_LIMIT).await
+        let result = if table.has_partitions {
+            node.store.whole(table.name, "", READ_TIMEOUT).await
         } else {
-            node.store.all(table.name, "", "", READ_LIMIT).await
+            node.store.all(table.name, "", "", READ_TIMEOUT).await
         };
         node.store_result(&result);
         if let Ok(page) = result {
-            sink.answered();
+            sink.read_answered();
             note_unreadable(node, table, &page);
             sink.replace(page.rows, page.version);
-            sink.taken();
+            sink.read_applied();
             return Some(page.version);
         }
-        if !node.pause(RETRY + spread(node, table)).await {
+        if !node.pause(RETRY_DELAY + reread_delay(node, table)).await {
             return None;
         }
     }
 }
 
 /// How long to wait so that not all entries read a table with a row for each of them at once.
-fn spread(node: &Node, table: &Table) -> Duration {
+fn reread_delay(node: &Node, table: &Table) -> Duration {
     // Other tables are read by few, and at once: owners must learn of cancellations.
-    if !table.has_all_entries {
+    if !table.has_row_per_entry {
         return Duration::ZERO;
     }
     let entries = node.view.read().entries.len();
@@ -155,18 +155,18 @@
 }
 
 /// What operators write: the configuration and waves of maintenance.
-pub(crate) struct Operators(pub(crate) Arc<Node>);
+pub(crate) struct OperatorSink(pub(crate) Arc<Node>);
 
-impl Operators {
-    fn take(&self, row: &Row) {
+impl OperatorSink {
+    fn apply_row(&self, row: &Row) {
         if row.key == configuration::KEY && !row.dropped {
-            in_force::take(&self.0, &row.value, &"store");
+            in_force::apply(&self.0, &row.value, &"store");
         } else if row.key.starts_with(wave::KEY_PREFIX) {
-            self.take_wave(row);
+            self.apply_wave(row);
         }
     }
 
-    fn take_wave(&self, row: &Row) {
+    fn apply_wave(&self, row: &Row) {
         let node = &self.0;
         match Wave::decode(&row.value) {
             _ if row.dropped => {}
@@ -187,26 +187,26 @@
     }
 }
 
-impl Sink for Operators {
-    fn taken(&self) {
+impl Sink for OperatorSink {
+    fn read_applied(&self) {
         self.0.in_force.confirm(clock::now());
     }
 
     fn replace(&self, rows: Vec<Row>, _: u64) {
-        rows.iter().for_each(|row| self.take(row));
+        rows.iter().for_each(|row| self.apply_row(row));
     }
 
-    fn change(&self, rows: Vec<Row>) {
-        rows.iter().for_each(|row| self.take(row));
+    fn apply_changes(&self, rows: Vec<Row>) {
+        rows.iter().for_each(|row| self.apply_row(row));
     }
 }
 
 /// Minions as the platform lists them.
-pub(crate) struct Minions(pub(crate) Arc<Node>);
+pub(crate) struct MinionSink(pub(crate) Arc<Node>);
 
-impl Minions {
+impl MinionSink {
     /// Takes in one minion; true if something else is known of it now.  Most changes are heartbeats.
-    fn take(&self, row: &Row) -> bool {
+    fn apply_row(&self, row: &Row) -> bool {
         let node = &self.0;
         let id: Arc<str> = row.key.as_str().into();
         let entry = if row.dropped { None } else { Entry::decode(&id, &row.value) };
@@ -228,12 +228,12 @@
             return false;
         }
         let incarnation = entry.listing.incarnation;
-        let is_told = known.is_some_and(|known| {
+        let is_logged = known.is_some_and(|known| {
             known.listing.draining == draining && known.listing.incarnation == incarnation
         });
         minions.insert(id.clone(), entry);
         drop(minions);
-        if !is_told {
+        if !is_logged {
             let event = if draining { "minion_draining" } else { "minion_seen" };
             let incarnation = incarnation.map_or(0, |incarnation| incarnation.0);
             node.journal.note(
@@ -249,32 +249,32 @@
         true
     }
 
-    fn tell_owners(&self) {
+    fn notify_owners(&self) {
         for owner in self.0.owners.read().values() {
             owner.minions_changed();
         }
     }
 }
 
-impl Sink for Minions {
+impl Sink for MinionSink {
     /// Entries that are missing are not dropped at once: the list may be read just after an
     /// outage of the store, when entries lapsed that come back within some seconds.
     fn replace(&self, rows: Vec<Row>, _: u64) {
         let present: std::collections::BTreeSet<Arc<str>> =
             rows.iter().map(|row| row.key.as_str().into()).collect();
         for row in &rows {
-            self.take(row);
+            self.apply_row(row);
         }
         self.0.minions.write().retain(|id, _| present.contains(id));
-        self.tell_owners();
+        self.notify_owners();
     }
 
     /// Owners are told of changes only: told of each heartbeat, one with some hundred minions copied all
     /// of their listings ten times a second.
-    fn change(&self, rows: Vec<Row>) {
-        let changed = rows.iter().filter(|row| self.take(row)).count();
+    fn apply_changes(&self, rows: Vec<Row>) {
+        let changed = rows.iter().filter(|row| self.apply_row(row)).count();
         if changed > 0 {
-            self.tell_owners();
+            self.notify_owners();
         }
     }
 }
@@ -283,11 +283,11 @@
 pub(crate) fn operator_table() -> Table {
     Table {
         name: store::OPERATOR_TABLE,
-        has_parts: false,
-        has_all_entries: false,
-        pause: Duration::ZERO,
-        idle_pause: Duration::ZERO,
-        wait: FEED_WAIT,
+        has_partitions: false,
+        has_row_per_entry: false,
+        batch_delay: Duration::ZERO,
+        idle_batch_delay: Duration::ZERO,
+        max_wait: MAX_FEED_WAIT,
     }
 }
 
@@ -295,10 +295,10 @@
 pub(crate) fn minion_table() -> Table {
     Table {
         name: store::MINION_TABLE,
-        has_parts: false,
-        has_all_entries: false,
-        pause: MINIONS_PAUSE,
-        idle_pause: MINIONS_IDLE_PAUSE,
-        wait: FEED_WAIT,
+        has_partitions: false,
+        has_row_per_entry: false,
+        batch_delay: MINION_BATCH_DELAY,
+        idle_batch_delay: MINION_IDLE_BATCH_DELAY,
+        max_wait: MAX_FEED_WAIT,
     }
 }
--- a/crates/scheduler/src/front.rs
+++ b/crates/scheduler/src/front.rs
@@ -6,7 +6,7 @@
 use crate::owner::load::read_progress;
 use crate::peers;
 use crate::rows;
-use crate::submit::{self, Job, Written};
+use crate::submit::{self, Job, WriteOutcome};
 use async_trait::async_trait;
 use celerythread_adapter::configuration::{Queue, Refusal};
 use celerythread_adapter::credential;
@@ -29,13 +29,13 @@
 
 /// Longest wait for one transaction.  The store answers in some 4 ms; an answer that takes
 /// this long is most likely lost, and asking again is harmless.
-const COMMIT_LIMIT: Duration = Duration::from_millis(1400);
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(1400);
 
 /// Longest wait for a read.
-const READ_LIMIT: Duration = Duration::from_millis(700);
+const READ_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Pause before a write that was certainly not done is tried again.
-const RETRY: Duration = Duration::from_millis(120);
+const RETRY_DELAY: Duration = Duration::from_millis(120);
 
 /// The front of an entry.
 pub(crate) struct Front {
@@ -43,16 +43,16 @@
 }
 
 /// Counts a request while it is worked on.
-struct Flying<'a>(&'a Node);
+struct InFlight<'a>(&'a Node);
 
-impl<'a> Flying<'a> {
+impl<'a> InFlight<'a> {
     fn new(node: &'a Node) -> Self {
         node.flying.fetch_add(1, Ordering::SeqCst);
         Self(node)
     }
 }
 
-impl Drop for Flying<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         self.0.flying.fetch_sub(1, Ordering::SeqCst);
     }
@@ -61,11 +61,11 @@
 /// What is known of a caller's request.
 struct Context {
     /// The caller's name for it.
-    request: String,
+    request_id: String,
     /// On whose behalf it is made.
     origin: Origin,
     /// When its answer must be sent.
-    until: Time,
+    deadline: Time,
     began: Time,
 }
 
@@ -74,7 +74,7 @@
     queue: Queue,
     origin: Origin,
     /// What follows the queue's path: a job's id, or nothing.
-    rest: String,
+    subpath: String,
 }
 
 impl Context {
@@ -85,15 +85,15 @@
             .map_or(DEFAULT_DEADLINE, Duration::from_millis);
         let began = clock::now();
         Self {
-            request: request.header(submission::REQUEST_HEADER).unwrap_or("-").into(),
+            request_id: request.header(submission::REQUEST_HEADER).unwrap_or("-").into(),
             origin,
-            until: began + usable(deadline),
+            deadline: began + usable(deadline),
             began,
         }
     }
 
-    fn left(&self) -> Duration {
-        self.until.since(clock::now())
+    fn remaining(&self) -> Duration {
+        self.deadline.since(clock::now())
     }
 }
 
@@ -105,38 +105,38 @@
     fn readiness(&self) -> Response {
         let node = &self.node;
         let ready = node.configuration().is_some() && !node.is_store_away() && !node.is_stopping();
-        answer(if ready { StatusCode::Ok } else { StatusCode::ServiceUnavailable })
+        status_response(if ready { StatusCode::Ok } else { StatusCode::ServiceUnavailable })
     }
 
     async fn route(&self, request: &Request) -> Response {
         if request.path() == submission::READY_PATH {
             return self.readiness();
         }
-        let target = match self.target(&request.head) {
+        let target = match self.resolve_target(&request.head) {
             Ok(target) => target,
             Err(response) => return *response,
         };
         if let Origin::Workspace(_) = target.origin {
-            self.node.in_force.look().await;
+            self.node.in_force.refresh().await;
         }
         // What was in force when the head came may not be any more.
-        let target = match self.target(&request.head) {
+        let target = match self.resolve_target(&request.head) {
             Ok(target) => target,
             Err(response) => return *response,
         };
         let context = Context::new(request, target.origin);
         let queue = &target.queue;
-        if target.rest.is_empty() && request.head.method() == Method::Get {
+        if target.subpath.is_empty() && request.head.method() == Method::Get {
             return self.pending(queue).await;
         }
-        let Ok(id) = target.rest.parse::<Id>() else {
-            return answer(StatusCode::NotFound);
+        let Ok(id) = target.subpath.parse::<Id>() else {
+            return status_response(StatusCode::NotFound);
         };
         match request.head.method() {
             Method::Post => self.submit(&context, queue, id, &request.body).await,
             Method::Get => self.state(&context, queue, id).await,
             Method::Delete => self.cancel(&context, queue, id).await,
-            _ => answer(StatusCode::MethodNotAllowed),
+            _ => status_response(StatusCode::MethodNotAllowed),
         }
     }
 
@@ -144,30 +144,30 @@
     ///
     /// # Errors
     /// The answer to a request that isn't let in.
-    fn target(&self, head: &http_types::Request) -> Result<Target, Box<Response>> {
+    fn resolve_target(&self, head: &http_types::Request) -> Result<Target, Box<Response>> {
         let node = &self.node;
         let Some(configuration) = node.configuration() else {
-            return Err(refuse(DEFAULT_DEADLINE).into());
+            return Err(unavailable_response(DEFAULT_DEADLINE).into());
         };
         let host = last_value(head, "host").unwrap_or_default();
         let path = head.url().path();
         let Some(queue) = configuration.queue(host, path) else {
-            return Err(answer(StatusCode::NotFound).into());
+            return Err(status_response(StatusCode::NotFound).into());
         };
         let values = head.header(credential::HEADER).into_iter().flatten();
         let origin = match configuration.authorize(queue, values.map(HeaderValue::as_str)) {
             Ok(origin) => origin,
-            Err(refusal) => return Err(self.unauthorized(head, queue, &refusal).into()),
+            Err(refusal) => return Err(self.refuse_unauthorized(head, queue, &refusal).into()),
         };
         let strict = node.settings.strict_keys && origin != Origin::Public;
         if strict && node.in_force.age() > node.settings.trust_keys_for.0 {
-            return Err(self.unconfirmed(head, queue).into());
+            return Err(self.refuse_unconfirmed(head, queue).into());
         }
-        let rest = path[queue.path.len()..].to_owned();
-        Ok(Target { queue: queue.clone(), origin, rest })
+        let subpath = path[queue.path.len()..].to_owned();
+        Ok(Target { queue: queue.clone(), origin, subpath })
     }
 
-    fn unauthorized(
+    fn refuse_unauthorized(
         &self,
         head: &http_types::Request,
         queue: &Queue,
@@ -187,21 +187,21 @@
                 ("configuration_age_ms", &age_ms),
             ],
         );
-        let mut response = answer(StatusCode::Unauthorized);
+        let mut response = status_response(StatusCode::Unauthorized);
         let (header, challenge) = credential::CHALLENGE;
         response.insert_header(header, challenge);
         response
     }
 
     /// Refuses a call whose key may have been withdrawn meanwhile.
-    fn unconfirmed(&self, head: &http_types::Request, queue: &Queue) -> Response {
+    fn refuse_unconfirmed(&self, head: &http_types::Request, queue: &Queue) -> Response {
         let request = last_value(head, submission::REQUEST_HEADER).unwrap_or("-");
         let age_ms = self.node.in_force.age().as_millis();
         self.node.journal.note(
             "keys_unconfirmed",
             &[("request", &request), ("queue", &queue.name), ("configuration_age_ms", &age_ms)],
         );
-        refuse(DEFAULT_DEADLINE)
+        unavailable_response(DEFAULT_DEADLINE)
     }
 
     async fn submit(&self, context: &Context, queue: &Queue, id: Id, body: &[u8]) -> Response {
@@ -224,9 +224,9 @@
             origin: context.origin.clone(),
         };
         let row = encode(&accepted);
-        let job = Job { service: &queue.service, id, row: &row, until: context.until };
+        let job = Job { service: &queue.service, id, row: &row, deadline: context.deadline };
         let written = submit::write(node, &job).await;
-        if let Written::Accepted(row) = &written
+        if let WriteOutcome::Accepted(row) = &written
             && !self.may_access(context, id, row)
         {
             return self.reject(
@@ -239,22 +239,26 @@
         let took = clock::now().since(context.began);
         node.metrics.time(Timing::Accept, took);
         let (event, counter, response) = match &written {
-            Written::Accepted(_) => ("job_accepted", Counter::JobsAccepted, accepted_answer()),
-            Written::Refused(_) => ("job_refused", Counter::JobsRefused, refuse(context.left())),
-            Written::Unknown => {
-                ("job_unknown", Counter::JobsUnknown, answer(StatusCode::GatewayTimeout))
+            WriteOutcome::Accepted(_) => {
+                ("job_accepted", Counter::JobsAccepted, accepted_response())
+            }
+            WriteOutcome::Refused(_) => {
+                ("job_refused", Counter::JobsRefused, unavailable_response(context.remaining()))
+            }
+            WriteOutcome::Unknown => {
+                ("job_unknown", Counter::JobsUnknown, status_response(StatusCode::GatewayTimeout))
             }
         };
         node.metrics.count(counter);
         let reason = match &written {
-            Written::Refused(error) => error.to_string(),
+            WriteOutcome::Refused(error) => error.to_string(),
             _ => String::new(),
         };
         node.journal.note(
             event,
             &[
                 ("job", &id),
-                ("request", &context.request),
+                ("request", &context.request_id),
                 ("queue", &queue.name),
                 ("service", &queue.service),
                 ("workspace", &context.origin),
@@ -262,9 +266,9 @@
                 ("reason", &reason),
             ],
         );
-        if let Written::Accepted(row) = written {
+        if let WriteOutcome::Accepted(row) = written {
             let service = queue.service.clone();
-            self.tell_owner(Question::Accepted { service, id, row });
+            self.notify_owner(Question::Accepted { service, id, row });
         }
         response
     }
@@ -290,13 +294,18 @@
         self.node.metrics.count(Counter::JobsRefused);
         self.node.journal.note(
             "job_rejected",
-            &[("job", &id), ("request", &context.request), ("status", &status), ("reason", reason)],
+            &[
+                ("job", &id),
+                ("request", &context.request_id),
+                ("status", &status),
+                ("reason", reason),
+            ],
         );
-        answer(status)
+        status_response(status)
     }
 
     /// Tells the owner without waiting for it: its feed brings the same a little later.
-    fn tell_owner(&self, question: Question) {
+    fn notify_owner(&self, question: Question) {
         let node = self.node.clone();
         if let Some(owner) = node.owner(question.service()) {
             owner.answer(&question);
@@ -315,29 +324,29 @@
         let state = match asked.await {
             Some(Answer::State(Some(state))) => Ok(Some(state)),
             // Nobody can tell now, and whoever asks does so again.
-            _ if self.node.is_store_away() => return refuse(context.left()),
+            _ if self.node.is_store_away() => return unavailable_response(context.remaining()),
             // A job that the owner doesn't know may have been accepted a moment ago.
             _ => self.read_state(context, queue, id).await,
         };
         match state {
             Ok(Some(state)) => {
-                let mut response = answer(StatusCode::Ok);
+                let mut response = status_response(StatusCode::Ok);
                 set_json(&mut response, submission::state_body(state));
                 response
             }
             Ok(None) => {
                 self.node.journal.note(
                     "job_not_found",
-                    &[("job", &id), ("request", &context.request), ("queue", &queue.name)],
+                    &[("job", &id), ("request", &context.request_id), ("queue", &queue.name)],
                 );
-                answer(StatusCode::Gone)
+                status_response(StatusCode::Gone)
             }
             Err(error) => {
                 self.node.journal.warn(
                     "state_unread",
-                    &[("job", &id), ("request", &context.request), ("reason", &error)],
+                    &[("job", &id), ("request", &context.request_id), ("reason", &error)],
                 );
-                refuse(context.left())
+                unavailable_response(context.remaining())
             }
         }
     }
@@ -351,7 +360,7 @@
     ) -> Result<Option<State>, Error> {
         let (node, service) = (&self.node, &queue.service);
         let get = async |name: celerythread_adapter::store::Name| {
-            let row = node.store.get(&name.table, &name.part, &name.key, READ_LIMIT).await;
+            let row = node.store.get(&name.table, &name.part, &name.key, READ_TIMEOUT).await;
             node.store_result(&row);
             row
         };
@@ -368,7 +377,7 @@
             return Ok(Some(State::Cancelled));
         }
         let service = service.clone();
-        self.tell_owner(Question::Accepted { service, id, row: job.value });
+        self.notify_owner(Question::Accepted { service, id, row: job.value });
         Ok(Some(if progress.is_some() { State::Running } else { State::Queued }))
     }
 
@@ -376,12 +385,12 @@
         let node = &self.node;
         let service = &queue.service;
         let name = rows::job(service, &id);
-        let row = node.store.get(&name.table, &name.part, &name.key, READ_LIMIT).await;
+        let row = node.store.get(&name.table, &name.part, &name.key, READ_TIMEOUT).await;
         node.store_result(&row);
         match row {
             Ok(Some(row)) if self.may_access(context, id, &row.value) => {}
-            Ok(_) => return answer(StatusCode::Gone),
-            Err(_) => return refuse(context.left()),
+            Ok(_) => return status_response(StatusCode::Gone),
+            Err(_) => return unavailable_response(context.remaining()),
         }
         let change = Transaction {
             writes: vec![(rows::cancel(service, &id), vec![1])],
@@ -391,7 +400,7 @@
         let written = loop {
             let attempt = Attempt {
                 waited: clock::now().since(began),
-                left: context.left(),
+                left: context.remaining(),
                 silent: node.is_store_away(),
                 has_peers: false,
                 unanswered: true,
@@ -399,21 +408,21 @@
             if attempt.is_over() {
                 break false;
             }
-            if node.commit(&change, COMMIT_LIMIT.min(attempt.write_limit())).await.is_ok() {
+            if node.commit(&change, COMMIT_TIMEOUT.min(attempt.write_limit())).await.is_ok() {
                 break true;
             }
-            async_std::task::sleep(RETRY.min(context.left())).await;
+            async_std::task::sleep(RETRY_DELAY.min(context.remaining())).await;
         };
         node.journal.note(
             "job_cancelled",
-            &[("job", &id), ("request", &context.request), ("written", &written)],
+            &[("job", &id), ("request", &context.request_id), ("written", &written)],
         );
         if !written {
-            return answer(StatusCode::GatewayTimeout);
+            return status_response(StatusCode::GatewayTimeout);
         }
         node.metrics.count(Counter::JobsCancelled);
-        self.tell_owner(Question::Cancelled { service: service.clone(), id });
-        answer(StatusCode::Ok)
+        self.notify_owner(Question::Cancelled { service: service.clone(), id });
+        status_response(StatusCode::Ok)
     }
 
     async fn pending(&self, queue: &Queue) -> Response {
@@ -421,11 +430,11 @@
             Question::Pending { service: queue.service.clone(), queue: queue.name.clone() };
         match peers::ask_owner(&self.node, &queue.service, question).await {
             Some(Answer::Pending(pending)) => {
-                let mut response = answer(StatusCode::Ok);
+                let mut response = status_response(StatusCode::Ok);
                 set_json(&mut response, submission::pending_body(pending as usize));
                 response
             }
-            _ => refuse(DEFAULT_DEADLINE),
+            _ => unavailable_response(DEFAULT_DEADLINE),
         }
     }
 }
@@ -436,11 +445,11 @@
         if head.url().path() == submission::READY_PATH {
             return None;
         }
-        self.target(head).err().map(|response| *response)
+        self.resolve_target(head).err().map(|response| *response)
     }
 
     async fn handle(&self, request: Request) -> Response {
-        let _flying = Flying::new(&self.node);
+        let _in_flight = InFlight::new(&self.node);
         self.route(&request).await
     }
 
@@ -452,7 +461,7 @@
             Fault::Timeout { .. } => StatusCode::RequestTimeout,
             _ => StatusCode::BadRequest,
         };
-        answer(status)
+        status_response(status)
     }
 }
 
@@ -460,21 +469,21 @@
     head.header(name).map(|values| values.last().as_str())
 }
 
-fn answer(status: StatusCode) -> Response {
+fn status_response(status: StatusCode) -> Response {
     Response::new(status)
 }
 
-fn accepted_answer() -> Response {
-    let mut response = answer(StatusCode::Ok);
+fn accepted_response() -> Response {
+    let mut response = status_response(StatusCode::Ok);
     set_json(&mut response, b"{}".to_vec());
     response
 }
 
 /// A refusal: whatever was asked was not done and won't be.  Its caller has so much time left to come
 /// back.
-fn refuse(left: Duration) -> Response {
-    let mut response = answer(StatusCode::ServiceUnavailable);
-    response.insert_header("retry-after", retry_after_s(left).to_string());
+fn unavailable_response(remaining: Duration) -> Response {
+    let mut response = status_response(StatusCode::ServiceUnavailable);
+    response.insert_header("retry-after", retry_after_s(remaining).to_string());
     response
 }
 
--- a/crates/scheduler/src/in_force.rs
+++ b/crates/scheduler/src/in_force.rs
@@ -17,21 +17,21 @@
 use std::time::Duration;
 
 /// Age from which on a peer is asked: the feed's longest wait, and the time that its answer may take.
-const ASK_AFTER: Duration = Duration::from_millis(1500);
+const PEER_QUERY_AGE: Duration = Duration::from_millis(1500);
 
 /// Time between two questions to peers, at the least and while they know nothing newer.
-const ASK_INTERVAL: Duration = Duration::from_millis(400);
+const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(400);
 /// See [`ASK_INTERVAL`].
-const ASK_INTERVAL_MOST: Duration = Duration::from_millis(1600);
+const MAX_PEER_QUERY_INTERVAL: Duration = Duration::from_millis(1600);
 
 /// Age from which on a call with a key waits for a new look, as after a cut or a freeze.
-const TRUST: Duration = Duration::from_millis(3000);
+const MAX_TRUSTED_AGE: Duration = Duration::from_millis(3000);
 
 /// Longest wait of a call for that look.
-const LOOK_LIMIT: Duration = Duration::from_millis(250);
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Time between two polls of a call that waits.
-const LOOK_POLL: Duration = Duration::from_millis(10);
+const REFRESH_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The newest configuration known here.
 #[derive(Clone)]
@@ -43,17 +43,17 @@
 
 /// The configuration in force here.
 #[derive(Default)]
-pub(crate) struct InForce {
+pub(crate) struct ConfigurationInForce {
     current: RwLock<Option<Current>>,
     /// When it was last certain to be the newest one.
-    confirmed: Mutex<Time>,
+    confirmed_at: Mutex<Time>,
     /// When a call last waited for a new look.
-    looked: Mutex<Time>,
+    refresh_timed_out_at: Mutex<Time>,
     /// Woken when a peer is to be asked at once.
-    asking: Wake,
+    query_wake: Wake,
 }
 
-impl InForce {
+impl ConfigurationInForce {
     /// The configuration; none before the first was read.
     pub(crate) fn get(&self) -> Option<Arc<Configuration>> {
         self.current.read().as_ref().map(|current| current.configuration.clone())
@@ -64,7 +64,7 @@
     }
 
     /// The body, if its version is higher than `version`.
-    fn newer(&self, version: u64) -> Option<Arc<[u8]>> {
+    fn body_newer_than(&self, version: u64) -> Option<Arc<[u8]>> {
         let current = self.current.read();
         let newer = current.as_ref().filter(|current| current.configuration.version > version);
         newer.map(|current| current.body.clone())
@@ -83,35 +83,37 @@
 
     /// Notes that it was certain to be the newest one at a moment.
     pub(crate) fn confirm(&self, at: Time) {
-        let mut confirmed = self.confirmed.lock();
-        *confirmed = at.max(*confirmed);
+        let mut confirmed_at = self.confirmed_at.lock();
+        *confirmed_at = at.max(*confirmed_at);
     }
 
     /// Time since it was last certain to be the newest one.
     pub(crate) fn age(&self) -> Duration {
-        clock::now().since(*self.confirmed.lock())
+        clock::now().since(*self.confirmed_at.lock())
     }
 
     /// Waits a little for a new look if the last one is long ago.  Once a while only: while nobody can tell, calls
     /// aren't held up one after the other.
-    pub(crate) async fn look(&self) {
+    pub(crate) async fn refresh(&self) {
         let began = clock::now();
-        if self.age() <= TRUST || began.since(*self.looked.lock()) < TRUST {
+        if self.age() <= MAX_TRUSTED_AGE
+            || began.since(*self.refresh_timed_out_at.lock()) < MAX_TRUSTED_AGE
+        {
             return;
         }
-        self.asking.wake();
-        while self.age() > TRUST {
-            if clock::now().since(began) >= LOOK_LIMIT {
-                *self.looked.lock() = clock::now();
+        self.query_wake.wake();
+        while self.age() > MAX_TRUSTED_AGE {
+            if clock::now().since(began) >= REFRESH_TIMEOUT {
+                *self.refresh_timed_out_at.lock() = clock::now();
                 return;
             }
-            async_std::task::sleep(LOOK_POLL).await;
+            async_std::task::sleep(REFRESH_POLL_INTERVAL).await;
         }
     }
 }
 
 /// Takes in a configuration as operators wrote it, unless it is no newer than the one in force.
-pub(crate) fn take(node: &Node, body: &[u8], source: &dyn std::fmt::Display) {
+pub(crate) fn apply(node: &Node, body: &[u8], source: &dyn std::fmt::Display) {
     let read = match Configuration::decode(body) {
         Ok(read) => Arc::new(read),
         Err(error) => {
@@ -142,41 +144,41 @@
 }
 
 /// Tells a peer what is known here.
-pub(crate) fn answer(node: &Node, version: u64) -> Answer {
+pub(crate) fn answer_peer(node: &Node, version: u64) -> Answer {
     let age_ms = u32::try_from(node.in_force.age().as_millis()).unwrap_or(u32::MAX);
-    let body = node.in_force.newer(version).map(|body| body.to_vec());
+    let body = node.in_force.body_newer_than(version).map(|body| body.to_vec());
     Answer::Configuration { version: node.in_force.version(), age_ms, body }
 }
 
 /// Asks peers whenever the store hasn't confirmed the configuration for long, until the node stops.
-pub(crate) async fn ask_forever(node: Arc<Node>) {
+pub(crate) async fn query_peers_forever(node: Arc<Node>) {
     let mut peer = None;
-    let mut interval = ASK_INTERVAL;
+    let mut interval = PEER_QUERY_INTERVAL;
     loop {
         use stop_token::future::FutureExt;
-        if node.in_force.asking.wait(interval).timeout_at(node.stop.clone()).await.is_err() {
+        if node.in_force.query_wake.wait(interval).timeout_at(node.stop.clone()).await.is_err() {
             return;
         }
-        if node.in_force.age() < ASK_AFTER && !node.may_store_be_away() {
-            (peer, interval) = (None, ASK_INTERVAL);
+        if node.in_force.age() < PEER_QUERY_AGE && !node.may_store_be_away() {
+            (peer, interval) = (None, PEER_QUERY_INTERVAL);
             continue;
         }
-        let Some(asked) = peer.take().or_else(|| choose(&node)) else { continue };
-        if ask(&node, asked).await {
-            (peer, interval) = (Some(asked), ASK_INTERVAL);
+        let Some(asked) = peer.take().or_else(|| choose_peer(&node)) else { continue };
+        if query_peer(&node, asked).await {
+            (peer, interval) = (Some(asked), PEER_QUERY_INTERVAL);
         } else {
-            interval = (interval * 2).min(ASK_INTERVAL_MOST);
+            interval = (interval * 2).min(MAX_PEER_QUERY_INTERVAL);
         }
     }
 }
 
 /// Asks one peer; true if it knew as much or more, and later.
-async fn ask(node: &Node, peer: SocketAddr) -> bool {
+async fn query_peer(node: &Node, peer: SocketAddr) -> bool {
     let (version, age, asked) = (node.in_force.version(), node.in_force.age(), clock::now());
     let answer = node.peers.ask(peer, Question::Configuration { version }).await;
     let Ok(Answer::Configuration { version: theirs, age_ms, body }) = answer else { return false };
     if let Some(body) = body {
-        take(node, &body, &peer);
+        apply(node, &body, &peer);
     }
     let their_age = Duration::from_millis(age_ms.into());
     if theirs < version || their_age >= age {
@@ -187,7 +189,7 @@
 }
 
 /// A peer to ask: one with a link that is open already, if there is one.
-fn choose(node: &Node) -> Option<SocketAddr> {
+fn choose_peer(node: &Node) -> Option<SocketAddr> {
     let view = node.view.read();
     let others = || {
         let rows = view.entry_rows.iter().filter(|(id, row)| **id != node.me && !row.stopping);
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -47,11 +47,11 @@
 pub(crate) fn control_table() -> Table {
     Table {
         name: rows::CONTROL,
-        has_parts: true,
-        has_all_entries: true,
-        pause: CONTROL_PAUSE,
-        idle_pause: CONTROL_PAUSE,
-        wait: CONTROL_WAIT,
+        has_partitions: true,
+        has_row_per_entry: true,
+        batch_delay: CONTROL_PAUSE,
+        idle_batch_delay: CONTROL_PAUSE,
+        max_wait: CONTROL_WAIT,
     }
 }
 
--- a/crates/scheduler/src/membership/control.rs
+++ b/crates/scheduler/src/membership/control.rs
@@ -73,7 +73,7 @@
 }
 
 impl Sink for Control {
-    fn answered(&self) {
+    fn read_answered(&self) {
         self.0.view.write().note_read(clock::now());
     }
 
@@ -94,7 +94,7 @@
         *view = fresh;
     }
 
-    fn change(&self, rows: Vec<Row>) {
+    fn apply_changes(&self, rows: Vec<Row>) {
         let mut view = self.0.view.write();
         rows.iter().for_each(|row| self.take(&mut view, row));
         drop(view);
--- a/crates/scheduler/src/metrics.rs
+++ b/crates/scheduler/src/metrics.rs
@@ -76,7 +76,7 @@
 }
 
 /// Largest time that is told apart: two minutes.
-const LARGEST_MS: u64 = 120_000;
+const MAX_RECORDED_MS: u64 = 120_000;
 
 /// All figures of a process.
 pub struct Metrics {
@@ -87,7 +87,9 @@
 impl Default for Metrics {
     fn default() -> Self {
         let histogram = || {
-            Mutex::new(Histogram::new_with_bounds(1, LARGEST_MS, 2).expect("fixed, valid bounds"))
+            Mutex::new(
+                Histogram::new_with_bounds(1, MAX_RECORDED_MS, 2).expect("fixed, valid bounds"),
+            )
         };
         Self {
             counters: (0..Counter::COUNT).map(|_| AtomicU64::new(0)).collect(),
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -7,7 +7,7 @@
 //! await.
 
 use crate::clock;
-use crate::in_force::InForce;
+use crate::in_force::ConfigurationInForce;
 use crate::journal::Journal;
 use crate::metrics::{Counter, Metrics};
 use crate::owner::Owner;
@@ -132,7 +132,7 @@
     /// The advice service, and the lock that keeps its calls one at a time.
     pub(crate) advice: Option<async_std::sync::Mutex<advice::Client>>,
     /// The configuration in force here.
-    pub(crate) in_force: InForce,
+    pub(crate) in_force: ConfigurationInForce,
     /// What entries agree on.
     pub(crate) view: RwLock<View>,
     /// Minions as the platform lists them.
@@ -180,7 +180,7 @@
             minion_client: minion::Client::new(caller.clone()),
             machines,
             settings,
-            in_force: InForce::default(),
+            in_force: ConfigurationInForce::default(),
             view: RwLock::default(),
             minions: RwLock::default(),
             waves: RwLock::default(),
--- a/crates/scheduler/src/owner.rs
+++ b/crates/scheduler/src/owner.rs
@@ -284,7 +284,7 @@
 /// Starts working on a cell that this entry holds.
 pub(crate) fn start(owner: Arc<Owner>) {
     if owner.service == rows::FLEET_CELL {
-        async_std::task::spawn(fleet::carry(owner));
+        async_std::task::spawn(fleet::run(owner));
     } else {
         async_std::task::spawn(run(owner));
     }
--- a/crates/scheduler/src/owner/load.rs
+++ b/crates/scheduler/src/owner/load.rs
@@ -200,7 +200,7 @@
     let list = fleet::list::fetch(node, client).await.filter(|list| list.unreadable == 0);
     let Some(list) = list else { return (Vec::new(), 0) };
     let machines: BTreeMap<String, Machine> =
-        list.machines.iter().map(fleet::maintenance::seen).collect();
+        list.machines.iter().map(fleet::maintenance::machine_view).collect();
     let inherited: Vec<Arc<str>> = owner.roster.lock().iter().cloned().collect();
     let view = node.view.read();
     let minions = node.minions.read();
@@ -268,10 +268,10 @@
 
 impl Sink for Jobs {
     fn replace(&self, rows: Vec<Row>, _: u64) {
-        self.change(rows);
+        self.apply_changes(rows);
     }
 
-    fn change(&self, rows: Vec<Row>) {
+    fn apply_changes(&self, rows: Vec<Row>) {
         let owner = &self.0;
         let shards = rows::shards(&owner.service);
         for row in rows.iter().filter(|row| row.part.starts_with(&shards) && !row.dropped) {
@@ -290,11 +290,11 @@
     use stop_token::future::FutureExt;
     let table = Table {
         name: rows::JOBS,
-        has_parts: true,
-        has_all_entries: false,
-        pause: JOBS_PAUSE,
-        idle_pause: JOBS_PAUSE,
-        wait: follow::FEED_WAIT,
+        has_partitions: true,
+        has_row_per_entry: false,
+        batch_delay: JOBS_PAUSE,
+        idle_batch_delay: JOBS_PAUSE,
+        max_wait: follow::MAX_FEED_WAIT,
     };
     let sink = Jobs(owner.clone());
     let mut version = version;
--- a/crates/scheduler/src/owner/quota.rs
+++ b/crates/scheduler/src/owner/quota.rs
@@ -31,11 +31,11 @@
     }
     let table = Table {
         name: rows::SPLITS,
-        has_parts: false,
-        has_all_entries: false,
-        pause: FEED_PAUSE,
-        idle_pause: FEED_PAUSE,
-        wait: follow::FEED_WAIT,
+        has_partitions: false,
+        has_row_per_entry: false,
+        batch_delay: FEED_PAUSE,
+        idle_batch_delay: FEED_PAUSE,
+        max_wait: follow::MAX_FEED_WAIT,
     };
     let sink = Arc::new(Splits(owner.clone()));
     let following = follow::follow(owner.node.clone(), table, sink);
@@ -51,11 +51,11 @@
         take(&self.0, &rows);
     }
 
-    fn change(&self, rows: Vec<Row>) {
+    fn apply_changes(&self, rows: Vec<Row>) {
         take(&self.0, &rows);
     }
 
-    fn taken(&self) {
+    fn read_applied(&self) {
         self.0.with(|cell| cell.confirm_splits(clock::now()));
     }
 }
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -7,7 +7,7 @@
 use crate::in_force;
 use crate::metrics::Counter;
 use crate::node::Node;
-use crate::submit::{self, Written};
+use crate::submit::{self, WriteOutcome};
 use async_std::future::timeout;
 use celerythread_engine::job::Id;
 use celerythread_wire::job::{Answer, Question, Submission};
@@ -215,11 +215,11 @@
         return Answer::Submitted(Submission::Refused);
     }
     let until = clock::now() + SUBMIT_LIMIT;
-    let job = submit::Job { service, id, row, until };
-    Answer::Submitted(match submit::write_here(node, &job, SUBMIT_LIMIT).await {
-        Written::Accepted(row) => Submission::Accepted { row },
-        Written::Refused(_) => Submission::Refused,
-        Written::Unknown => Submission::Unknown,
+    let job = submit::Job { service, id, row, deadline: until };
+    Answer::Submitted(match submit::write_directly(node, &job, SUBMIT_LIMIT).await {
+        WriteOutcome::Accepted(row) => Submission::Accepted { row },
+        WriteOutcome::Refused(_) => Submission::Refused,
+        WriteOutcome::Unknown => Submission::Unknown,
     })
 }
 
@@ -245,7 +245,7 @@
     let Ok(Frame::JobQuestion(question)) = channel.receive().await else { return };
     let answer = match &question {
         Question::Submit { service, id, row } => submit(&node, service, *id, row).await,
-        Question::Configuration { version } => in_force::answer(&node, *version),
+        Question::Configuration { version } => in_force::answer_peer(&node, *version),
         _ => node
             .owner(question.service())
             .and_then(|owner| owner.answer(&question))
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -109,44 +109,44 @@
     /// Every mistake at once.
     pub fn read(text: &str) -> Result<Self, Vec<Mistake>> {
         Reader::read_whole(text, &SECTIONS, |reader| {
-            let settings = Self::take(reader);
+            let settings = Self::read_keys(reader);
             settings.check(reader);
             settings
         })
     }
 
-    fn take(reader: &mut Reader) -> Self {
-        let base = Settings::default();
-        let caller_listen = reader.required("caller", "listen").unwrap_or(base.caller_listen);
+    fn read_keys(reader: &mut Reader) -> Self {
+        let defaults = Settings::default();
+        let caller_listen = reader.required("caller", "listen").unwrap_or(defaults.caller_listen);
         Settings {
-            name: reader.required("instance", "name").unwrap_or(base.name),
-            zone: reader.required("instance", "zone").unwrap_or(base.zone),
-            cores: reader.value("instance", "cores", base.cores),
+            name: reader.required("instance", "name").unwrap_or(defaults.name),
+            zone: reader.required("instance", "zone").unwrap_or(defaults.zone),
+            cores: reader.value("instance", "cores", defaults.cores),
             caller_listen,
             ready_listen: reader.value("caller", "ready_listen", caller_listen),
-            body_limit: reader.value("caller", "body_limit", base.body_limit),
-            strict_keys: reader.value("caller", "strict_keys", base.strict_keys),
-            trust_keys_for: reader.value("caller", "trust_keys_for", base.trust_keys_for),
-            peer_listen: reader.required("peer", "listen").unwrap_or(base.peer_listen),
-            renew: reader.value("peer", "renew", base.renew),
-            takeover_after: reader.value("peer", "takeover_after", base.takeover_after),
+            body_limit: reader.value("caller", "body_limit", defaults.body_limit),
+            strict_keys: reader.value("caller", "strict_keys", defaults.strict_keys),
+            trust_keys_for: reader.value("caller", "trust_keys_for", defaults.trust_keys_for),
+            peer_listen: reader.required("peer", "listen").unwrap_or(defaults.peer_listen),
+            renew: reader.value("peer", "renew", defaults.renew),
+            takeover_after: reader.value("peer", "takeover_after", defaults.takeover_after),
             metrics_listen: reader.optional("metrics", "listen"),
-            store: reader.required("platform", "store").unwrap_or(base.store),
+            store: reader.required("platform", "store").unwrap_or(defaults.store),
             machines: reader.optional("platform", "machines"),
             advice: reader.optional("platform", "advice"),
-            retention: reader.value("platform", "retention", base.retention),
-            run_lease: reader.value("run", "lease", base.run_lease),
-            lease_limit: reader.value("run", "lease_limit", base.lease_limit),
-            extend_alone: reader.value("run", "extend_alone", base.extend_alone),
-            stop_timeout: reader.value("run", "stop_timeout", base.stop_timeout),
-            maintenance_lease: reader.value("maintenance", "lease", base.maintenance_lease),
+            retention: reader.value("platform", "retention", defaults.retention),
+            run_lease: reader.value("run", "lease", defaults.run_lease),
+            lease_limit: reader.value("run", "lease_limit", defaults.lease_limit),
+            extend_alone: reader.value("run", "extend_alone", defaults.extend_alone),
+            stop_timeout: reader.value("run", "stop_timeout", defaults.stop_timeout),
+            maintenance_lease: reader.value("maintenance", "lease", defaults.maintenance_lease),
             maintenance_duration: {
-                let seconds = base.maintenance_duration.0.as_secs_f64();
+                let seconds = defaults.maintenance_duration.0.as_secs_f64();
                 let seconds: f64 = reader.value("maintenance", "duration_s", seconds);
                 Span::millis((seconds.max(0.0) * 1000.0) as u64)
             },
-            orders_per_s: reader.value("maintenance", "orders_per_s", base.orders_per_s),
-            stop_bound: reader.value("stop", "bound", base.stop_bound),
+            orders_per_s: reader.value("maintenance", "orders_per_s", defaults.orders_per_s),
+            stop_bound: reader.value("stop", "bound", defaults.stop_bound),
         }
     }
 
--- a/crates/scheduler/src/status.rs
+++ b/crates/scheduler/src/status.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Longest wait for one read: a store that is a hundred times slower answers in 0.4 s.
-const READ_LIMIT: Duration = Duration::from_millis(2000);
+const READ_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// All that is agreed on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -117,13 +117,13 @@
 /// When the store doesn't answer.
 pub async fn read(address: SocketAddr) -> Result<Status, Error> {
     let store = store::Client::new(Service::new(Arc::new(Caller::default()), address));
-    let page = store.whole(rows::CONTROL, "", READ_LIMIT).await?;
+    let page = store.whole(rows::CONTROL, "", READ_TIMEOUT).await?;
     let mut status = Status { version: page.version, ..Status::default() };
-    let fleet = store.all(rows::FLEET, "", "", READ_LIMIT).await?;
+    let fleet = store.all(rows::FLEET, "", "", READ_TIMEOUT).await?;
     // In the order of their keys machines whose maintenance has begun come before their waves.
-    page.rows.iter().chain(fleet.rows.iter().rev()).for_each(|row| status.take(row));
-    let splits = store.all(rows::SPLITS, "", "", READ_LIMIT).await?;
-    splits.rows.iter().for_each(|row| status.take_split(row));
+    page.rows.iter().chain(fleet.rows.iter().rev()).for_each(|row| status.add_row(row));
+    let splits = store.all(rows::SPLITS, "", "", READ_TIMEOUT).await?;
+    splits.rows.iter().for_each(|row| status.add_split(row));
     let ids: Vec<String> = status.entries.iter().map(|entry| entry.id.clone()).collect();
     for cell in &mut status.cells {
         cell.holder_is_there = ids.contains(&cell.holder);
@@ -132,7 +132,7 @@
 }
 
 impl Status {
-    fn take(&mut self, row: &Row) {
+    fn add_row(&mut self, row: &Row) {
         let key = row.key.as_str();
         let readable = if let Some(id) = key.strip_prefix(rows::ENTRY_PREFIX) {
             decode(&row.value).map(|entry| self.entries.push(Entry::new(id, &entry)))
@@ -162,7 +162,7 @@
 }
 
 impl Status {
-    fn take_split(&mut self, row: &Row) {
+    fn add_split(&mut self, row: &Row) {
         let split: Split = match decode(&row.value) {
             Ok(split) => split,
             Err(_) => {
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -15,19 +15,19 @@
 use std::time::Duration;
 
 /// Pause before a write that was certainly not done is tried again.
-const RETRY: Duration = Duration::from_millis(120);
+const RETRY_DELAY: Duration = Duration::from_millis(120);
 
 /// Pause before it is looked again whether a store that is away is back: without a call, since what
 /// follows the store's tables finds that out.
-const LOOK: Duration = Duration::from_millis(30);
+const STORE_POLL_INTERVAL: Duration = Duration::from_millis(30);
 
 /// Peers through which a submission is tried when the store turns this entry away: it may
 /// serve all others meanwhile.
-const PEERS: usize = 2;
+const MAX_RELAY_PEERS: usize = 2;
 
 /// What became of writing a job.
 #[derive(Debug)]
-pub(crate) enum Written {
+pub(crate) enum WriteOutcome {
     /// It is there, by this request or an earlier one; with the row as it is stored.
     ///
     /// An earlier request of the same id may have had another content, and that is the job.  An
@@ -48,7 +48,7 @@
     /// Its row.
     pub(crate) row: &'a [u8],
     /// When its caller must be answered.
-    pub(crate) until: Time,
+    pub(crate) deadline: Time,
 }
 
 /// Writes a job's row on condition that there is none.
@@ -60,54 +60,55 @@
 ///
 /// To a store that is away nothing is written: of such a write nobody knows whether it will be carried
 /// out, and its caller could not be told to come back.
-pub(crate) async fn write(node: &Node, job: &Job<'_>) -> Written {
+pub(crate) async fn write(node: &Node, job: &Job<'_>) -> WriteOutcome {
     let began = clock::now();
     let mut unanswered = false;
     let mut refusal = Error::Refused { reason: "the caller's time is over".into() };
-    let mut peers = peers(node).into_iter();
+    let mut peers = choose_peers(node).into_iter();
     loop {
         let attempt = Attempt {
             waited: clock::now().since(began),
-            left: job.until.since(clock::now()),
+            left: job.deadline.since(clock::now()),
             silent: node.is_store_away(),
             has_peers: peers.len() > 0,
             unanswered,
         };
         if attempt.is_over() {
-            return if unanswered { Written::Unknown } else { Written::Refused(refusal) };
+            return if unanswered { WriteOutcome::Unknown } else { WriteOutcome::Refused(refusal) };
         }
         // What the store's silence here would cost is saved by asking the peers first.
         let peer = if attempt.silent { peers.next() } else { None };
-        let tried = match peer {
-            Some(peer) => write_there(node, peer, job).await,
+        let outcome = match peer {
+            Some(peer) => write_through_peer(node, peer, job).await,
             None if attempt.silent => {
                 refusal = Error::Refused { reason: "the store is away".into() };
-                async_std::task::sleep(LOOK.min(job.until.since(clock::now()))).await;
+                async_std::task::sleep(STORE_POLL_INTERVAL.min(job.deadline.since(clock::now())))
+                    .await;
                 continue;
             }
-            None => write_here(node, job, attempt.write_limit()).await,
+            None => write_directly(node, job, attempt.write_limit()).await,
         };
-        match tried {
-            Written::Accepted(_) => return tried,
-            Written::Unknown => unanswered = true,
-            Written::Refused(error) => refusal = error,
+        match outcome {
+            WriteOutcome::Accepted(_) => return outcome,
+            WriteOutcome::Unknown => unanswered = true,
+            WriteOutcome::Refused(error) => refusal = error,
         }
         if peer.is_some() {
             continue;
         }
         if let Some(peer) = peers.next() {
-            match write_there(node, peer, job).await {
-                written @ Written::Accepted(_) => return written,
-                Written::Unknown => unanswered = true,
-                Written::Refused(_) => {}
+            match write_through_peer(node, peer, job).await {
+                written @ WriteOutcome::Accepted(_) => return written,
+                WriteOutcome::Unknown => unanswered = true,
+                WriteOutcome::Refused(_) => {}
             }
         }
-        async_std::task::sleep(RETRY.min(job.until.since(clock::now()))).await;
+        async_std::task::sleep(RETRY_DELAY.min(job.deadline.since(clock::now()))).await;
     }
 }
 
 /// Tries once through this entry's own way to the store.
-pub(crate) async fn write_here(node: &Node, job: &Job<'_>, limit: Duration) -> Written {
+pub(crate) async fn write_directly(node: &Node, job: &Job<'_>, limit: Duration) -> WriteOutcome {
     let name = rows::job(job.service, &job.id);
     let change = Transaction {
         conditions: vec![(name.clone(), 0)],
@@ -115,42 +116,42 @@
         ..Transaction::default()
     };
     match confirm::commit(node, &change, limit, &name, |_| true).await {
-        Ok(Confirmed::Answered) => Written::Accepted(job.row.to_vec()),
-        Ok(Confirmed::Found(stored)) => Written::Accepted(stored.value),
+        Ok(Confirmed::Answered) => WriteOutcome::Accepted(job.row.to_vec()),
+        Ok(Confirmed::Found(stored)) => WriteOutcome::Accepted(stored.value),
         Err(Error::Conflict { rows }) => match rows.into_iter().find(|row| !row.value.is_empty()) {
-            Some(stored) => Written::Accepted(stored.value),
-            None => Written::Unknown,
+            Some(stored) => WriteOutcome::Accepted(stored.value),
+            None => WriteOutcome::Unknown,
         },
-        Err(error @ Error::Refused { .. }) => Written::Refused(error),
-        Err(_) => Written::Unknown,
+        Err(error @ Error::Refused { .. }) => WriteOutcome::Refused(error),
+        Err(_) => WriteOutcome::Unknown,
     }
 }
 
 /// Tries once through a peer.
-async fn write_there(node: &Node, peer: SocketAddr, job: &Job<'_>) -> Written {
+async fn write_through_peer(node: &Node, peer: SocketAddr, job: &Job<'_>) -> WriteOutcome {
     let question =
         Question::Submit { service: job.service.into(), id: job.id, row: job.row.to_vec() };
     let (outcome, written) = match node.peers.ask(peer, question).await {
         Ok(Answer::Submitted(Submission::Accepted { row })) => {
-            ("accepted".to_owned(), Written::Accepted(row))
+            ("accepted".to_owned(), WriteOutcome::Accepted(row))
         }
-        Ok(Answer::Submitted(Submission::Refused)) => ("refused".to_owned(), refused_there()),
-        Ok(_) => ("unknown".to_owned(), Written::Unknown),
-        Err(silence @ Silence::NotAsked) => (silence.to_string(), refused_there()),
-        Err(silence @ Silence::Unanswered) => (silence.to_string(), Written::Unknown),
+        Ok(Answer::Submitted(Submission::Refused)) => ("refused".to_owned(), refused_by_peer()),
+        Ok(_) => ("unknown".to_owned(), WriteOutcome::Unknown),
+        Err(silence @ Silence::NotAsked) => (silence.to_string(), refused_by_peer()),
+        Err(silence @ Silence::Unanswered) => (silence.to_string(), WriteOutcome::Unknown),
     };
     node.journal.note("job_relayed", &[("job", &job.id), ("peer", &peer), ("outcome", &outcome)]);
     written
 }
 
-fn refused_there() -> Written {
-    Written::Refused(Error::Refused { reason: "not written through a peer".into() })
+fn refused_by_peer() -> WriteOutcome {
+    WriteOutcome::Refused(Error::Refused { reason: "not written through a peer".into() })
 }
 
 /// Some other entries, at random, so that one that is turned away itself isn't asked each time.
-fn peers(node: &Node) -> Vec<SocketAddr> {
+fn choose_peers(node: &Node) -> Vec<SocketAddr> {
     let view = node.view.read();
     let others = view.entry_rows.iter().filter(|(id, row)| **id != node.me && !row.stopping);
     let awake = others.map(|(_, row)| row.peer).filter(|peer| !node.peers.is_resting(*peer));
-    awake.choose_multiple(&mut rand::rng(), PEERS)
+    awake.choose_multiple(&mut rand::rng(), MAX_RELAY_PEERS)
 }
--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -424,7 +424,7 @@
             ("what is no turn hides none", "engine::pools::turns", "a_single_large_job_is_no_turn"),
             (
                 "the rows of any number of machines are dropped",
-                "scheduler::fleet::emptying::drop_each",
+                "scheduler::fleet::emptying::drop_in_chunks",
                 "any_number_of_machines_is_released",
             ),
             (
