--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -320,7 +320,7 @@
         name: "On the platform: keys and limits of workspaces hold",
         cells: &[
             ("no key, unknown, malformed, doubled", &["a_call_without_a_valid_key_is_refused"]),
-            ("another workspace's job", &["a_job_is_its_workspaces_alone"]),
+            ("another workspace's job", &["a_job_is_accessible_only_to_its_workspace"]),
             (
                 "keys withdrawn; entry restarted",
                 &["a_withdrawn_key_is_refused_everywhere_and_its_jobs_go_on"],
@@ -328,8 +328,8 @@
             (
                 "store turns an entry away; entry cut off from all",
                 &[
-                    "an_entry_that_the_store_turns_away_learns_of_keys_from_its_peers",
-                    "an_entry_cut_off_from_all_refuses_keys_only_where_it_must",
+                    "an_entry_cut_off_from_the_store_learns_of_keys_from_its_peers",
+                    "an_isolated_entry_refuses_keys_only_with_strict_keys",
                 ],
             ),
             (
@@ -382,7 +382,7 @@
         name: "On the platform: budgets hold through waves, moves and shared minions",
         cells: &[
             ("a wave under load", &["a_wave_is_completed_without_ending_what_runs"]),
-            ("the carrier of a wave killed", &["a_wave_survives_its_carrier"]),
+            ("the carrier of a wave killed", &["a_wave_continues_after_its_controller_is_killed"]),
             ("a wave while the store or the interface is away", NOT),
         ],
         guards: &[
@@ -504,7 +504,7 @@
         cells: &[
             (
                 "the holder of the fleet's duty is killed within a wave",
-                &["a_wave_survives_its_carrier"],
+                &["a_wave_continues_after_its_controller_is_killed"],
             ),
             ("the store away within a wave", &["a_wave_that_falls_behind_catches_up"]),
             ("the holder lost, or an answer of its lost, at each other of its calls", NOT),
--- a/tests/all/site.rs
+++ b/tests/all/site.rs
@@ -24,7 +24,7 @@
 use std::time::{Duration, Instant};
 
 /// Longest wait for anything that must come.
-const PATIENCE: Duration = Duration::from_secs(40);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Everything faster than in production, in the same proportions.
 const SETTINGS: &str = "
@@ -106,7 +106,7 @@
     }
 
     /// Whether it has noted an event.
-    pub(crate) fn noted(&self, event: &str) -> bool {
+    pub(crate) fn has_logged(&self, event: &str) -> bool {
         let event = format!("\"message\":\"{event}\"");
         self.lines.lock().unwrap().iter().any(|line| line.contains(&event))
     }
@@ -170,7 +170,7 @@
     }
 
     /// Waits until a job has a state.
-    pub(crate) async fn until(&self, entry: usize, id: &str, wanted: &str) {
+    pub(crate) async fn wait_for_state(&self, entry: usize, id: &str, wanted: &str) {
         let what = format!("job {id} is {wanted}");
         eventually(&what, async || (self.state(entry, id).await? == wanted).then_some(())).await;
     }
@@ -217,13 +217,13 @@
 }
 
 /// Waits for something that must come.
-pub(crate) async fn eventually<T>(what: &str, mut look: impl AsyncFnMut() -> Option<T>) -> T {
+pub(crate) async fn eventually<T>(what: &str, mut poll: impl AsyncFnMut() -> Option<T>) -> T {
     let began = Instant::now();
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = poll().await {
             return found;
         }
-        assert!(began.elapsed() < PATIENCE, "waited {PATIENCE:?} in vain: {what}");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "waited {WAIT_TIMEOUT:?} in vain: {what}");
         task::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tests/all/site/explain.rs
+++ b/tests/all/site/explain.rs
@@ -17,11 +17,11 @@
 }
 
 /// Waits until the cause told of a job contains all words.
-pub(super) async fn cause(deployment: &Deployment, job: &str, words: &[&str]) {
-    let mut told = String::new();
+pub(super) async fn wait_for_cause(deployment: &Deployment, job: &str, words: &[&str]) {
+    let mut explanation = String::new();
     eventually(&format!("the cause names {words:?}"), async || {
-        told = Story::tell(job, &lines(deployment)).cause();
-        words.iter().all(|word| told.contains(word)).then_some(())
+        explanation = Story::tell(job, &lines(deployment)).cause();
+        words.iter().all(|word| explanation.contains(word)).then_some(())
     })
     .await;
 }
@@ -29,7 +29,7 @@
 /// Guards against a held job that is explained by a lack of room: its owner noted the limit a millisecond before the
 /// entry that accepted it noted that.
 #[test]
-fn a_held_job_is_explained_in_whichever_order_entries_write() {
+fn a_held_job_is_explained_in_any_order_of_log_lines() {
     let line = |ms: u32, event: &str, kvs: Value| {
         let at = format!("2026-12-03T09:00:00.{ms:03}Z");
         let text = json!({ "timestamp": at, "message": event, "kvs": kvs }).to_string();
@@ -61,7 +61,7 @@
     deployment.site.store.trouble(StoreTrouble::Refuses);
     task::sleep(Duration::from_millis(300)).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "ms=50").await, 503);
-    cause(&deployment, &id(1), &["refused as not run", "had lost the store", "503"]).await;
+    wait_for_cause(&deployment, &id(1), &["refused as not run", "had lost the store", "503"]).await;
 }
 
 /// A job is late because its minion fell silent and its lease had to lapse.
@@ -75,8 +75,8 @@
     })
     .await;
     deployment.site.workers[&worker].worker.trouble(WorkerTrouble::Silent);
-    deployment.until(0, &id(1), "completed").await;
-    cause(&deployment, &id(1), &["completed, after", "until the lease", &worker]).await;
+    deployment.wait_for_state(0, &id(1), "completed").await;
+    wait_for_cause(&deployment, &id(1), &["completed, after", "until the lease", &worker]).await;
 }
 
 /// A job is shown as failed; its task took down the minions that started it.
@@ -84,8 +84,8 @@
 async fn a_job_that_was_given_up_is_explained_by_the_minions_that_it_crashed() {
     let deployment = Deployment::start("explain-crash", 1, 4).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "crash").await, 200);
-    deployment.until(0, &id(1), "failed").await;
-    cause(&deployment, &id(1), &["was given up after 2 minions", "i-"]).await;
+    deployment.wait_for_state(0, &id(1), "failed").await;
+    wait_for_cause(&deployment, &id(1), &["was given up after 2 minions", "i-"]).await;
 }
 
 /// A job is shown as failed; its own tasks failed wherever they ran.
@@ -93,19 +93,19 @@
 async fn a_failed_job_is_explained_by_its_own_runs() {
     let deployment = Deployment::start("explain-failed", 1, 3).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "ms=20 fail").await, 200);
-    deployment.until(0, &id(1), "failed").await;
-    cause(&deployment, &id(1), &["failed 2 times", "the job's own fault"]).await;
+    deployment.wait_for_state(0, &id(1), "failed").await;
+    wait_for_cause(&deployment, &id(1), &["failed 2 times", "the job's own fault"]).await;
 }
 
 /// Nobody reads the output of an entry: its lines are dropped, and jobs go on all the same.
 #[async_std::test]
-async fn an_entry_whose_output_nobody_reads_goes_on() {
+async fn an_entry_keeps_serving_while_its_output_is_not_read() {
     let deployment = Deployment::start("explain-unread", 1, 2).await;
     // Somebody keeps the lock that the reader needs to take in the next line.
     let lines = deployment.entries[0].lines.clone();
     let (release, released) = std::sync::mpsc::channel::<()>();
-    let keeper = std::thread::spawn(move || {
-        let _kept = lines.lock().unwrap();
+    let lock_holder = std::thread::spawn(move || {
+        let _guard = lines.lock().unwrap();
         let _ = released.recv();
     });
     let callers = deployment.entries[0].callers;
@@ -117,5 +117,5 @@
     })
     .await;
     drop(release);
-    keeper.join().unwrap();
+    lock_holder.join().unwrap();
 }
--- a/tests/all/site/jobs.rs
+++ b/tests/all/site/jobs.rs
@@ -13,7 +13,7 @@
         assert!(["queued", "running", "completed"].contains(&state.as_str()), "{state}");
     }
     for entry in 0..3 {
-        deployment.until(entry, &id(1), "completed").await;
+        deployment.wait_for_state(entry, &id(1), "completed").await;
     }
     let history = deployment.site.history();
     assert_eq!(check::once(&history), Vec::<String>::new());
@@ -45,7 +45,7 @@
     let deployment = Deployment::start("again", 2, 2).await;
     assert_eq!(deployment.submit(0, &id(1), 2, "ms=100").await, 200);
     assert_eq!(deployment.submit(1, &id(1), 7, "ms=100 other").await, 200);
-    deployment.until(1, &id(1), "completed").await;
+    deployment.wait_for_state(1, &id(1), "completed").await;
     assert_eq!(deployment.submit(1, &id(1), 2, "ms=100").await, 200);
     task::sleep(Duration::from_millis(500)).await;
     let history = deployment.site.history();
@@ -85,12 +85,12 @@
 async fn a_cancelled_job_ends_and_stays_so() {
     let deployment = Deployment::start("cancel", 2, 1).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "ms=60000").await, 200);
-    deployment.until(0, &id(1), "running").await;
+    deployment.wait_for_state(0, &id(1), "running").await;
     let path = format!("/q/{}", id(1));
     let (status, _) =
         call(deployment.entries[1].callers, Method::Delete, &path, None).await.unwrap();
     assert_eq!(status, 200);
-    deployment.until(0, &id(1), "cancelled").await;
+    deployment.wait_for_state(0, &id(1), "cancelled").await;
     eventually("the run is stopped", async || {
         deployment.site.workers["i-0"].worker.running().is_empty().then_some(())
     })
@@ -101,7 +101,7 @@
 async fn a_job_that_always_fails_is_shown_as_failed() {
     let deployment = Deployment::start("poison", 1, 3).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "ms=20 fail").await, 200);
-    deployment.until(0, &id(1), "failed").await;
+    deployment.wait_for_state(0, &id(1), "failed").await;
     assert_eq!(deployment.site.history().len(), 2, "as often as the queue allows");
 }
 
--- a/tests/all/site/loss.rs
+++ b/tests/all/site/loss.rs
@@ -33,7 +33,7 @@
 async fn all_completed(deployment: &Deployment, entry: usize, answers: &BTreeMap<String, u16>) {
     for (id, status) in answers {
         assert_eq!(*status, 200, "job {id}");
-        deployment.until(entry, id, "completed").await;
+        deployment.wait_for_state(entry, id, "completed").await;
     }
 }
 
@@ -89,20 +89,20 @@
     let mut deployment = Deployment::start("term", 2, 2).await;
     let owner = deployment.owner().unwrap();
     assert_eq!(deployment.submit(owner, &id(1), 2, "ms=1500").await, 200);
-    deployment.until(owner, &id(1), "running").await;
+    deployment.wait_for_state(owner, &id(1), "running").await;
     deployment.entries[owner].signal("-TERM");
     let other = 1 - owner;
     eventually("the other entry owns the cell", async || {
-        deployment.entries[other].noted("cell_loaded").then_some(())
+        deployment.entries[other].has_logged("cell_loaded").then_some(())
     })
     .await;
-    deployment.until(other, &id(1), "completed").await;
+    deployment.wait_for_state(other, &id(1), "completed").await;
     let ended = eventually("the process ends", async || {
         deployment.entries[owner].child.try_wait().unwrap()
     })
     .await;
     assert!(ended.success());
-    assert!(deployment.entries[owner].noted("cell_handed_over"));
+    assert!(deployment.entries[owner].has_logged("cell_handed_over"));
     assert_eq!(deployment.site.history().len(), 2, "both runs went on");
 }
 
@@ -184,7 +184,7 @@
         }
     })
     .await;
-    deployment.until(0, &crashing, "failed").await;
+    deployment.wait_for_state(0, &crashing, "failed").await;
     all_completed(&deployment, 0, &answers).await;
     assert_once(&deployment, &answers, 2);
     let history = deployment.site.history();
@@ -215,14 +215,14 @@
     let mut deployment = Deployment::start("back", 2, 1).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "crash").await, 200);
     eventually("the worker is known to be over", async || {
-        deployment.entries.iter().any(|entry| entry.noted("minion_over")).then_some(())
+        deployment.entries.iter().any(|entry| entry.has_logged("minion_over")).then_some(())
     })
     .await;
     let path = format!("/q/{}", id(1));
     call(deployment.entries[0].callers, Method::Delete, &path, None).await.unwrap();
     deployment.site.restart("i-0").await.unwrap();
     assert_eq!(deployment.submit(0, &id(2), 2, "ms=50").await, 200);
-    deployment.until(0, &id(2), "completed").await;
+    deployment.wait_for_state(0, &id(2), "completed").await;
 }
 
 /// Guards against orders being sent to the former address of a worker that restarted at another.
@@ -230,8 +230,8 @@
 async fn a_worker_that_starts_again_at_another_address_is_used_there() {
     let mut deployment = Deployment::start("elsewhere", 2, 1).await;
     assert_eq!(deployment.submit(0, &id(1), 2, "ms=50").await, 200);
-    deployment.until(0, &id(1), "completed").await;
+    deployment.wait_for_state(0, &id(1), "completed").await;
     deployment.site.restart_at_new_address("i-0").await.unwrap();
     assert_eq!(deployment.submit(0, &id(2), 2, "ms=50").await, 200);
-    deployment.until(0, &id(2), "completed").await;
+    deployment.wait_for_state(0, &id(2), "completed").await;
 }
--- a/tests/all/site/maintenance.rs
+++ b/tests/all/site/maintenance.rs
@@ -8,7 +8,7 @@
 async fn a_wave_is_completed_without_ending_what_runs() {
     let deployment = Deployment::start("wave", 2, 5).await;
     assert_eq!(deployment.submit(0, &id(1), 2, "lasts").await, 200);
-    deployment.until(0, &id(1), "running").await;
+    deployment.wait_for_state(0, &id(1), "running").await;
     deployment.site.ask_upkeep(1, &["m-0", "m-1", "m-2", "m-3", "m-4"], 2);
     for number in 2..30 {
         assert_eq!(deployment.submit(1, &id(number), 2, "ms=100").await, 200);
@@ -28,28 +28,28 @@
         "{maintenances:?}"
     );
     for number in 2..30 {
-        deployment.until(0, &id(number), "completed").await;
+        deployment.wait_for_state(0, &id(number), "completed").await;
     }
 }
 
 /// The entry that carries the wave is killed in the middle of it; another one goes on, and no
 /// machine has its maintenance twice.
 #[async_std::test]
-async fn a_wave_survives_its_carrier() {
+async fn a_wave_continues_after_its_controller_is_killed() {
     let mut deployment = Deployment::start("wave-kill", 3, 4).await;
     deployment.site.ask_upkeep(1, &["m-0", "m-1", "m-2", "m-3"], 1);
     eventually("a machine has had its maintenance", async || {
         (!deployment.site.machines.upkeeps().is_empty()).then_some(())
     })
     .await;
-    let carrier = deployment.site.machines.upkeeps()[0].holder.clone();
+    let holder = deployment.site.machines.upkeeps()[0].holder.clone();
     let index = deployment.entries.iter().position(|entry| {
         entry
             .lines
             .lock()
             .unwrap()
             .iter()
-            .any(|line| line.contains(&format!("\"entry\":\"{carrier}\"")))
+            .any(|line| line.contains(&format!("\"entry\":\"{holder}\"")))
     });
     deployment.entries.remove(index.unwrap());
     eventually("the wave is completed", async || {
--- a/tests/all/site/store.rs
+++ b/tests/all/site/store.rs
@@ -24,7 +24,7 @@
 /// wasn't told may be either.
 async fn check_all(deployment: &Deployment, answers: &BTreeMap<String, u16>) {
     for (job, _) in answers.iter().filter(|(_, status)| **status == 200) {
-        deployment.until(0, job, "completed").await;
+        deployment.wait_for_state(0, job, "completed").await;
     }
     let history = deployment.site.history();
     assert_eq!(check::once(&history), Vec::<String>::new());
@@ -64,7 +64,7 @@
         deployment.site.configure(version);
         let number = version as u32;
         assert_eq!(deployment.submit(0, &id(number), 1, "ms=50").await, 200);
-        deployment.until(1, &id(number), "completed").await;
+        deployment.wait_for_state(1, &id(number), "completed").await;
     }
 }
 
@@ -110,11 +110,11 @@
     for number in 0..8 {
         let status = deployment.submit(number as usize % 2, &id(number), 2, "ms=50").await;
         assert_eq!(status, 200, "job {number}");
-        deployment.until(0, &id(number), "completed").await;
+        deployment.wait_for_state(0, &id(number), "completed").await;
     }
     deployment.site.store.trouble(Trouble::None);
     assert_eq!(deployment.owner(), owner);
-    assert!(deployment.entries.iter().all(|entry| !entry.noted("cell_lost")));
+    assert!(deployment.entries.iter().all(|entry| !entry.has_logged("cell_lost")));
 }
 
 /// Callers wait for good: another writer's entries stand among the minions', with fields missing or of
@@ -139,7 +139,7 @@
         assert_eq!(deployment.submit(0, &id(number), 2, "ms=50").await, 200);
     }
     for number in 0..10 {
-        deployment.until(1, &id(number), "completed").await;
+        deployment.wait_for_state(1, &id(number), "completed").await;
     }
     let history = deployment.site.history();
     assert_eq!(check::once(&history), Vec::<String>::new());
@@ -156,7 +156,7 @@
     }
     let began = Instant::now();
     while deployment.site.store.count("control", "emptying/") > 0 {
-        assert!(began.elapsed() < PATIENCE, "rows are left");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "rows are left");
         task::sleep(Duration::from_millis(50)).await;
     }
 }
@@ -182,7 +182,7 @@
     eventually("its end is seen", async || ready(0).await?.then_some(())).await;
     for number in 2..6 {
         assert_eq!(deployment.submit(0, &id(number), 1, "ms=50").await, 200);
-        deployment.until(0, &id(number), "completed").await;
+        deployment.wait_for_state(0, &id(number), "completed").await;
     }
     assert_eq!(check::once(&deployment.site.history()), Vec::<String>::new());
 }
--- a/tests/all/site/workspaces.rs
+++ b/tests/all/site/workspaces.rs
@@ -8,7 +8,7 @@
 const OTHER_KEY: &str = "h2m5rtb7ckvw9e4zq8ja";
 
 /// Well within the time in which a configuration must be in force everywhere.
-const IN_FORCE: Duration = Duration::from_millis(2000);
+const MAX_PROPAGATION_TIME: Duration = Duration::from_millis(2000);
 
 const TEAM: Workspace<'static> = Workspace { name: "team", keys: &[KEY, SECOND_KEY], cpu: 0 };
 const OTHER: Workspace<'static> = Workspace { name: "other", keys: &[OTHER_KEY], cpu: 0 };
@@ -17,13 +17,13 @@
     let deployment = Deployment::start(test, entries, workers).await;
     deployment.site.configure_workspaces(2, &[TEAM, OTHER]);
     for entry in &deployment.entries {
-        until_status(entry.callers, 401, "/q/", &[]).await;
+        wait_for_status(entry.callers, 401, "/q/", &[]).await;
     }
     deployment
 }
 
 /// Waits until a count of waiting jobs is answered with a status.
-async fn until_status(entry: SocketAddr, status: u16, path: &str, credentials: &[&str]) {
+async fn wait_for_status(entry: SocketAddr, status: u16, path: &str, credentials: &[&str]) {
     let what = format!("{path} is answered with {status}");
     eventually(&what, async || {
         let (got, _) = call_with(entry, Method::Get, path, None, credentials).await?;
@@ -47,7 +47,7 @@
     answer.map_or(0, |(status, _)| status)
 }
 
-async fn completed_as(entry: SocketAddr, key: &str, path: &str) {
+async fn wait_for_completion(entry: SocketAddr, key: &str, path: &str) {
     eventually(&format!("{path} is completed"), async || {
         let (_, body) = call_with(entry, Method::Get, path, None, &[&token(key)]).await?;
         let body: Value = serde_json::from_slice(&body).ok()?;
@@ -83,7 +83,7 @@
         let answer = call_with(entry, Method::Post, &path, body(), &[credentials]).await;
         assert_eq!(answer.map(|(status, _)| status), Some(200), "{credentials:?}");
     }
-    completed_as(entry, KEY, &path).await;
+    wait_for_completion(entry, KEY, &path).await;
     let lines = deployment.entries[0].lines.lock().unwrap().join(" ");
     assert!(lines.contains("key_refused"), "{lines}");
     for key in [KEY, SECOND_KEY, OTHER_KEY, "nobody-has-this-key"] {
@@ -93,7 +93,7 @@
 
 /// Guards against a workspace that sees, cancels or takes over another one's job.
 #[async_std::test]
-async fn a_job_is_its_workspaces_alone() {
+async fn a_job_is_accessible_only_to_its_workspace() {
     let deployment = start("owners", 2, 1).await;
     let (first, second) = (deployment.entries[0].callers, deployment.entries[1].callers);
     let path = format!("/q/{}", id(1));
@@ -105,7 +105,7 @@
         assert_eq!(status_as(entry, SECOND_KEY, Method::Get, &path).await, 200);
     }
     assert_eq!(submit_as(second, SECOND_KEY, &path, 1, "ms=1500").await, 200, "sent again");
-    completed_as(second, SECOND_KEY, &path).await;
+    wait_for_completion(second, SECOND_KEY, &path).await;
     // What was submitted to a public queue is everybody's.
     let public = format!("/p/{}", id(2));
     let body = celerythread_standin::site::job(1, "ms=50");
@@ -125,9 +125,9 @@
     deployment.site.configure_workspaces(3, &[none, OTHER]);
     let began = Instant::now();
     for entry in &deployment.entries {
-        until_status(entry.callers, 401, &path, &[&token(KEY)]).await;
+        wait_for_status(entry.callers, 401, &path, &[&token(KEY)]).await;
     }
-    assert!(began.elapsed() < IN_FORCE, "{:?}", began.elapsed());
+    assert!(began.elapsed() < MAX_PROPAGATION_TIME, "{:?}", began.elapsed());
     deployment.entries.remove(0);
     deployment.add_entry("again").await;
     let again = deployment.entries.last().unwrap().callers;
@@ -135,44 +135,44 @@
     // The workspace has a key again, and its job is there.
     let back = Workspace { keys: &[SECOND_KEY], ..TEAM };
     deployment.site.configure_workspaces(4, &[back, OTHER]);
-    completed_as(again, SECOND_KEY, &path).await;
+    wait_for_completion(again, SECOND_KEY, &path).await;
     assert_eq!(status_as(again, KEY, Method::Get, &path).await, 401);
 }
 
 /// Guards against an entry that the store doesn't serve going on with keys that were withdrawn meanwhile: its peers
 /// know better.
 #[async_std::test]
-async fn an_entry_that_the_store_turns_away_learns_of_keys_from_its_peers() {
+async fn an_entry_cut_off_from_the_store_learns_of_keys_from_its_peers() {
     let mut deployment = start("turned-away", 2, 1).await;
     let (gate, store) = deployment.site.add_gate().await.unwrap();
     let machines = deployment.site.machine_address();
     let entry = Entry::start_with(store, machines, "turned-away", "gated", "").await;
     deployment.add_started(entry).await;
     let gated = deployment.entries.last().unwrap().callers;
-    until_status(gated, 200, "/q/", &[&token(KEY)]).await;
+    wait_for_status(gated, 200, "/q/", &[&token(KEY)]).await;
     gate.shut(true);
     let left = Workspace { keys: &[SECOND_KEY], ..TEAM };
     deployment.site.configure_workspaces(3, &[left, OTHER]);
     let began = Instant::now();
-    until_status(gated, 401, &format!("/q/{}", id(9)), &[&token(KEY)]).await;
-    assert!(began.elapsed() < IN_FORCE, "{:?}", began.elapsed());
+    wait_for_status(gated, 401, &format!("/q/{}", id(9)), &[&token(KEY)]).await;
+    assert!(began.elapsed() < MAX_PROPAGATION_TIME, "{:?}", began.elapsed());
     assert!(status_as(gated, SECOND_KEY, Method::Get, &format!("/q/{}", id(9))).await != 401);
 }
 
 /// Guards against an entry that serves keys which it can't know to be valid, where that is forbidden; elsewhere it
 /// goes on serving.
 #[async_std::test]
-async fn an_entry_cut_off_from_all_refuses_keys_only_where_it_must() {
+async fn an_isolated_entry_refuses_keys_only_with_strict_keys() {
     for (strict, wanted) in [("strict_keys = true\ntrust_keys_for = 1500ms\n", true), ("", false)] {
         let mut site = celerythread_standin::site::Site::start(1).await.unwrap();
         site.configure_workspaces(2, &[TEAM]);
         let (gate, store) = site.add_gate().await.unwrap();
         let machines = site.machine_address();
         let entry = Entry::start_with(store, machines, "cut-off", "alone", strict).await;
-        until_status(entry.callers, 401, "/q/", &[&token(OTHER_KEY)]).await;
+        wait_for_status(entry.callers, 401, "/q/", &[&token(OTHER_KEY)]).await;
         gate.shut(true);
         task::sleep(Duration::from_millis(2500)).await;
-        let refused = entry.noted("keys_unconfirmed");
+        let refused = entry.has_logged("keys_unconfirmed");
         assert!(!refused);
         let status = status_as(entry.callers, KEY, Method::Get, "/q/").await;
         assert!(status == 503 || status == 200, "{status}");
@@ -182,16 +182,16 @@
             eventually("the key is refused as unconfirmed", async || {
                 let status = status_as(entry.callers, KEY, Method::Get, "/q/").await;
                 assert_eq!(status, 503);
-                entry.noted("keys_unconfirmed").then_some(())
+                entry.has_logged("keys_unconfirmed").then_some(())
             })
             .await;
-            assert!(began.elapsed() < IN_FORCE, "{:?}", began.elapsed());
+            assert!(began.elapsed() < MAX_PROPAGATION_TIME, "{:?}", began.elapsed());
         }
-        assert_eq!(entry.noted("keys_unconfirmed"), wanted);
+        assert_eq!(entry.has_logged("keys_unconfirmed"), wanted);
         // An unknown key is refused by what is known, in any case.
         assert_eq!(status_as(entry.callers, OTHER_KEY, Method::Get, "/q/").await, 401);
         gate.shut(false);
-        until_status(entry.callers, 200, "/q/", &[&token(KEY)]).await;
+        wait_for_status(entry.callers, 200, "/q/", &[&token(KEY)]).await;
     }
 }
 
@@ -202,14 +202,14 @@
         let (id, machine) = (format!("i-hall-{number}"), format!("m-hall-{number}"));
         deployment.site.add_worker_to(HALL, &id, &machine).await.unwrap();
     }
-    limit(&deployment, 2, cores);
+    set_limit(&deployment, 2, cores);
     for entry in &deployment.entries {
-        until_status(entry.callers, 200, "/h/", &[&token(KEY)]).await;
+        wait_for_status(entry.callers, 200, "/h/", &[&token(KEY)]).await;
     }
     deployment
 }
 
-fn limit(deployment: &Deployment, version: u64, cores: u64) {
+fn set_limit(deployment: &Deployment, version: u64, cores: u64) {
     let team = Workspace { cpu: cores * 1000, ..TEAM };
     deployment.site.configure_workspaces(version, &[team, OTHER]);
 }
@@ -231,17 +231,17 @@
     paths
 }
 
-async fn all_completed(deployment: &Deployment, paths: &[String]) {
+async fn wait_for_all_completed(deployment: &Deployment, paths: &[String]) {
     for path in paths {
-        completed_as(deployment.entries[0].callers, KEY, path).await;
+        wait_for_completion(deployment.entries[0].callers, KEY, path).await;
     }
 }
 
-fn assert_limited(deployment: &Deployment, most: usize) {
+fn assert_limited(deployment: &Deployment, max_tasks: usize) {
     let history = deployment.site.history();
     assert_eq!(check::once(&history), Vec::<String>::new());
     let at_once = check::most_at_once(&history);
-    assert!(at_once <= most, "{at_once} tasks at once, {most} allowed");
+    assert!(at_once <= max_tasks, "{at_once} tasks at once, {max_tasks} allowed");
 }
 
 /// Guards against a workspace that runs beyond its limit because two owners each keep within it, and after one of
@@ -253,7 +253,7 @@
     assert_eq!(paths.len(), 12);
     let owner = deployment.owner().unwrap();
     deployment.entries.remove(owner);
-    all_completed(&deployment, &paths).await;
+    wait_for_all_completed(&deployment, &paths).await;
     assert_limited(&deployment, 5);
 }
 
@@ -265,7 +265,12 @@
     let entry = deployment.entries[0].callers;
     let refused = format!("/q/{}", id(1));
     assert_eq!(submit_as(entry, "nobody-has-this-key", &refused, 1, "ms=50").await, 401);
-    super::explain::cause(&deployment, &id(1), &["key was refused on queue", "unknown key"]).await;
+    super::explain::wait_for_cause(
+        &deployment,
+        &id(1),
+        &["key was refused on queue", "unknown key"],
+    )
+    .await;
     let held = format!("/q/{}", id(2));
     assert_eq!(submit_as(entry, KEY, &format!("/q/{}", id(3)), 2, "ms=20000").await, 200);
     // The shorter job would be started first if both waited.
@@ -274,12 +279,17 @@
     })
     .await;
     assert_eq!(submit_as(entry, KEY, &held, 1, "ms=50").await, 200);
-    super::explain::cause(&deployment, &id(2), &["limit of workspace team", "2000m/any/any"]).await;
-    let told = super::fleet::fleet(&deployment.site);
-    let shares = told["shares"].as_array().unwrap();
+    super::explain::wait_for_cause(
+        &deployment,
+        &id(2),
+        &["limit of workspace team", "2000m/any/any"],
+    )
+    .await;
+    let fleet = super::fleet::fleet_status(&deployment.site);
+    let shares = fleet["shares"].as_array().unwrap();
     assert!(
         shares.iter().any(|share| share["workspace"] == "team" && share["cell"] == "desk"),
-        "{told}"
+        "{fleet}"
     );
 }
 
@@ -292,7 +302,7 @@
     deployment.entries[owner].signal("-STOP");
     task::sleep(Duration::from_millis(2500)).await;
     deployment.entries[owner].signal("-CONT");
-    all_completed(&deployment, &first).await;
+    wait_for_all_completed(&deployment, &first).await;
     assert_limited(&deployment, 4);
 }
 
@@ -305,9 +315,9 @@
         (check::most_at_once(&deployment.site.history()) == 6).then_some(())
     })
     .await;
-    limit(&deployment, 3, 2);
-    let lowered = Instant::now() + IN_FORCE;
-    all_completed(&deployment, &paths).await;
+    set_limit(&deployment, 3, 2);
+    let lowered = Instant::now() + MAX_PROPAGATION_TIME;
+    wait_for_all_completed(&deployment, &paths).await;
     let history = deployment.site.history();
     assert!(history.iter().all(|record| record.how == Some("done")));
     let late: Vec<_> = history.into_iter().filter(|record| record.began > lowered).collect();
@@ -324,6 +334,6 @@
     deployment.site.store.trouble(Trouble::LosesAnswers);
     task::sleep(Duration::from_millis(1500)).await;
     deployment.site.store.trouble(Trouble::None);
-    all_completed(&deployment, &paths).await;
+    wait_for_all_completed(&deployment, &paths).await;
     assert_limited(&deployment, 4);
 }
