--- a/crates/scheduler/src/daemon.rs
+++ b/crates/scheduler/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starting the daemon, and stopping it gracefully.
+//! Startup and graceful shutdown of the daemon.
 
 use crate::clock;
 use crate::follow::{self, MinionSink, OperatorSink};
@@ -29,34 +29,34 @@
 use std::time::Duration;
 use stop_token::StopSource;
 
-/// Time between two looks at whether a stop is complete.
+/// Interval between two checks whether a stop is complete.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// From the stop on, callers' new connections may still come for this long: the balancer looks
-/// once a second and takes an entry out after two misses.
+/// How long new connections of callers may still arrive after a stop has begun: the load balancer
+/// probes once a second and removes an entry after two failed probes.
 const BALANCER_DRAIN_TIME: Duration = Duration::from_millis(2600);
 
-/// Kept free of the bound of a stop, for the process to end.
+/// Part of the stop bound that is left for the process to exit.
 const PROCESS_EXIT_MARGIN: Duration = Duration::from_millis(800);
 
-/// Most connections of callers at once; descriptors are 4,100 on the smallest instances.
+/// Maximum number of open caller connections.  The smallest instances allow 4,100 file descriptors.
 const MAX_CONNECTIONS: usize = 3000;
 
-/// Pause before a failed call at the start is repeated.
+/// Delay before a failed startup call, or an incomplete handover, is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest wait for a call at the start.
+/// Longest wait for one store call during startup.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Why a daemon could not start.
+/// Why the daemon could not start.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// An address cannot be listened at.
+    /// The listener could not be bound.
     #[snafu(display("cannot listen at {address}: {source}"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The error of the operating system.
+        /// The operating system's error.
         source: std::io::Error,
     },
 }
@@ -72,10 +72,10 @@
 }
 
 impl Daemon {
-    /// Starts a daemon: it listens at once, and serves once it has read the configuration.
+    /// Starts a daemon.  It listens at once, and serves callers once it has read the configuration.
     ///
     /// # Errors
-    /// When an address cannot be listened at.
+    /// When a listener cannot be bound.
     pub async fn start(settings: Settings) -> Result<Self, Error> {
         let caller_listener = listen(settings.caller_listen).await?;
         let address = local_address(&caller_listener, settings.caller_listen)?;
@@ -107,17 +107,17 @@
         Ok(daemon)
     }
 
-    /// This process's id.
+    /// The id of this process: the instance's name with a random suffix.
     pub fn id(&self) -> &str {
         &self.node.me
     }
 
-    /// Where callers reach it.
+    /// The address at which callers reach it.
     pub fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 
-    /// Its log lines.
+    /// The sink of its log lines.
     pub fn journal(&self) -> &Arc<Journal> {
         &self.node.journal
     }
@@ -145,8 +145,8 @@
         async_std::task::spawn(join(node.clone()));
     }
 
-    /// Stops gracefully: hands cells over by name, goes on serving until the balancer sends
-    /// nobody any more, and answers what is in flight.
+    /// Stops gracefully: hands its cells over to other entries, serves until the load balancer
+    /// sends no more callers, and answers the requests in flight.
     pub async fn stop(self) {
         let node = &self.node;
         let began = clock::now();
@@ -154,8 +154,8 @@
         node.journal.note("stopping", &[("entry", &node.me)]);
         node.stopping.store(true, Ordering::SeqCst);
         drop(self.closing);
-        // Bounded as a whole: with the store away it would never end, and the process would be
-        // killed with callers' requests in flight.
+        // While the store is unavailable the handover never completes.  Without a timeout the
+        // process would be killed with callers' requests in flight.
         if timeout(bound / 2, hand_over_cells(node)).await.is_err() {
             node.journal.warn("handover_incomplete", &[("entry", &node.me)]);
         }
@@ -170,12 +170,12 @@
         node.peers.close();
         node.journal.note("stopped", &[("unanswered", &node.flying.load(Ordering::SeqCst))]);
         drop(self.stop);
-        // Lets the last line out.
+        // Lets the journal's thread write the last line.
         async_std::task::sleep(STOP_POLL_INTERVAL).await;
     }
 }
 
-/// Hands all cells of this entry over, each after what it owes the store is kept.
+/// Hands over all cells of this entry, each after its owner's pending writes are stored.
 async fn hand_over_cells(node: &Arc<Node>) {
     membership::renew(node, node.settings.peer_listen).await;
     loop {
@@ -205,7 +205,7 @@
     }
 }
 
-/// Serves the figures.
+/// Serves the metrics page.
 struct MetricsPage(Arc<Node>);
 
 #[async_trait::async_trait]
@@ -223,7 +223,7 @@
     }
 }
 
-/// Joins the other entries: reads what they agree on, gets an identity, and takes part.
+/// Joins the other entries: obtains an identity, reads the shared state, and renews its own row.
 async fn join(node: Arc<Node>) {
     let Some(identity) = identity(&node).await else { return };
     let settings = endpoint::Settings::default();
@@ -237,7 +237,7 @@
             bound
         }
         Err(error) => {
-            // Without peers everything is read from the store instead.
+            // Without peers, everything is read from the store instead.
             node.journal.warn("peers_unavailable", &[("reason", &error)]);
             address
         }
@@ -254,7 +254,8 @@
     membership::judge_forever(node).await;
 }
 
-/// This entry's identity, signed by the authority that the first entry made and kept.
+/// Issues this entry's identity with the certificate authority that the first entry created and
+/// stored.  None when the daemon stops, or the identity cannot be issued.
 async fn identity(node: &Arc<Node>) -> Option<Identity> {
     loop {
         match read_or_create_authority(node).await {
@@ -282,6 +283,7 @@
     }
 }
 
+/// Reads the stored authority.  If there is none, tries to store a new one and returns none.
 async fn read_or_create_authority(node: &Node) -> Option<Pair> {
     let row = node.store.get(rows::CONTROL, "", rows::AUTHORITY_KEY, STORE_CALL_TIMEOUT).await;
     node.store_result(&row);
@@ -299,7 +301,7 @@
                 writes: vec![(name, encode(&value))],
                 ..Transaction::default()
             };
-            // Whoever was first, the next read brings the one that is kept.
+            // Another entry may have been first; the next read returns the stored authority.
             let _ = node.commit(&change, STORE_CALL_TIMEOUT).await;
             None
         }
--- a/crates/scheduler/src/fleet.rs
+++ b/crates/scheduler/src/fleet.rs
@@ -1,13 +1,16 @@
-//! The duty for the whole fleet: machines' maintenance and their pools, one entry at a time.
+//! The fleet controller: maintenance of machines and their moves between pools.  One entry at a
+//! time runs it, the owner of the cell `~fleet`.
 //!
-//! [`list`] reads the platform's machines, [`pools`] asks the pools for their demand and moves
-//! machines between them, [`maintenance`] carries waves.  The three run beside each other over one
-//! [`State`], which says whose machine is whose, so that none waits for another's calls.  In one loop
-//! after the other, a wave of 583 machines, at two rows and an order each, kept every move waiting for
-//! eight seconds while two pools of callers had next to nothing.
+//! [`list`] reads the platform's machines, [`pools`] collects the pools' demand and moves machines
+//! between them, [`maintenance`] runs maintenance waves.  The three run concurrently over one
+//! [`State`], which records which of them plans with a machine, so that none waits for another's
+//! calls.  When they ran in one sequential loop, a wave of 583 machines, with two rows and one
+//! order each, delayed every move by eight seconds while two pools of callers had almost no
+//! machines.
 //!
-//! A machine is emptied before it is moved or goes down ([`emptying`]): a row names it for as long as
-//! nothing may be started on it, whoever owns its service's cell meanwhile.
+//! A machine is emptied before it is moved or goes down ([`emptying`]).  A row in the store names
+//! it for as long as nothing may be started on it, so that each later owner of its service's cell
+//! knows.
 
 pub(crate) mod emptying;
 pub(crate) mod list;
@@ -31,79 +34,81 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for a call.
+/// Longest wait for one call to the store or to the platform.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Pause before something that failed is tried again.
+/// Delay before a failed read of the stored state is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A holder whose last renewal is older gives no order: another one may take over when it has
-/// been silent for the takeover time, and then waits the lease before its own orders.
+/// Greatest age of the last renewal at which orders are given.  Another entry may take over once
+/// this one has been silent for the takeover time, and then waits for the lease before it gives
+/// orders of its own.
 const MAX_RENEWAL_AGE: Duration = Duration::from_millis(1500);
 
-/// Age of a demand after which it isn't planned with any more: an owner that is lost is replaced within
-/// that time, and the rows keep what was emptied.
+/// Greatest age of a reported demand that is still used for planning.  A lost owner is replaced
+/// within that time, and the stored rows still name the machines that are being emptied.
 const MAX_LOAD_AGE: Duration = Duration::from_millis(2000);
 
-/// Looks at the pools' demand in a second, at most; each pool may be given its share of the orders that
-/// the platform takes in a second.
+/// Maximum number of planning rounds in a second.  In each round, a pool may be given this fraction
+/// of the orders that the platform accepts in a second.
 const LOAD_POLLS_PER_S: f64 = 4.0;
 
-/// Orders under way at once.  An answer takes some 5 ms, so this many are more than the platform takes in
-/// a second, and few enough for the connections that are kept open.
+/// Maximum number of concurrent orders.  An answer takes some 5 ms, so this allows more orders in a
+/// second than the platform accepts, and needs no more connections than are kept open.
 const MAX_CONCURRENT_ORDERS: usize = 16;
 
-/// The duty in the hands of this entry.
+/// The fleet controller, while this entry runs it.
 pub(crate) struct Controller {
     pub(crate) owner: Arc<Owner>,
     pub(crate) client: machine::Client,
-    /// Locked after the entry's view, and never across a call.
+    /// Locked after the entry's view, and never held across a call.
     pub(crate) state: Mutex<State>,
-    /// Woken when an owner has told its demand, or won't.
+    /// Woken when an owner has reported its demand, or the request for it has failed.
     pub(crate) load_answered: Wake,
 }
 
-/// What the holder of the duty knows and plans.
+/// What the fleet controller knows and plans.
 #[derive(Default)]
 pub(crate) struct State {
     pub(crate) waves: maintenance_plan::Planner,
     pub(crate) pools: pool_plan::Planner,
     pub(crate) list: MachineList,
-    /// What each pool's owner told last.
+    /// The demand that each pool's owner reported last.
     pub(crate) loads: BTreeMap<String, Load>,
-    /// When it was asked for that.
+    /// When that demand was requested.
     load_asked_at: BTreeMap<String, Time>,
-    /// Minions named lately as to be emptied, and when that was written.
+    /// Minions whose emptying was written recently, and when.
     emptying_written_at: BTreeMap<String, Time>,
-    /// Pools whose owners are being asked.
+    /// Pools whose owners have not answered yet.
     pub(crate) awaited_loads: BTreeSet<String>,
-    /// Machines whose maintenance has begun and is not kept yet, with their wave.
+    /// Machines whose maintenance has begun but is not stored yet, with their wave.
     pub(crate) unsaved_begun: BTreeSet<(u64, String)>,
-    /// Machines whose rows are being dropped.
+    /// Machines whose emptying rows are being dropped.
     pub(crate) dropping_rows: BTreeSet<String>,
     /// Machines for which an order may have been given, by this holder or the former one, and
     /// until when nobody else may give one.
     ///
-    /// Where the platform doesn't compare tokens, two holders that take turns on a machine within
-    /// the lease would break the promise of one holder.  Each order is preceded by the machine's
-    /// row and the row stays for the lease, so a new holder knows exactly which machines to leave
-    /// alone, and can order all others at once: in a burst, a pause of the lease would be most of
-    /// it.
+    /// Where the platform doesn't compare fencing tokens, orders of two alternating holders for one
+    /// machine within the lease would break the guarantee of a single holder.  The machine's row is
+    /// written before each order and stays for the lease.  So a new holder knows exactly which
+    /// machines it must not order yet, and can order all others at once; waiting out the lease for
+    /// all of them would take most of a burst.
     order_leases: BTreeMap<String, Time>,
 }
 
 impl State {
-    /// Whether a machine must be left alone: somebody may have given an order for it lately.
+    /// Whether an order may have been given for a machine within the lease.
     pub(crate) fn has_recent_order(&self, machine: &str) -> bool {
         self.order_leases.get(machine).is_some_and(|until| clock::now() < *until)
     }
 
-    /// Whether either duty is about to order a machine.
+    /// Whether a move or a wave is about to order a machine.
     pub(crate) fn is_planned(&self, machine: &str) -> bool {
         self.pools.is_pending(machine) || self.waves.is_emptying(machine)
     }
 
-    /// Takes in what a pool's owner tells, asked at `asked`.
+    /// Records the demand that a pool's owner reported, requested at `asked`.  Ignores an answer
+    /// to an older request than the last one recorded.
     pub(crate) fn record_load(&mut self, pool: String, load: Load, asked: Time) {
         if self.load_asked_at.get(&pool).is_none_or(|known| *known <= asked) {
             self.load_asked_at.insert(pool.clone(), asked);
@@ -111,15 +116,15 @@
         }
     }
 
-    /// Notes that it is written of a minion that it is to be emptied.
+    /// Records that a minion's emptying has just been written.
     pub(crate) fn record_emptying(&mut self, minion: &str) {
         self.emptying_written_at.insert(minion.into(), clock::now());
     }
 
     /// Minions that are to be emptied and are empty.
     ///
-    /// Only an owner that was asked since it was written can tell that a minion stays empty: its row may
-    /// have been dropped and written again, and a task started in between.
+    /// Counts only reports requested after the emptying was written.  An earlier row may have been
+    /// dropped and written again, and a task started in between.
     pub(crate) fn empty_minions(&self) -> BTreeSet<String> {
         let mut empty = BTreeSet::new();
         for (pool, load) in &self.loads {
@@ -132,29 +137,29 @@
         empty
     }
 
-    /// Forgets the demand of pools whose owners have been silent for too long.
+    /// Forgets demand that is older than [`MAX_LOAD_AGE`].
     pub(crate) fn expire_loads(&mut self) {
         let now = clock::now();
         self.load_asked_at.retain(|_, at| now.since(*at) < MAX_LOAD_AGE);
         self.loads.retain(|pool, _| self.load_asked_at.contains_key(pool));
-        // Whatever is still known was asked for since these were written.
+        // All demand that is left was requested after these were written.
         self.emptying_written_at.retain(|_, at| now.since(*at) < MAX_LOAD_AGE);
     }
 
-    /// Takes back that an order was given: it was refused before anything was done.
+    /// Reverts [`Controller::record_order`] for an order that was refused before anything was done.
     pub(crate) fn revert_order(&mut self, machine: &str) {
         self.order_leases.remove(machine);
         self.waves.put_off(machine);
     }
 
-    /// Machines whose lease of orders is over are anybody's again.
+    /// Forgets orders whose lease is over.
     pub(crate) fn expire_order_leases(&mut self) {
         let now = clock::now();
         self.order_leases.retain(|_, until| now < *until);
     }
 }
 
-/// Carries the duty until it is lost.
+/// Runs the controller until this entry loses the cell.
 pub(crate) async fn run(owner: Arc<Owner>) {
     let node = owner.node.clone();
     let Some(client) = node.machines.clone() else { return };
@@ -190,12 +195,12 @@
 }
 
 impl Controller {
-    /// The entry's shared parts.
+    /// The entry's shared state.
     pub(crate) fn node(&self) -> &Node {
         &self.owner.node
     }
 
-    /// Reads what a former holder kept; true if it is read.
+    /// Reads the state that a former holder stored; true on success.
     async fn restore(&self) -> bool {
         let node = self.node();
         let rows = node.store.all(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_TIMEOUT).await;
@@ -209,26 +214,26 @@
         pools::restore(self).await && maintenance::restore(self).await
     }
 
-    /// Notes that an order for a machine is about to be given, or may have been.
+    /// Records that an order for a machine is about to be given, or may have been.
     pub(crate) fn record_order(&self, machine: &str) {
         let lease = self.node().settings.maintenance_lease.0 + CALL_TIMEOUT / 4;
         self.state.lock().order_leases.insert(machine.into(), clock::now() + lease);
     }
 
-    /// Whether this holder may give an order for a machine now.
+    /// Whether this holder may give orders now.
     pub(crate) fn may_order(&self) -> bool {
         let node = self.node();
         let stops = self.owner.is_stopped() || node.is_stopping();
         !stops && node.since_renewal() <= MAX_RENEWAL_AGE
     }
 
-    /// In whose name orders are given.
+    /// The holder and fencing token that orders carry.
     pub(crate) fn authority(&self) -> Authority {
         Authority { holder: self.node().me.clone(), token: self.owner.token }
     }
 }
 
-/// Gives orders, some at a time.
+/// Runs orders concurrently, at most [`MAX_CONCURRENT_ORDERS`] at once.
 pub(crate) async fn order_all(orders: impl Iterator<Item = impl Future<Output = ()>>) {
     futures::stream::iter(orders)
         .buffer_unordered(MAX_CONCURRENT_ORDERS)
@@ -236,21 +241,21 @@
         .await;
 }
 
-/// What became of an order for a machine.
+/// The outcome of an order for a machine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum OrderOutcome {
     /// It was carried out.
     Done,
-    /// Nothing was done, and it can be given again.
+    /// Nothing was done, and it can be retried.
     Deferred,
-    /// Nothing was done, and giving it again is of no use now.
+    /// Nothing was done, and a retry is of no use now.
     Refused,
-    /// Nobody knows.
+    /// It is not known whether it was carried out.
     Unknown,
 }
 
 impl OrderOutcome {
-    /// What an answer says, with a word for the log.
+    /// The outcome that an answer stands for, and its text for the log.
     pub(crate) fn from_answer(
         answer: Result<Result<(), Refusal>, celerythread_adapter::Failure>,
     ) -> (Self, String) {
--- a/crates/scheduler/src/fleet/emptying.rs
+++ b/crates/scheduler/src/fleet/emptying.rs
@@ -1,4 +1,4 @@
-//! Machines that are emptied: the rows that say so, and asking their owners.
+//! Emptying of machines: the rows that request it, and the messages to the owners.
 
 use super::{CALL_TIMEOUT, Controller};
 use crate::clock;
@@ -11,10 +11,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// A machine that is to be emptied.
+/// A machine to empty.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
-    /// The machine.
+    /// Its name.
     pub(crate) machine: String,
     /// Its pool.
     pub(crate) pool: String,
@@ -22,9 +22,10 @@
     pub(crate) minion: String,
 }
 
-/// Has machines emptied: by a row first, so that a later owner and a later holder of the duty
-/// know it too, then by a message, so that the present owner knows it at once and tells which
-/// are empty already.  Returns the machines whose row could not be written.
+/// Requests that machines are emptied.  First writes a row for each, so that later owners and later
+/// fleet controllers know it too; then sends a message to the present owner, which learns of it at
+/// once and answers which minions are empty already.  Returns the machines whose row could not be
+/// written.
 pub(crate) async fn request(controller: &Controller, targets: Vec<Target>) -> BTreeSet<String> {
     let written = write_rows(controller.node(), &targets).await;
     let (written_targets, unwritten): (Vec<Target>, Vec<Target>) =
@@ -35,11 +36,12 @@
         by_pool.entry(target.pool).or_default().push((target.machine, target.minion));
     }
     let ask = async |(pool, machines): (String, Vec<(String, String)>)| {
-        // In the millisecond of the writing it can't be told what came first.
+        // Times have a resolution of 1 ms.  Within the millisecond of the write, it can't be told
+        // whether the request was sent after it.
         async_std::task::sleep(Duration::from_millis(1)).await;
         let sent = clock::now();
         let question = Question::Release { service: pool.clone(), machines };
-        // Without an answer the owner learns it from the row.
+        // If the message is lost, the owner learns it from the row.
         if let Some(Answer::Load(load)) = peers::ask_owner(controller.node(), &pool, question).await
         {
             controller.state.lock().record_load(pool, load, sent);
@@ -49,7 +51,7 @@
     unwritten.into_iter().map(|target| target.machine).collect()
 }
 
-/// Writes that machines are to be emptied; returns those of which it is written.
+/// Writes the rows of machines to empty; returns the machines whose row was written.
 async fn write_rows(node: &Node, targets: &[Target]) -> BTreeSet<String> {
     let row = |target: &Target| {
         let name = rows::control(rows::EMPTYING_PREFIX, &target.machine);
@@ -74,25 +76,26 @@
     written
 }
 
-/// Drops the rows of machines that no longer are to be emptied.
+/// Drops the rows of machines that need not be emptied any more.
 ///
-/// Until it is certain nobody plans with them: their owners may start something there as soon as the
-/// rows are gone, while the demand as last told still lists them as empty.
+/// The machines are not planned with until the outcome is certain.  Their owners may start tasks on
+/// them as soon as the rows are gone, while the last reported demand still lists them as empty.
 pub(crate) async fn drop_rows(controller: &Controller, machines: &[String]) {
     controller.state.lock().dropping_rows.extend(machines.iter().cloned());
     drop_in_chunks(controller.node(), machines).await;
     controller.state.lock().dropping_rows.retain(|machine| !machines.contains(machine));
 }
 
-/// The rows are independent of each other, so many go in several transactions: after an outage more
-/// were settled than one may hold, it was refused each time, and no row was dropped any more.
+/// Drops the rows in several transactions of at most [`MAX_ENTRIES`]; the rows are independent of
+/// each other.  After an outage there can be more stale rows than one transaction may hold.  In a
+/// single transaction they were refused each time, and no row was dropped any more.
 async fn drop_in_chunks(node: &Node, machines: &[String]) {
     let row = |machine: &String| rows::control(rows::EMPTYING_PREFIX, machine);
     for chunk in machines.chunks(MAX_ENTRIES) {
         let change =
             Transaction { drops: chunk.iter().map(row).collect(), ..Transaction::default() };
         if let Err(error) = node.commit(&change, CALL_TIMEOUT).await {
-            // Looked at again with the next list of machines.
+            // Retried with the next list of machines.
             let left = machines.len();
             node.journal.warn("emptying_left", &[("machines", &left), ("reason", &error)]);
             return;
@@ -104,8 +107,8 @@
     }
 }
 
-/// Drops the rows of machines that nobody is about to order any more: they have another
-/// minion, or a former holder asked for them, and its orders are over.
+/// Drops the rows of machines that nobody is about to order: they have another minion by now, or
+/// a former holder requested the emptying and the lease of its orders is over.
 pub(crate) async fn drop_stale_rows(controller: &Controller) {
     let stale_rows = stale_rows(controller);
     if !stale_rows.is_empty() {
--- a/crates/scheduler/src/fleet/list.rs
+++ b/crates/scheduler/src/fleet/list.rs
@@ -1,4 +1,4 @@
-//! The platform's machines, as last listed.
+//! The platform's list of machines, read periodically.
 
 use super::{CALL_TIMEOUT, Controller, emptying};
 use crate::clock;
@@ -7,13 +7,14 @@
 use celerythread_engine::time::Time;
 use std::time::Duration;
 
-/// Age at which the list is read again while something is under way.
+/// Age at which the list is read again while machines are being emptied, moved or maintained.
 const BUSY_REFRESH_INTERVAL: Duration = Duration::from_millis(350);
 
-/// The same otherwise.
+/// Age at which the list is read again otherwise.
 const IDLE_REFRESH_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Time between two looks whether the list is too old: what is under way may begin at any moment.
+/// Interval between two checks of the list's age.  It is short because a move or a wave may begin
+/// at any moment.
 const DUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The machines as last read.
@@ -23,7 +24,7 @@
     read_at: Option<Time>,
 }
 
-/// Reads the list again and again until the duty is lost.
+/// Reads the list periodically until this entry loses the cell.
 pub(crate) async fn read_forever(controller: &Controller) {
     while !controller.owner.is_stopped() {
         if is_due(controller) && read(controller).await {
@@ -43,7 +44,7 @@
     state.list.read_at.is_none_or(|read_at| clock::now().since(read_at) >= limit)
 }
 
-/// Reads the list; true if it is read.
+/// Reads the list; true on success.
 async fn read(controller: &Controller) -> bool {
     let Some(list) = fetch(controller.node(), &controller.client).await else { return false };
     let read_at = Some(clock::now());
@@ -51,7 +52,7 @@
     true
 }
 
-/// The platform's list; none if it can't be read.  What can't be read of it is noted.
+/// Fetches the platform's list; none if that fails.  Logs the number of unreadable machines in it.
 pub(crate) async fn fetch(node: &Node, client: &machine::Client) -> Option<machine::List> {
     match client.list(CALL_TIMEOUT).await {
         Ok(list) => {
--- a/crates/scheduler/src/fleet/maintenance.rs
+++ b/crates/scheduler/src/fleet/maintenance.rs
@@ -1,4 +1,4 @@
-//! Carrying maintenance waves with the decisions of the engine.
+//! Runs maintenance waves according to the decisions of the engine.
 
 use super::emptying::{self, Target};
 use super::log_limiter::LogLimiter;
@@ -15,10 +15,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Time between two steps of the waves: a fraction of the two seconds that a machine is down.
+/// Interval between two steps of the waves, short against the two seconds that a machine is down.
 const STEP_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Reads how far waves were under a former holder; true if it is read.
+/// Reads the progress of waves that a former holder stored; true on success.
 pub(crate) async fn restore(controller: &Controller) -> bool {
     let node = controller.node();
     let waves = node.store.all(rows::FLEET, "", rows::WAVE_PREFIX, CALL_TIMEOUT).await;
@@ -39,7 +39,7 @@
     true
 }
 
-/// Carries waves until the duty is lost.
+/// Runs waves until this entry loses the cell.
 pub(crate) async fn run_forever(controller: &Controller) {
     let mut limiter = LogLimiter::default();
     while !controller.owner.is_stopped() {
@@ -55,7 +55,7 @@
     }
 }
 
-/// Takes in waves that operators have asked for since.
+/// Adds the waves that operators have requested since the last step.
 async fn add_new_waves(controller: &Controller) {
     let node = controller.node();
     let waves: Vec<wave::Wave> = node.waves.read().values().cloned().collect();
@@ -76,7 +76,7 @@
     }
 }
 
-/// Takes open waves a step further.
+/// Carries out the next steps of all open waves.
 async fn advance_waves(controller: &Controller) {
     if controller.state.lock().list.machines.is_empty() {
         return;
@@ -91,7 +91,7 @@
             Step::Complete { wave } => complete.push(wave),
         }
     }
-    // A machine that is off needs no emptying, but a later holder must know of its order, too.
+    // A machine that is off need not be emptied, but a later holder must know of its order too.
     let without_row: Vec<(String, String)> = {
         let view = node.view.read();
         let has_row = |machine: &String| view.emptying.contains_key(machine);
@@ -123,9 +123,9 @@
 
 /// All machines as the engine sees them.
 ///
-/// One that is about to move, or on its way, is not up for a wave: its callers wait for it, and it is
-/// looked at again where it arrives.  Nor is one that was ordered lately: emptied now, it would stand
-/// empty until it may be ordered again.
+/// A machine that is about to move, or is moving, does not count as up: the callers of its new pool
+/// wait for it, and it is considered again once it has arrived.  Neither does one with a recent
+/// order: emptied now, it would stay empty until it may be ordered again.
 fn machine_views(state: &State) -> BTreeMap<String, Machine> {
     let mut workload = Workload::new(state);
     let view_of = |machine: &machine::Machine| {
@@ -138,7 +138,7 @@
     state.list.machines.iter().map(view_of).collect()
 }
 
-/// A machine as the platform lists it, with its name.
+/// The name of a listed machine, and the machine as the engine sees it.
 pub(crate) fn machine_view(machine: &machine::Machine) -> (String, Machine) {
     let machine_view = Machine {
         minion: machine.minion.clone(),
@@ -149,11 +149,11 @@
     (machine.name.clone(), machine_view)
 }
 
-/// What the owners tell of the machines' work.
+/// The machines' work as their owners reported it.
 struct Workload<'a> {
-    /// Thousandths of cores in use on minions without lasting tasks.
+    /// Millicores in use, by minion, for minions without lasting tasks.
     cpu_in_use: HashMap<&'a str, u64>,
-    /// Machines that each pool can do without.
+    /// Number of machines that each pool can spare.
     surplus: BTreeMap<String, usize>,
 }
 
@@ -185,8 +185,8 @@
     }
 }
 
-/// Has machines emptied, each named with its minion.  Returns those whose row could not be written;
-/// they are chosen again.
+/// Requests the emptying of machines, given with their minions.  Returns the machines whose row
+/// could not be written; the planner chooses them again.
 async fn request_emptying(
     controller: &Controller,
     machines: Vec<(String, String)>,
@@ -209,7 +209,7 @@
     unwritten
 }
 
-/// Orders a machine down.
+/// Orders the maintenance of a machine.
 async fn order_maintenance(controller: &Controller, machine: &str, wave: u64) {
     let node = controller.node();
     if !controller.may_order() || controller.state.lock().has_recent_order(machine) {
@@ -232,14 +232,14 @@
             state.unsaved_begun.insert((wave, machine.into()));
         }
         OrderOutcome::Deferred => state.revert_order(machine),
-        // Ordered again when the list has had time to show it.
+        // Ordered again once the list has had time to show the maintenance.
         OrderOutcome::Refused | OrderOutcome::Unknown => {}
     }
 }
 
-/// Keeps which machines' maintenance has begun.
+/// Stores which machines' maintenance has begun.
 ///
-/// If this is lost, a later holder asks for the same maintenance again, which changes nothing.
+/// If this is lost, a later holder orders the same maintenance again, which has no effect.
 async fn save_begun(controller: &Controller) {
     let unsaved_begun: Vec<(u64, String)> =
         controller.state.lock().unsaved_begun.iter().cloned().collect();
@@ -259,7 +259,7 @@
     }
 }
 
-/// Keeps a wave itself; which of its machines have begun has rows of its own.
+/// Stores a wave without its begun machines, which have rows of their own.
 async fn save_wave(controller: &Controller, number: u64) {
     let wave = controller.state.lock().waves.wave(number).cloned();
     let Some(wave) = wave else { return };
@@ -267,12 +267,12 @@
     let name = Name::new(rows::FLEET, "", format!("{}{number}", rows::WAVE_PREFIX));
     let change = Transaction { writes: vec![(name, encode(&wave))], ..Transaction::default() };
     if let Err(error) = controller.node().commit(&change, CALL_TIMEOUT).await {
-        // A later holder takes the wave from the operators again, with a new window.
+        // A later holder reads the operators' request again, and the window begins anew.
         controller.node().journal.warn("wave_unkept", &[("wave", &number), ("reason", &error)]);
     }
 }
 
-/// Tells operators how far a wave is; true if it is written.
+/// Writes a wave's state for operators; true on success.
 async fn report_wave(node: &Node, number: u64, state: wave::State) -> bool {
     let name = Name::new(store::STATUS_TABLE, "", format!("{}{number}", wave::KEY_PREFIX));
     let change =
@@ -285,7 +285,7 @@
     written
 }
 
-/// Writes a line for each wave that got further.
+/// Logs each open wave whose progress has changed.
 fn log_progress(controller: &Controller, limiter: &mut LogLimiter<u64, Extent>) {
     let now = clock::now();
     if !limiter.begin_round_if_due(now) {
--- a/crates/scheduler/src/fleet/pools.rs
+++ b/crates/scheduler/src/fleet/pools.rs
@@ -1,4 +1,4 @@
-//! Moving machines between pools with the decisions of the engine.
+//! Moves machines between pools according to the decisions of the engine.
 
 use super::emptying::{self, Target};
 use super::log_limiter::LogLimiter;
@@ -17,19 +17,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Shortest time between two looks at the pools' demand.  A burst that lasts some seconds must
-/// be seen well within its first one.
+/// Shortest interval between two requests for the pools' demand.  A burst of some seconds must be
+/// noticed well within its first second.
 const STEP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Added to a tick for each pool, so that asking many of them takes at most fifty questions a
-/// second, some 10 ms of processor time.
+/// Interval for each pool, which replaces [`STEP_INTERVAL`] when there are many pools.  It limits
+/// the requests to fifty a second, which take some 10 ms of processor time.
 const STEP_INTERVAL_PER_POOL: Duration = Duration::from_millis(20);
 
-/// Longest wait for the owners' answers before moves are planned with those that came: ten times what an
-/// exchange takes as a rule.
+/// Longest wait for the owners' answers before moves are planned with those that arrived: ten times
+/// the usual round trip.
 const LOAD_ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Reads whose turns a former holder saw; true if they are read, or there are none.
+/// Reads the turns that a former holder stored; true on success, also if there are none.
 pub(crate) async fn restore(controller: &Controller) -> bool {
     let node = controller.node();
     let row = node.store.get(rows::FLEET, "", rows::TURNS_KEY, CALL_TIMEOUT).await;
@@ -48,19 +48,19 @@
     true
 }
 
-/// Keeps the turns as they are now, for the next holder.
+/// Stores the turns for the next holder.
 async fn save_turns(node: &Node, history: &History) {
     let pool = history.turns.last().map(String::as_str).unwrap_or_default();
     node.journal.note("turn_began", &[("pool", &pool), ("turns", &history.turns.len())]);
     let name = Name::new(rows::FLEET, "", rows::TURNS_KEY);
     let change = Transaction { writes: vec![(name, encode(history))], ..Transaction::default() };
-    // If this is lost, the next holder knows one turn less, until it has seen it itself.
+    // If this is lost, the next holder lacks one turn until it has observed it itself.
     if let Err(error) = node.commit(&change, CALL_TIMEOUT).await {
         node.journal.warn("turns_unkept", &[("reason", &error)]);
     }
 }
 
-/// Moves machines until the duty is lost.
+/// Moves machines until this entry loses the cell.
 pub(crate) async fn move_forever(controller: &Arc<Controller>) {
     let mut limiter = LogLimiter::default();
     while !controller.owner.is_stopped() {
@@ -84,10 +84,10 @@
     configuration.serving().map(Into::into).collect()
 }
 
-/// Asks the owners of all pools for their demand, and waits a moment for the answers.
+/// Requests the demand of all pools from their owners, and waits up to [`LOAD_ANSWER_TIMEOUT`].
 ///
-/// An owner that answers late is waited for beside the next steps: waited for here, it would keep all
-/// other pools' machines where they are.
+/// Later answers are received in the background during the next steps.  A longer wait for one slow
+/// owner would delay the moves between all other pools.
 async fn request_loads(controller: &Arc<Controller>, services: &[String]) {
     for service in services {
         if controller.state.lock().awaited_loads.insert(service.clone()) {
@@ -114,7 +114,7 @@
     controller.load_answered.wake();
 }
 
-/// Moves machines as the demand asks for.
+/// Plans further moves, and carries out those that are due.
 async fn advance_moves(controller: &Controller) {
     let node = controller.node();
     if controller.state.lock().list.machines.is_empty() || !controller.may_order() {
@@ -130,7 +130,7 @@
     abandon_overdue(controller).await;
 }
 
-/// Further moves, and the turns if another one began.
+/// Plans further moves; also returns the turns if another one began.
 fn plan_moves(state: &mut State, spare: Option<&str>) -> (Vec<Move>, Option<History>) {
     let machines = machine_views(state);
     let turns = state.pools.history().turns.clone();
@@ -159,7 +159,7 @@
     (name, machine_view)
 }
 
-/// Has machines emptied; the moves of those that couldn't be asked are given up.
+/// Requests the emptying of machines; cancels the moves of those whose row could not be written.
 async fn request_emptying(controller: &Controller, moves: &[Move]) {
     if moves.is_empty() {
         return;
@@ -174,7 +174,7 @@
     unwritten.iter().for_each(|machine| state.pools.abandon(machine));
 }
 
-/// Orders the moves of machines that are empty by now.
+/// Orders the moves of machines that are empty.
 async fn order_ready(controller: &Controller) {
     let ready_moves = ready_moves(&controller.state.lock());
     order_all(
@@ -214,8 +214,8 @@
     );
     let mut state = controller.state.lock();
     match ordered {
-        // Its row stays for the lease, and until the list shows another minion, so that
-        // nothing is started on the old one, which may be listed for some seconds more.
+        // The machine's row stays for the lease, and until the list shows another minion.  So
+        // nothing is started on the old minion, which may stay listed for some seconds.
         OrderOutcome::Done => {
             node.metrics.count(Counter::Moves);
             state.pools.ordered(&plan.machine, clock::now());
@@ -226,6 +226,7 @@
     }
 }
 
+/// Cancels moves whose machines have not become empty in time.
 async fn abandon_overdue(controller: &Controller) {
     let node = controller.node();
     let overdue = controller.state.lock().pools.overdue(clock::now());
@@ -234,7 +235,7 @@
         let mut state = controller.state.lock();
         state.pools.abandon(&plan.machine);
         node.journal.note("move_given_up", &[("machine", &plan.machine), ("to", &plan.to)]);
-        // One that may have been ordered keeps its row for the lease.
+        // A machine that may have been ordered keeps its row for the lease.
         if !state.has_recent_order(&plan.machine) {
             rows.push(plan.machine.clone());
         }
@@ -242,7 +243,7 @@
     emptying::drop_rows(controller, &rows).await;
 }
 
-/// Writes a line for each pool of which something else is believed.
+/// Logs each pool whose balance has changed.
 fn log_balances(controller: &Controller, limiter: &mut LogLimiter<String, Balance>) {
     let state = controller.state.lock();
     if state.list.machines.is_empty() || !limiter.begin_round_if_due(clock::now()) {
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following the platform's tables: what operators write, and the minions that register.
+//! Follows tables of the platform's store: what operators write, and the minions that register.
 
 use crate::clock;
 use crate::in_force;
@@ -11,36 +11,36 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait of one feed call as a rule.  A connection that goes silent is found out only when
-/// the answer is overdue, so this bounds the age of a configuration then.
+/// Longest wait of one feed call for most tables.  A dead connection is noticed only once the
+/// answer is overdue, so this bounds how outdated the configuration can become meanwhile.
 pub(crate) const MAX_FEED_WAIT: Duration = Duration::from_millis(1000);
 
-/// Pause after a failed call.
+/// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Gathers the entries of minions that come together; what an owner knows of them then is at most
-/// this old, a fifteenth of the time that a minion takes to move.
+/// Delay in which changes of the minion table are batched.  It adds at most this much to the age of
+/// what an owner knows, a fifteenth of the time that a minion takes to move.
 const MINION_BATCH_DELAY: Duration = Duration::from_millis(100);
 
-/// The same for entries that own no cell and only need the list when they take one; they read it
-/// at once then.  Every minion's entry changes at each of its heartbeats, so each entry would read as
-/// often as it may, and all entries of all minions each time: at 50 ms that was 44 of 100 calls to the
-/// store with 9 entries and 50 minions.  Two heartbeats; the history that a read goes on from lasts ten
-/// times as long.
+/// Batching delay of entries that own no cell; they read the table at once when they take one.
+/// Every row of the minion table changes at each heartbeat, so without this delay each entry would
+/// read all rows at the highest possible rate: at 50 ms, these were 44 of 100 calls to the store
+/// with 9 entries and 50 minions.  The delay is two heartbeats; the feed's history lasts ten times
+/// as long.
 const MINION_IDLE_BATCH_DELAY: Duration = Duration::from_millis(3000);
 
-/// Longest wait for a read.
+/// Longest wait for the read of a table.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Something that takes in a table's rows.
+/// Receives the rows of a followed table.
 pub(crate) trait Sink: Send + Sync {
-    /// Takes in all rows of the table as of a version; what isn't among them is gone.
+    /// Applies all rows of the table as of a version; rows that are missing no longer exist.
     fn replace(&self, rows: Vec<Row>, version: u64);
-    /// Takes in changes.
+    /// Applies changed rows.
     fn apply_changes(&self, rows: Vec<Row>);
-    /// Takes in that a read was answered, before what it brought.
+    /// Called when a read was answered, before its rows are applied.
     fn read_answered(&self) {}
-    /// Takes in that all that a read brought is taken in.
+    /// Called when all rows of a read have been applied.
     fn read_applied(&self) {}
 }
 
@@ -48,26 +48,26 @@
 pub(crate) struct Table {
     /// Its name.
     pub(crate) name: &'static str,
-    /// Whether it has more partitions than the empty one.
+    /// Whether it has other partitions than the empty one.
     pub(crate) has_partitions: bool,
-    /// Whether each entry keeps a row in it and all follow it, so that reading it whole takes each a call
-    /// for each other.
+    /// Whether each entry has a row in it and all entries follow it, so that the cost of a full
+    /// read grows with the number of entries.
     pub(crate) has_row_per_entry: bool,
-    /// Pause between two calls, to gather changes.
+    /// Delay between two calls, to batch changes.
     pub(crate) batch_delay: Duration,
-    /// The same while this entry owns no cell.
+    /// Delay between two calls while this entry owns no cell.
     pub(crate) idle_batch_delay: Duration,
     /// Longest wait of one call for a change.
     pub(crate) max_wait: Duration,
 }
 
-/// Follows a table until the node stops or `sink` is dropped by its owner.
+/// Follows a table until the node stops: reads it in full, then its changes.
 pub(crate) async fn follow(node: Arc<Node>, table: Table, sink: Arc<dyn Sink>) {
     let Some(mut version) = read_table(&node, &table, sink.as_ref()).await else { return };
     follow_from(&node, &table, sink.as_ref(), &mut version).await;
 }
 
-/// Follows a table from a version on.
+/// Follows the changes of a table after a version.
 pub(crate) async fn follow_from(
     node: &Arc<Node>,
     table: &Table,
@@ -76,7 +76,7 @@
 ) {
     while node.pause(table.batch_delay).await {
         let idle_batch_delay = table.idle_batch_delay.saturating_sub(table.batch_delay);
-        // Tables without one must not take the wake-up that is meant for the others.
+        // A table without an idle delay must not consume the wake-up meant for the others.
         if !idle_batch_delay.is_zero() && node.owners.read().is_empty() {
             node.owning.wait(idle_batch_delay).await;
         }
@@ -106,7 +106,7 @@
     }
 }
 
-/// Rows of another writer that can't be read don't hold up the others.
+/// Logs unreadable rows.  They do not hold up the others.
 fn note_unreadable(node: &Node, table: &Table, page: &Page) {
     if page.unreadable > 0 {
         let fields: [(&'static str, &dyn std::fmt::Display); 3] =
@@ -122,7 +122,7 @@
     *version = page.version.max(*version);
 }
 
-/// Reads a table whole, again and again until it succeeds; none when the node stops.
+/// Reads a table in full, retrying until it succeeds; none when the node stops.
 async fn read_table(node: &Arc<Node>, table: &Table, sink: &dyn Sink) -> Option<u64> {
     loop {
         let result = if table.has_partitions {
@@ -144,9 +144,10 @@
     }
 }
 
-/// How long to wait so that not all entries read a table with a row for each of them at once.
+/// Random delay before a full read, so that not all entries read a table with a row for each entry
+/// at once.
 fn reread_delay(node: &Node, table: &Table) -> Duration {
-    // Other tables are read by few, and at once: owners must learn of cancellations.
+    // Other tables have few readers, which must not wait: owners must learn of cancellations.
     if !table.has_row_per_entry {
         return Duration::ZERO;
     }
@@ -154,7 +155,7 @@
     ownership::reread_pause(entries, rand::random())
 }
 
-/// What operators write: the configuration and waves of maintenance.
+/// Applies what operators write: the configuration and maintenance waves.
 pub(crate) struct OperatorSink(pub(crate) Arc<Node>);
 
 impl OperatorSink {
@@ -201,17 +202,18 @@
     }
 }
 
-/// Minions as the platform lists them.
+/// Applies the platform's table of minions.
 pub(crate) struct MinionSink(pub(crate) Arc<Node>);
 
 impl MinionSink {
-    /// Takes in one minion; true if something else is known of it now.  Most changes are heartbeats.
+    /// Applies one minion's row; true if it changed what is known of the minion.  Most changes are
+    /// heartbeats only.
     fn apply_row(&self, row: &Row) -> bool {
         let node = &self.0;
         let id: Arc<str> = row.key.as_str().into();
         let entry = if row.dropped { None } else { Entry::decode(&id, &row.value) };
         let Some(entry) = entry else {
-            // What can't be read names no minion to use, also where an earlier entry did.
+            // A minion with an unreadable row is not used, even if an earlier row was readable.
             if !row.dropped {
                 node.journal.warn("minion_unreadable", &[("minion", &id)]);
             }
@@ -257,8 +259,9 @@
 }
 
 impl Sink for MinionSink {
-    /// Entries that are missing are not dropped at once: the list may be read just after an
-    /// outage of the store, when entries lapsed that come back within some seconds.
+    /// Owners keep the runs of minions that are missing until their leases lapse: the table may be
+    /// read just after an outage of the store, when rows have expired that come back within some
+    /// seconds.
     fn replace(&self, rows: Vec<Row>, _: u64) {
         let present: std::collections::BTreeSet<Arc<str>> =
             rows.iter().map(|row| row.key.as_str().into()).collect();
@@ -269,8 +272,8 @@
         self.notify_owners();
     }
 
-    /// Owners are told of changes only: told of each heartbeat, one with some hundred minions copied all
-    /// of their listings ten times a second.
+    /// Notifies owners of changes only.  Notified of each heartbeat, an owner with some hundred
+    /// minions copied all of their listings ten times a second.
     fn apply_changes(&self, rows: Vec<Row>) {
         let changed = rows.iter().filter(|row| self.apply_row(row)).count();
         if changed > 0 {
--- a/crates/scheduler/src/front.rs
+++ b/crates/scheduler/src/front.rs
@@ -1,4 +1,4 @@
-//! What callers are answered.
+//! The HTTP interface to callers.
 
 use crate::clock;
 use crate::metrics::{Counter, Timing};
@@ -24,25 +24,25 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How long a caller waits when it doesn't say.
+/// Deadline of requests that give none.
 const DEFAULT_DEADLINE: Duration = Duration::from_millis(3000);
 
-/// Longest wait for one transaction.  The store answers in some 4 ms; an answer that takes
-/// this long is most likely lost, and asking again is harmless.
+/// Longest wait for one transaction.  The store answers in some 4 ms, so an answer that takes this
+/// long is most likely lost; a retry is harmless.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(1400);
 
-/// Longest wait for a read.
+/// Longest wait for one read from the store.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Pause before a write that was certainly not done is tried again.
+/// Delay before a failed write is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(120);
 
-/// The front of an entry.
+/// Serves the requests of callers.
 pub(crate) struct Front {
     node: Arc<Node>,
 }
 
-/// Counts a request while it is worked on.
+/// Counts a request as in flight until dropped.
 struct InFlight<'a>(&'a Node);
 
 impl<'a> InFlight<'a> {
@@ -58,22 +58,22 @@
     }
 }
 
-/// What is known of a caller's request.
+/// The context of a caller's request.
 struct Context {
-    /// The caller's name for it.
+    /// The id that the caller gave it; `-` if none.
     request_id: String,
-    /// On whose behalf it is made.
+    /// On whose behalf the request is made.
     origin: Origin,
-    /// When its answer must be sent.
+    /// When the response must be sent.
     deadline: Time,
     began: Time,
 }
 
-/// What a request is for.
+/// The queue that a request addresses, and on whose behalf.
 struct Target {
     queue: Queue,
     origin: Origin,
-    /// What follows the queue's path: a job's id, or nothing.
+    /// The path after the queue's own: a job's id, or empty.
     subpath: String,
 }
 
@@ -119,7 +119,7 @@
         if let Origin::Workspace(_) = target.origin {
             self.node.in_force.refresh().await;
         }
-        // What was in force when the head came may not be any more.
+        // The configuration may have changed since the head was checked.
         let target = match self.resolve_target(&request.head) {
             Ok(target) => target,
             Err(response) => return *response,
@@ -140,10 +140,10 @@
         }
     }
 
-    /// What a request is for and on whose behalf it is made, by the configuration in force.
+    /// Finds the queue of a request and authorizes the request, by the configuration in force.
     ///
     /// # Errors
-    /// The answer to a request that isn't let in.
+    /// The response to a request that is not admitted.
     fn resolve_target(&self, head: &http_types::Request) -> Result<Target, Box<Response>> {
         let node = &self.node;
         let Some(configuration) = node.configuration() else {
@@ -167,6 +167,7 @@
         Ok(Target { queue: queue.clone(), origin, subpath })
     }
 
+    /// Refuses a request without a valid key.
     fn refuse_unauthorized(
         &self,
         head: &http_types::Request,
@@ -193,7 +194,8 @@
         response
     }
 
-    /// Refuses a call whose key may have been withdrawn meanwhile.
+    /// Refuses a request whose key may have been withdrawn since the configuration was last
+    /// confirmed.
     fn refuse_unconfirmed(&self, head: &http_types::Request, queue: &Queue) -> Response {
         let request = last_value(head, submission::REQUEST_HEADER).unwrap_or("-");
         let age_ms = self.node.in_force.age().as_millis();
@@ -273,7 +275,8 @@
         response
     }
 
-    /// Whether a job that is kept as `row` is the caller's to see.  One that can't be read is nobody's.
+    /// Whether the caller may access the job stored as `row`.  An unreadable job is inaccessible to
+    /// all workspaces.
     fn may_access(&self, context: &Context, id: Id, row: &[u8]) -> bool {
         match Accepted::decode(row) {
             Ok(accepted) => context.origin.may_access(&accepted.origin),
@@ -304,7 +307,8 @@
         status_response(status)
     }
 
-    /// Tells the owner without waiting for it: its feed brings the same a little later.
+    /// Notifies the owner without waiting for an answer; the owner's feed brings the same a little
+    /// later.
     fn notify_owner(&self, question: Question) {
         let node = self.node.clone();
         if let Some(owner) = node.owner(question.service()) {
@@ -323,9 +327,9 @@
         let asked = peers::ask_owner(&self.node, &queue.service, question);
         let state = match asked.await {
             Some(Answer::State(Some(state))) => Ok(Some(state)),
-            // Nobody can tell now, and whoever asks does so again.
+            // The state cannot be determined now; the caller asks again.
             _ if self.node.is_store_away() => return unavailable_response(context.remaining()),
-            // A job that the owner doesn't know may have been accepted a moment ago.
+            // A job that the owner does not know may just have been accepted.
             _ => self.read_state(context, queue, id).await,
         };
         match state {
@@ -351,7 +355,7 @@
         }
     }
 
-    /// A job's state as far as it is kept; none if it was never accepted.
+    /// Reads a job's state from the store; none if the job was never accepted or is inaccessible.
     async fn read_state(
         &self,
         context: &Context,
@@ -479,8 +483,8 @@
     response
 }
 
-/// A refusal: whatever was asked was not done and won't be.  Its caller has so much time left to come
-/// back.
+/// The response to a request that was not carried out and will not be: 503, with a `retry-after`
+/// that fits the caller's remaining time.
 fn unavailable_response(remaining: Duration) -> Response {
     let mut response = status_response(StatusCode::ServiceUnavailable);
     response.insert_header("retry-after", retry_after_s(remaining).to_string());
--- a/crates/scheduler/src/in_force.rs
+++ b/crates/scheduler/src/in_force.rs
@@ -1,8 +1,9 @@
-//! The configuration in force here, and since when it is known to be the newest one.
+//! The configuration in force on this entry, and when it was last confirmed to be the newest one.
 //!
-//! It comes from the store's feed.  An entry that the store doesn't serve, while it serves others and operators,
-//! asks a peer: keys that were withdrawn meanwhile would be let in here for as long as that lasts.  Whichever way
-//! it came, a configuration only ever gives way to one with a higher version.
+//! It comes from the store's feed.  An entry that cannot reach the store, while other entries and
+//! operators can, asks a peer.  Otherwise it would accept keys that have been withdrawn for as long
+//! as that lasts.  A configuration is only ever replaced by one with a higher version, whatever its
+//! source.
 
 use crate::clock;
 use crate::node::Node;
@@ -16,45 +17,48 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Age from which on a peer is asked: the feed's longest wait, and the time that its answer may take.
+/// Age of the last confirmation from which on a peer is asked: the feed's longest wait plus the
+/// time that its answer may take.
 const PEER_QUERY_AGE: Duration = Duration::from_millis(1500);
 
-/// Time between two questions to peers, at the least and while they know nothing newer.
+/// Shortest interval between two queries to peers.  It doubles after each query that brings
+/// nothing, up to [`MAX_PEER_QUERY_INTERVAL`].
 const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(400);
-/// See [`ASK_INTERVAL`].
+/// Longest interval between two queries to peers.
 const MAX_PEER_QUERY_INTERVAL: Duration = Duration::from_millis(1600);
 
-/// Age from which on a call with a key waits for a new look, as after a cut or a freeze.
+/// Age of the last confirmation from which on a call with a key waits for a new one, as after a
+/// network cut or a suspended process.
 const MAX_TRUSTED_AGE: Duration = Duration::from_millis(3000);
 
-/// Longest wait of a call for that look.
+/// Longest wait of a call for a new confirmation.
 const REFRESH_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time between two polls of a call that waits.
+/// Interval between two polls of a call that waits.
 const REFRESH_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The newest configuration known here.
 #[derive(Clone)]
 struct Current {
     configuration: Arc<Configuration>,
-    /// As it was written, for peers that lack it.
+    /// Its encoded form as operators wrote it, for peers that lack it.
     body: Arc<[u8]>,
 }
 
-/// The configuration in force here.
+/// The configuration in force on this entry, none at first.
 #[derive(Default)]
 pub(crate) struct ConfigurationInForce {
     current: RwLock<Option<Current>>,
-    /// When it was last certain to be the newest one.
+    /// When it was last confirmed to be the newest one.
     confirmed_at: Mutex<Time>,
-    /// When a call last waited for a new look.
+    /// When a call last waited for a confirmation in vain.
     refresh_timed_out_at: Mutex<Time>,
-    /// Woken when a peer is to be asked at once.
+    /// Woken to query a peer at once.
     query_wake: Wake,
 }
 
 impl ConfigurationInForce {
-    /// The configuration; none before the first was read.
+    /// The configuration; none before the first one is read.
     pub(crate) fn get(&self) -> Option<Arc<Configuration>> {
         self.current.read().as_ref().map(|current| current.configuration.clone())
     }
@@ -70,7 +74,7 @@
         newer.map(|current| current.body.clone())
     }
 
-    /// Puts a configuration in force; false if it isn't newer.
+    /// Replaces the configuration; false if the given one is not newer.
     fn replace(&self, configuration: Arc<Configuration>, body: &[u8]) -> bool {
         let mut current = self.current.write();
         let known = current.as_ref().map(|current| current.configuration.version);
@@ -81,19 +85,20 @@
         true
     }
 
-    /// Notes that it was certain to be the newest one at a moment.
+    /// Records that it was the newest one at a moment.
     pub(crate) fn confirm(&self, at: Time) {
         let mut confirmed_at = self.confirmed_at.lock();
         *confirmed_at = at.max(*confirmed_at);
     }
 
-    /// Time since it was last certain to be the newest one.
+    /// Time since it was last confirmed to be the newest one.
     pub(crate) fn age(&self) -> Duration {
         clock::now().since(*self.confirmed_at.lock())
     }
 
-    /// Waits a little for a new look if the last one is long ago.  Once a while only: while nobody can tell, calls
-    /// aren't held up one after the other.
+    /// Waits for a new confirmation if the last one is older than [`MAX_TRUSTED_AGE`].  After a
+    /// wait in vain, calls do not wait for that long, so that they are not all delayed while
+    /// neither the store nor a peer answers.
     pub(crate) async fn refresh(&self) {
         let began = clock::now();
         if self.age() <= MAX_TRUSTED_AGE
@@ -112,7 +117,7 @@
     }
 }
 
-/// Takes in a configuration as operators wrote it, unless it is no newer than the one in force.
+/// Puts an encoded configuration in force if it is newer than the present one.
 pub(crate) fn apply(node: &Node, body: &[u8], source: &dyn std::fmt::Display) {
     let read = match Configuration::decode(body) {
         Ok(read) => Arc::new(read),
@@ -143,14 +148,15 @@
     }
 }
 
-/// Tells a peer what is known here.
+/// The answer to a peer that has configuration `version`.
 pub(crate) fn answer_peer(node: &Node, version: u64) -> Answer {
     let age_ms = u32::try_from(node.in_force.age().as_millis()).unwrap_or(u32::MAX);
     let body = node.in_force.body_newer_than(version).map(|body| body.to_vec());
     Answer::Configuration { version: node.in_force.version(), age_ms, body }
 }
 
-/// Asks peers whenever the store hasn't confirmed the configuration for long, until the node stops.
+/// Queries peers while the store has not confirmed the configuration for [`PEER_QUERY_AGE`] or may
+/// be unavailable, until the node stops.
 pub(crate) async fn query_peers_forever(node: Arc<Node>) {
     let mut peer = None;
     let mut interval = PEER_QUERY_INTERVAL;
@@ -172,7 +178,7 @@
     }
 }
 
-/// Asks one peer; true if it knew as much or more, and later.
+/// Queries one peer; true if its version is at least this entry's and was confirmed more recently.
 async fn query_peer(node: &Node, peer: SocketAddr) -> bool {
     let (version, age, asked) = (node.in_force.version(), node.in_force.age(), clock::now());
     let answer = node.peers.ask(peer, Question::Configuration { version }).await;
@@ -188,7 +194,7 @@
     true
 }
 
-/// A peer to ask: one with a link that is open already, if there is one.
+/// Chooses a random peer to query, preferably one with an open connection.
 fn choose_peer(node: &Node) -> Option<SocketAddr> {
     let view = node.view.read();
     let others = || {
--- a/crates/scheduler/src/metrics.rs
+++ b/crates/scheduler/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, read as a text page.
+//! Counters and latency histograms, served as a text page.
 
 use hdrhistogram::Histogram;
 use parking_lot::Mutex;
@@ -7,13 +7,13 @@
 use std::time::Duration;
 use strum::{Display, EnumCount, VariantArray};
 
-/// What is counted.
+/// A counter.
 #[derive(Clone, Copy, Debug, Display, EnumCount, Eq, PartialEq, VariantArray)]
 #[strum(serialize_all = "snake_case")]
 pub enum Counter {
     /// Jobs accepted.
     JobsAccepted,
-    /// Submissions refused, and certainly not run.
+    /// Submissions refused; the job is certainly not run.
     JobsRefused,
     /// Submissions whose acceptance is unknown.
     JobsUnknown,
@@ -29,21 +29,21 @@
     StartsUnknown,
     /// Runs ordered to stop.
     Stops,
-    /// Runs that ended with their minion's life.
+    /// Runs lost with their minion.
     RunsLost,
     /// Incarnation changes in answers under the same minion id.
     MinionsRestarted,
     /// Runs ordered to another pace.
     Paces,
-    /// Looks at minions.
+    /// Polls of minions, which also extend leases.
     Holds,
-    /// Looks without an answer.
+    /// Polls without an answer.
     HoldsMissed,
-    /// Transactions that kept ends.
+    /// Successful transactions of owners, such as those that store the ends of runs.
     Keeps,
-    /// Transactions that change shares of workspaces' limits.
+    /// Transactions that change cells' shares of workspaces' limits.
     ShareWrites,
-    /// Those of them that met another cell's change.
+    /// Such transactions that conflicted with another cell's change.
     ShareConflicts,
     /// Cells taken over.
     CellsTaken,
@@ -51,9 +51,9 @@
     CellsLost,
     /// Cells handed to another entry.
     CellsHandedOver,
-    /// Calls to the store that brought nothing.
+    /// Calls to the store that failed.
     StoreFailures,
-    /// Questions to peers that were not answered.
+    /// Requests to peers that were not answered.
     PeerFailures,
     /// Machines moved to another pool.
     Moves,
@@ -61,24 +61,24 @@
     Maintenances,
 }
 
-/// What is timed, in milliseconds.
+/// A latency, in milliseconds.
 #[derive(Clone, Copy, Debug, Display, EnumCount, Eq, PartialEq, VariantArray)]
 #[strum(serialize_all = "snake_case")]
 pub enum Timing {
-    /// From a submission's arrival to its answer.
+    /// From the arrival of a submission to its response.
     Accept,
     /// A transaction of the store.
     Commit,
-    /// A start order.
+    /// An order to start a run.
     Start,
     /// From a job's acceptance to its end.
     Job,
 }
 
-/// Largest time that is told apart: two minutes.
+/// Largest recorded time: two minutes.  Longer ones count as this.
 const MAX_RECORDED_MS: u64 = 120_000;
 
-/// All figures of a process.
+/// All counters and histograms of a process.
 pub struct Metrics {
     counters: Vec<AtomicU64>,
     timings: Vec<Mutex<Histogram<u32>>>,
@@ -99,22 +99,22 @@
 }
 
 impl Metrics {
-    /// Counts one.
+    /// Increments a counter.
     pub fn count(&self, counter: Counter) {
         self.counters[counter as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A counter's value.
+    /// The value of a counter.
     pub fn value(&self, counter: Counter) -> u64 {
         self.counters[counter as usize].load(Ordering::Relaxed)
     }
 
-    /// Records a time.
+    /// Records a duration, of at least 1 ms.
     pub fn time(&self, timing: Timing, took: Duration) {
         self.timings[timing as usize].lock().saturating_record((took.as_millis() as u64).max(1));
     }
 
-    /// All figures, one a line.
+    /// All values as text, one a line.
     pub fn page(&self) -> String {
         let mut page = String::new();
         for counter in Counter::VARIANTS {
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -4,57 +4,61 @@
 use celerythread_model::unit::Span;
 use std::net::SocketAddr;
 
-/// Everything that an entry is told.
+/// The settings of an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The instance's name.
     pub name: String,
     /// Its availability zone.
     pub zone: String,
-    /// Its share of a processor, in cores.
+    /// The processor cores that it may use.
     pub cores: f64,
-    /// Where callers reach it.
+    /// The address at which callers reach it.
     pub caller_listen: SocketAddr,
-    /// Where it is asked whether it takes callers; may be the callers' own address.
+    /// The address of its readiness check; may be the callers' address.
     pub ready_listen: SocketAddr,
-    /// Where peers reach it, over UDP.
+    /// The UDP address at which peers reach it.
     pub peer_listen: SocketAddr,
-    /// Where counters and histograms are served; none serves none.
+    /// The address at which metrics are served; none to serve no metrics.
     pub metrics_listen: Option<SocketAddr>,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// The platform's interface to machines; without it no maintenance is carried out.
+    /// The address of the platform's machine interface; without it, no machine is maintained or
+    /// moved.
     pub machines: Option<SocketAddr>,
-    /// The platform's advice service; without it queues that need tickets are not served.
+    /// The address of the platform's advice service; without it, queues that need tickets are not
+    /// served.
     pub advice: Option<SocketAddr>,
-    /// Term of a lease on what runs on a minion.
+    /// Term of a minion's lease on its runs.
     pub run_lease: Span,
-    /// Longest lease that minions grant, regardless of the requested term.
+    /// Longest lease that minions grant, whatever term is requested.
     pub lease_limit: Span,
-    /// How long an owner that can't renew its row goes on extending leases.
+    /// How long an owner that cannot renew its row continues to extend leases.
     pub extend_alone: Span,
-    /// Time between two renewals of this entry's row.
+    /// Interval between two renewals of this entry's row.
     pub renew: Span,
-    /// Least silence of an entry after which its cells are taken over; longer while the store is
+    /// Shortest silence of an entry after which its cells are taken over; longer while the store is
     /// slow.
     pub takeover_after: Span,
     /// Longest time that a minion takes to stop a run.
     pub stop_timeout: Span,
-    /// Time for which holders of the maintenance duty must not take turns.
+    /// Term of a fleet controller's lease on a machine after an order, within which no other holder
+    /// may order it.
     pub maintenance_lease: Span,
     /// How long a machine is down for its maintenance.
     pub maintenance_duration: Span,
-    /// Orders for machines that the platform takes in a second, from all entries together.
+    /// Orders for machines that the platform accepts in a second, from all entries together.
     pub orders_per_s: f64,
     /// How long ended jobs are kept.
     pub retention: Span,
-    /// Longest time for a graceful stop.
+    /// Longest duration of a graceful stop.
     pub stop_bound: Span,
     /// Largest body of a caller's request, in bytes.
     pub body_limit: u64,
-    /// Whether calls with a key are refused while it may have been withdrawn unseen.
+    /// Whether requests with a key are refused while this entry may have missed the key's
+    /// withdrawal.
     pub strict_keys: bool,
-    /// How long after the configuration was last known to be the newest that begins.
+    /// Age of the configuration's last confirmation from which on they are refused.
     pub trust_keys_for: Span,
 }
 
@@ -72,18 +76,19 @@
             store: any_port,
             machines: None,
             advice: None,
-            // A takeover takes some 3 s (silence, a transaction, one call to each minion) and the
-            // last extension is up to a second old, and what runs is to outlive both; longer
-            // would delay the restart of what a lost minion ran.
+            // Runs must outlive a takeover, which takes some 3 s (silence, a transaction, one call
+            // to each minion), with a last extension that is up to 1 s old.  A longer lease would
+            // delay the restart of what a lost minion ran.
             run_lease: Span::millis(4500),
             lease_limit: Span::millis(10_000),
-            // With the lease, rides out an outage of the store of some 7 s; longer would delay
-            // a new owner where a minion doesn't answer it.  Against 5 s for both, 24 days on
-            // each of two deployments, most of them with trouble, served 0.7 and 1.3 percent more.
+            // With the lease, runs survive a store outage of some 7 s.  A longer time would delay a
+            // new owner where a minion does not answer it.  Compared with 5 s for both, 0.7 and 1.3
+            // percent more was served on two deployments over 24 days each, most of them with
+            // faults.
             extend_alone: Span::millis(3000),
             renew: Span::millis(300),
-            // Four missed renewals.  An instance that is slowed down five times still renews in
-            // time; a slow store lengthens the term by itself.
+            // Four missed renewals.  An instance slowed down by a factor of five still renews in
+            // time; a slow store lengthens the term automatically.
             takeover_after: Span::millis(1300),
             stop_timeout: Span::millis(900),
             maintenance_lease: Span::millis(3000),
@@ -150,7 +155,7 @@
         }
     }
 
-    /// What no single key can tell.
+    /// Reports contradictions between keys, and values out of range.
     fn check(&self, reader: &mut Reader) {
         use celerythread_model::code::Code;
         if self.takeover_after.0 < self.renew.0 * 3 {
--- a/crates/scheduler/src/status.rs
+++ b/crates/scheduler/src/status.rs
@@ -1,6 +1,7 @@
-//! What the entries agree on, as the platform's store keeps it, for operators.
+//! The shared state of the entries, for operators.
 //!
-//! It is read from the store alone: it tells who holds what also while no entry answers.
+//! It is read from the platform's store alone, so it shows who holds which cell even while no entry
+//! answers.
 
 use crate::rows;
 use celerythread_adapter::store::{self, Error, Row};
@@ -14,25 +15,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for one read: a store that is a hundred times slower answers in 0.4 s.
+/// Longest wait for one read.  A store that is slowed down a hundred times answers in 0.4 s.
 const READ_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// All that is agreed on.
+/// The shared state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Status {
     /// The store's version when it was read.
     pub version: u64,
     /// The entries that have a row.
     pub entries: Vec<Entry>,
-    /// Who holds each cell.
+    /// The cells and their holders.
     pub cells: Vec<Cell>,
-    /// Machines that are being emptied, or were ordered lately.
+    /// Machines that are being emptied, or were ordered recently.
     pub emptying: Vec<Emptying>,
     /// Maintenance waves.
     pub waves: Vec<Wave>,
     /// What each cell may use of each workspace's limit.
     pub shares: Vec<Share>,
-    /// Pools in the order of their turns, the present one last.
+    /// Pools in the order of their turns, the current one last.
     pub turns: Vec<String>,
     /// Keys of rows that could not be read.
     pub unreadable: Vec<String>,
@@ -41,13 +42,13 @@
 /// An entry.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Entry {
-    /// Its process's id.
+    /// The id of its process.
     pub id: String,
-    /// Where peers reach it.
+    /// The address at which peers reach it.
     pub peer: SocketAddr,
-    /// Thousandths of a processor core that it has.
+    /// Millicores of processor time that it has.
     pub power: u32,
-    /// How often it renewed its row; two readings tell whether it still does.
+    /// Number of renewals of its row; a difference between two reads shows that it is alive.
     pub renewal: u64,
     /// Milliseconds of silence after which its cells may be taken over.
     pub term_ms: u32,
@@ -58,13 +59,13 @@
 /// A cell.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Cell {
-    /// The service; `~fleet` for maintenance and moves.
+    /// The service; `~fleet` for the fleet controller.
     pub service: String,
-    /// The process that holds it.
+    /// The id of the process that holds it.
     pub holder: String,
     /// Whether that process has a row.
     pub holder_is_there: bool,
-    /// How many holders it had before.
+    /// Number of earlier holders.
     pub generation: u32,
     /// The holder's fencing token.
     pub token: u64,
@@ -75,7 +76,7 @@
 pub struct Emptying {
     /// The machine.
     pub machine: String,
-    /// The minion on it that gets no more work.
+    /// Its minion, on which nothing is started any more; empty for a machine that is off.
     pub minion: String,
 }
 
@@ -88,7 +89,7 @@
     pub begun: usize,
     /// Its machines.
     pub machines: usize,
-    /// Whether it was reported as completed.
+    /// Whether it was reported to operators as completed.
     pub completed: bool,
 }
 
@@ -97,30 +98,31 @@
 pub struct Share {
     /// The workspace.
     pub workspace: String,
-    /// What it may have running over all cells: thousandths of a core, MiB, accelerators.
+    /// The workspace's limit over all cells: millicores, MiB, accelerators.
     pub limit: String,
-    /// The version of the configuration that the limit is of.
+    /// The version of the configuration that set the limit.
     pub configuration: u64,
     /// The cell.
     pub cell: String,
-    /// What the cell may have running.
+    /// What the cell may use.
     pub size: String,
-    /// What it would have running, where that is more.
+    /// What the cell could use, if that is more than its share; otherwise empty.
     pub wanted: String,
     /// The fencing token of the owner that wrote it.
     pub token: u64,
 }
 
-/// Reads what is agreed on.
+/// Reads the shared state from the store at `address`.
 ///
 /// # Errors
-/// When the store doesn't answer.
+/// When a read from the store fails or is not answered in time.
 pub async fn read(address: SocketAddr) -> Result<Status, Error> {
     let store = store::Client::new(Service::new(Arc::new(Caller::default()), address));
     let page = store.whole(rows::CONTROL, "", READ_TIMEOUT).await?;
     let mut status = Status { version: page.version, ..Status::default() };
     let fleet = store.all(rows::FLEET, "", "", READ_TIMEOUT).await?;
-    // In the order of their keys machines whose maintenance has begun come before their waves.
+    // Reversed, because the keys of begun machines sort before those of the waves they are counted
+    // in.
     page.rows.iter().chain(fleet.rows.iter().rev()).for_each(|row| status.add_row(row));
     let splits = store.all(rows::SPLITS, "", "", READ_TIMEOUT).await?;
     splits.rows.iter().for_each(|row| status.add_split(row));
@@ -152,7 +154,7 @@
         } else if key == rows::TURNS_KEY {
             decode::<History>(&row.value).map(|history| self.turns = history.turns)
         } else {
-            // The authority, which is nobody's to see.
+            // The certificate authority contains a private key and is not shown.
             Ok(())
         };
         if readable.is_err() {
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -1,4 +1,4 @@
-//! Writing an accepted job, here or through a peer.
+//! Writes submitted jobs to the store, directly or through a peer.
 
 use crate::clock;
 use crate::confirm::{self, Confirmed};
@@ -14,52 +14,52 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Pause before a write that was certainly not done is tried again.
+/// Delay before a write is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(120);
 
-/// Pause before it is looked again whether a store that is away is back: without a call, since what
-/// follows the store's tables finds that out.
+/// Interval between two checks whether an unavailable store is back.  A check makes no call; the
+/// tasks that follow the store's tables notice its return.
 const STORE_POLL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Peers through which a submission is tried when the store turns this entry away: it may
-/// serve all others meanwhile.
+/// Maximum number of peers through which a submission is tried while the store does not serve this
+/// entry, as it may still serve the others.
 const MAX_RELAY_PEERS: usize = 2;
 
-/// What became of writing a job.
+/// The outcome of writing a job.
 #[derive(Debug)]
 pub(crate) enum WriteOutcome {
-    /// It is there, by this request or an earlier one; with the row as it is stored.
+    /// The job is stored, by this request or an earlier one; with the stored row.
     ///
-    /// An earlier request of the same id may have had another content, and that is the job.  An
-    /// owner told of this request's content instead would run what nobody finds in the store.
+    /// An earlier request with the same id may have had different content, which then is the job.
+    /// An owner notified of this request's content instead would run something other than the
+    /// stored job.
     Accepted(Vec<u8>),
-    /// It is certainly not there by this request.
+    /// This request has certainly not stored the job, and will not.
     Refused(Error),
-    /// Nobody knows.
+    /// It is not known whether the job is or will be stored.
     Unknown,
 }
 
-/// A job to write.
+/// A job to store.
 pub(crate) struct Job<'a> {
     /// Its service.
     pub(crate) service: &'a str,
     /// Its id.
     pub(crate) id: Id,
-    /// Its row.
+    /// Its encoded row.
     pub(crate) row: &'a [u8],
-    /// When its caller must be answered.
+    /// When the caller must be answered.
     pub(crate) deadline: Time,
 }
 
 /// Writes a job's row on condition that there is none.
 ///
-/// After a write without an answer the same write is repeated until its outcome is certain: a
-/// row that is there already is ours or an earlier one of the same caller, and it is one job
-/// either way.  Only when every try was certainly not done may the caller be told that the job
-/// never runs.
+/// An unanswered write is repeated until its outcome is certain.  A row that already exists is from
+/// this request or an earlier one of the same caller, and is the same job either way.  The caller
+/// may be told that the job will not run only if every attempt was certainly not carried out.
 ///
-/// To a store that is away nothing is written: of such a write nobody knows whether it will be carried
-/// out, and its caller could not be told to come back.
+/// Nothing is written to an unavailable store: it would not be known whether such a write is
+/// carried out later, so the caller could not be told to retry.
 pub(crate) async fn write(node: &Node, job: &Job<'_>) -> WriteOutcome {
     let began = clock::now();
     let mut unanswered = false;
@@ -76,7 +76,7 @@
         if attempt.is_over() {
             return if unanswered { WriteOutcome::Unknown } else { WriteOutcome::Refused(refusal) };
         }
-        // What the store's silence here would cost is saved by asking the peers first.
+        // While the store does not answer this entry, peers are tried first to save time.
         let peer = if attempt.silent { peers.next() } else { None };
         let outcome = match peer {
             Some(peer) => write_through_peer(node, peer, job).await,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Tries once through this entry's own way to the store.
+/// Tries once to write directly to the store.
 pub(crate) async fn write_directly(node: &Node, job: &Job<'_>, limit: Duration) -> WriteOutcome {
     let name = rows::job(job.service, &job.id);
     let change = Transaction {
@@ -127,7 +127,7 @@
     }
 }
 
-/// Tries once through a peer.
+/// Tries once to write through a peer.
 async fn write_through_peer(node: &Node, peer: SocketAddr, job: &Job<'_>) -> WriteOutcome {
     let question =
         Question::Submit { service: job.service.into(), id: job.id, row: job.row.to_vec() };
@@ -148,7 +148,7 @@
     WriteOutcome::Refused(Error::Refused { reason: "not written through a peer".into() })
 }
 
-/// Some other entries, at random, so that one that is turned away itself isn't asked each time.
+/// Chooses peers at random, so that a peer that the store refuses too is not chosen each time.
 fn choose_peers(node: &Node) -> Vec<SocketAddr> {
     let view = node.view.read();
     let others = view.entry_rows.iter().filter(|(id, row)| **id != node.me && !row.stopping);
