--- a/crates/scheduler/src/fleet/pools.rs
+++ b/crates/scheduler/src/fleet/pools.rs
@@ -127,7 +127,7 @@
     }
     request_emptying(controller, &moves).await;
     order_ready(controller).await;
-    abandon_overdue(controller).await;
+    cancel_overdue_moves(controller).await;
 }
 
 /// Plans further moves; also returns the turns if another one began.
@@ -227,7 +227,7 @@
 }
 
 /// Cancels moves whose machines have not become empty in time.
-async fn abandon_overdue(controller: &Controller) {
+async fn cancel_overdue_moves(controller: &Controller) {
     let node = controller.node();
     let overdue = controller.state.lock().pools.overdue(clock::now());
     let mut rows = Vec::new();
