--- a/tests/all/site.rs
+++ b/tests/all/site.rs
@@ -1,4 +1,4 @@
-//! Real daemons as processes on a stand-in of the users' platform.
+//! Tests with daemons as real processes on a stand-in of the users' platform.
 
 mod explain;
 mod fleet;
@@ -23,10 +23,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything that must come.
+/// Longest wait for any expected condition.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Everything faster than in production, in the same proportions.
+/// Shorter times than in production, in the same proportions.
 const SETTINGS: &str = "
 [run]
 lease = 2s
@@ -40,7 +40,7 @@
 bound = 3s
 ";
 
-/// An entry as a process, ended by its own handle.
+/// An entry as a process, killed on drop.
 pub(crate) struct Entry {
     pub(crate) child: Child,
     pub(crate) callers: SocketAddr,
@@ -61,7 +61,8 @@
         Self::start_with(site.store_address(), site.machine_address(), test, name, "").await
     }
 
-    /// One that reaches the store at an address of its own, with further settings for its callers.
+    /// Starts an entry with the given store address and additional settings in the section
+    /// `caller`.
     pub(crate) async fn start_with(
         store: SocketAddr,
         machines: SocketAddr,
@@ -105,14 +106,14 @@
         assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
-    /// Whether it has noted an event.
+    /// Whether it has logged an event.
     pub(crate) fn has_logged(&self, event: &str) -> bool {
         let event = format!("\"message\":\"{event}\"");
         self.lines.lock().unwrap().iter().any(|line| line.contains(&event))
     }
 }
 
-/// A deployment: the platform and entries that serve.
+/// A deployment: the platform and running entries.
 pub(crate) struct Deployment {
     pub(crate) site: Site,
     pub(crate) entries: Vec<Entry>,
@@ -145,7 +146,7 @@
         self.entries.push(entry);
     }
 
-    /// The entry that took the service's cell last.
+    /// The entry that most recently loaded the service's cell.
     pub(crate) fn owner(&self) -> Option<usize> {
         let token = |entry: &Entry| {
             let lines = entry.lines.lock().unwrap();
@@ -160,7 +161,7 @@
         self.entries.iter().enumerate().filter_map(held).max().map(|(_, index)| index)
     }
 
-    /// Submits a job of one step; returns the status.
+    /// Submits a job of one step; returns the HTTP status, 0 without an answer.
     pub(crate) async fn submit(&self, entry: usize, id: &str, tasks: u32, spec: &str) -> u16 {
         submit(self.entries[entry].callers, id, tasks, spec).await.unwrap_or(0)
     }
@@ -188,7 +189,7 @@
     Some(body["state"].as_str().map_or(status.to_string(), Into::into))
 }
 
-/// A call of a caller; none without an answer.
+/// A caller's request; none without an answer.
 pub(crate) async fn call(
     entry: SocketAddr,
     method: Method,
@@ -198,7 +199,7 @@
     call_with(entry, method, path, body, &[]).await
 }
 
-/// The same with values of the header that says who calls.
+/// The same with values of the `authorization` header.
 pub(crate) async fn call_with(
     entry: SocketAddr,
     method: Method,
@@ -216,24 +217,27 @@
     Some((answer.0.status().into(), answer.1))
 }
 
-/// Waits for something that must come.
+/// Polls until a value is returned; fails after [`WAIT_TIMEOUT`].
 pub(crate) async fn eventually<T>(what: &str, mut poll: impl AsyncFnMut() -> Option<T>) -> T {
     let began = Instant::now();
     loop {
         if let Some(found) = poll().await {
             return found;
         }
-        assert!(began.elapsed() < WAIT_TIMEOUT, "waited {WAIT_TIMEOUT:?} in vain: {what}");
+        assert!(
+            began.elapsed() < WAIT_TIMEOUT,
+            "condition not met within {WAIT_TIMEOUT:?}: {what}"
+        );
         task::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A job's id.
+/// The job id of a number.
 pub(crate) fn id(number: u32) -> String {
     format!("{number:016x}")
 }
 
-/// Jobs that were answered with 200, with their tasks.
+/// Jobs whose submission was answered with 200, with their number of tasks.
 pub(crate) fn accepted(answers: &BTreeMap<String, u16>, tasks: u32) -> Vec<(String, u32)> {
     answers
         .iter()
--- a/tests/all/site/explain.rs
+++ b/tests/all/site/explain.rs
@@ -1,4 +1,4 @@
-//! From the id of a failed request to its cause, by the log lines alone.
+//! The cause of a failed request is found from its id and the log lines alone.
 
 use super::*;
 use celerythread::explain::Story;
@@ -6,7 +6,7 @@
 use celerythread_standin::site::store::Trouble as StoreTrouble;
 use celerythread_standin::site::worker::Trouble as WorkerTrouble;
 
-/// What the entries have written so far.
+/// The log lines that the entries have written so far.
 fn lines(deployment: &Deployment) -> Vec<Line> {
     let read = |(index, entry): (usize, &Entry)| {
         let source = format!("entry-{index}");
@@ -16,7 +16,7 @@
     deployment.entries.iter().enumerate().flat_map(read).collect()
 }
 
-/// Waits until the cause told of a job contains all words.
+/// Waits until the explained cause of a job contains all words.
 pub(super) async fn wait_for_cause(deployment: &Deployment, job: &str, words: &[&str]) {
     let mut explanation = String::new();
     eventually(&format!("the cause names {words:?}"), async || {
@@ -26,8 +26,9 @@
     .await;
 }
 
-/// Guards against a held job that is explained by a lack of room: its owner noted the limit a millisecond before the
-/// entry that accepted it noted that.
+/// Guards against a held job being explained by a lack of room instead of its workspace's limit.
+/// That happened when the owner logged the limit a millisecond before the accepting entry logged
+/// the job.
 #[test]
 fn a_held_job_is_explained_in_any_order_of_log_lines() {
     let line = |ms: u32, event: &str, kvs: Value| {
@@ -54,7 +55,7 @@
     assert!(cause.contains("its workspace's limit"), "{cause}");
 }
 
-/// A caller is refused while the store refuses every call; the page says so, and since when.
+/// A submission is refused while the store refuses every call.  The explanation names the store.
 #[async_std::test]
 async fn a_refused_request_is_explained_by_the_store() {
     let deployment = Deployment::start("explain-refused", 2, 1).await;
@@ -64,7 +65,7 @@
     wait_for_cause(&deployment, &id(1), &["refused as not run", "had lost the store", "503"]).await;
 }
 
-/// A job is late because its minion fell silent and its lease had to lapse.
+/// A job is late because its minion became unresponsive and its lease had to lapse.
 #[async_std::test]
 async fn a_late_job_is_explained_by_the_minion_that_fell_silent() {
     let deployment = Deployment::start("explain-late", 1, 2).await;
@@ -79,7 +80,7 @@
     wait_for_cause(&deployment, &id(1), &["completed, after", "until the lease", &worker]).await;
 }
 
-/// A job is shown as failed; its task took down the minions that started it.
+/// A job fails because its task crashed the minions that started it.
 #[async_std::test]
 async fn a_job_that_was_given_up_is_explained_by_the_minions_that_it_crashed() {
     let deployment = Deployment::start("explain-crash", 1, 4).await;
@@ -88,7 +89,7 @@
     wait_for_cause(&deployment, &id(1), &["was given up after 2 minions", "i-"]).await;
 }
 
-/// A job is shown as failed; its own tasks failed wherever they ran.
+/// A job fails because its task failed on every minion that ran it.
 #[async_std::test]
 async fn a_failed_job_is_explained_by_its_own_runs() {
     let deployment = Deployment::start("explain-failed", 1, 3).await;
@@ -97,11 +98,12 @@
     wait_for_cause(&deployment, &id(1), &["failed 2 times", "the job's own fault"]).await;
 }
 
-/// Nobody reads the output of an entry: its lines are dropped, and jobs go on all the same.
+/// Guards against an entry that blocks while its output isn't read.  It must drop log lines
+/// instead.
 #[async_std::test]
 async fn an_entry_keeps_serving_while_its_output_is_not_read() {
     let deployment = Deployment::start("explain-unread", 1, 2).await;
-    // Somebody keeps the lock that the reader needs to take in the next line.
+    // Holds the lock that the reading thread needs for the next line.
     let lines = deployment.entries[0].lines.clone();
     let (release, released) = std::sync::mpsc::channel::<()>();
     let lock_holder = std::thread::spawn(move || {
--- a/tests/all/site/fleet.rs
+++ b/tests/all/site/fleet.rs
@@ -1,8 +1,8 @@
-//! What the entries agree on, as operators read it from the store.
+//! The shared state of the entries, as operators read it from the store.
 
 use super::*;
 
-/// What `celerythread fleet` prints for programs.
+/// The output of `celerythread fleet --json`.
 pub(super) fn fleet_status(site: &Site) -> Value {
     let output = Command::new(env!("CARGO_BIN_EXE_celerythread"))
         .args(["fleet", "--json", "--store", &site.store_address().to_string()])
@@ -12,8 +12,8 @@
     serde_json::from_slice(&output.stdout).unwrap()
 }
 
-/// All entries are lost, and operators want to know who held what, and how far the maintenance is:
-/// no entry is left to ask.
+/// Guards against a fleet status that needs an entry: after all entries are lost, operators must
+/// still see who held which cell and how far maintenance is.
 #[async_std::test]
 async fn cell_holders_are_readable_without_any_entry() {
     let mut deployment = Deployment::start("fleet", 2, 3).await;
@@ -24,7 +24,7 @@
         (status["state"] == "completed").then_some(())
     })
     .await;
-    let fleet = eventually("the wave is kept as completed", async || {
+    let fleet = eventually("the wave is stored as completed", async || {
         let fleet = fleet_status(&deployment.site);
         (fleet["waves"][0]["completed"] == true).then_some(fleet)
     })
@@ -36,7 +36,10 @@
         "{fleet}"
     );
     assert_eq!(fleet["waves"][0]["number"], "7");
-    assert!(!fleet.to_string().contains("PRIVATE KEY"), "the entries' key is nobody's to see");
+    assert!(
+        !fleet.to_string().contains("PRIVATE KEY"),
+        "the status must not contain the authority's private key"
+    );
     deployment.entries.clear();
     assert_eq!(fleet_status(&deployment.site)["cells"], fleet["cells"]);
 }
--- a/tests/all/site/maintenance.rs
+++ b/tests/all/site/maintenance.rs
@@ -1,9 +1,9 @@
-//! Maintenance waves over real processes.
+//! Maintenance waves with real processes.
 
 use super::*;
 
-/// A wave goes through machines on which a service runs that may miss one task.  Its users see
-/// it whole but for one task at a time, and no maintenance ends anything that runs.
+/// A wave covers all machines while a lasting job runs that may miss one task.  Guards against
+/// maintenance that ends running tasks, or takes more machines down at once than the wave allows.
 #[async_std::test]
 async fn a_wave_is_completed_without_ending_what_runs() {
     let deployment = Deployment::start("wave", 2, 5).await;
@@ -32,8 +32,8 @@
     }
 }
 
-/// The entry that carries the wave is killed in the middle of it; another one goes on, and no
-/// machine has its maintenance twice.
+/// The entry that runs the fleet controller is killed during a wave.  Guards against a wave that
+/// stops then, and against a machine that is maintained twice.
 #[async_std::test]
 async fn a_wave_continues_after_its_controller_is_killed() {
     let mut deployment = Deployment::start("wave-kill", 3, 4).await;
--- a/tests/all/site/workspaces.rs
+++ b/tests/all/site/workspaces.rs
@@ -1,4 +1,4 @@
-//! Workspaces: their keys, whose job is whose, and their limits.
+//! Workspaces: keys, access to jobs, and limits.
 
 use super::*;
 use celerythread_standin::site::{HALL, Workspace, check};
@@ -7,7 +7,7 @@
 const SECOND_KEY: &str = "x6pwawxdmdejk7f92bqu";
 const OTHER_KEY: &str = "h2m5rtb7ckvw9e4zq8ja";
 
-/// Well within the time in which a configuration must be in force everywhere.
+/// Stricter than the time within which a configuration must be in force on all entries.
 const MAX_PROPAGATION_TIME: Duration = Duration::from_millis(2000);
 
 const TEAM: Workspace<'static> = Workspace { name: "team", keys: &[KEY, SECOND_KEY], cpu: 0 };
@@ -22,7 +22,7 @@
     deployment
 }
 
-/// Waits until a count of waiting jobs is answered with a status.
+/// Waits until a GET request of the path is answered with a status.
 async fn wait_for_status(entry: SocketAddr, status: u16, path: &str, credentials: &[&str]) {
     let what = format!("{path} is answered with {status}");
     eventually(&what, async || {
@@ -56,7 +56,8 @@
     .await;
 }
 
-/// Guards against a call that runs although no workspace has its key, and against keys in logs.
+/// Guards against a request being carried out although no workspace has its key, and against keys
+/// in logs.
 #[async_std::test]
 async fn a_call_without_a_valid_key_is_refused() {
     let deployment = start("keys", 1, 1).await;
@@ -87,11 +88,11 @@
     let lines = deployment.entries[0].lines.lock().unwrap().join(" ");
     assert!(lines.contains("key_refused"), "{lines}");
     for key in [KEY, SECOND_KEY, OTHER_KEY, "nobody-has-this-key"] {
-        assert!(!lines.contains(key), "{key} stands in the log");
+        assert!(!lines.contains(key), "the log contains the key {key}");
     }
 }
 
-/// Guards against a workspace that sees, cancels or takes over another one's job.
+/// Guards against a workspace that reads, cancels or resubmits another workspace's job.
 #[async_std::test]
 async fn a_job_is_accessible_only_to_its_workspace() {
     let deployment = start("owners", 2, 1).await;
@@ -106,7 +107,7 @@
     }
     assert_eq!(submit_as(second, SECOND_KEY, &path, 1, "ms=1500").await, 200, "sent again");
     wait_for_completion(second, SECOND_KEY, &path).await;
-    // What was submitted to a public queue is everybody's.
+    // Jobs of a public queue are accessible to all.
     let public = format!("/p/{}", id(2));
     let body = celerythread_standin::site::job(1, "ms=50");
     let answer = call_with(first, Method::Post, &public, Some(body), &[]).await;
@@ -114,8 +115,8 @@
     assert_eq!(status_as(second, OTHER_KEY, Method::Get, &public).await, 200);
 }
 
-/// Guards against a withdrawn key that goes on being served, also after a restart, and against a job that ends with
-/// its workspace's last key.
+/// Guards against a withdrawn key that is still accepted, also after a restart of an entry, and
+/// against a job that ends when its workspace's last key is withdrawn.
 #[async_std::test]
 async fn a_withdrawn_key_is_refused_everywhere_and_its_jobs_go_on() {
     let mut deployment = start("withdrawn", 2, 1).await;
@@ -132,15 +133,15 @@
     deployment.add_entry("again").await;
     let again = deployment.entries.last().unwrap().callers;
     assert_eq!(status_as(again, KEY, Method::Get, &path).await, 401);
-    // The workspace has a key again, and its job is there.
+    // With a new key, the workspace still has access to its job.
     let back = Workspace { keys: &[SECOND_KEY], ..TEAM };
     deployment.site.configure_workspaces(4, &[back, OTHER]);
     wait_for_completion(again, SECOND_KEY, &path).await;
     assert_eq!(status_as(again, KEY, Method::Get, &path).await, 401);
 }
 
-/// Guards against an entry that the store doesn't serve going on with keys that were withdrawn meanwhile: its peers
-/// know better.
+/// Guards against an entry that keeps accepting withdrawn keys while it cannot reach the store.  It
+/// must learn the new configuration from its peers.
 #[async_std::test]
 async fn an_entry_cut_off_from_the_store_learns_of_keys_from_its_peers() {
     let mut deployment = start("turned-away", 2, 1).await;
@@ -159,8 +160,8 @@
     assert!(status_as(gated, SECOND_KEY, Method::Get, &format!("/q/{}", id(9))).await != 401);
 }
 
-/// Guards against an entry that serves keys which it can't know to be valid, where that is forbidden; elsewhere it
-/// goes on serving.
+/// Guards against an isolated entry that accepts keys which it cannot confirm, although
+/// `strict_keys` is set.  Without that setting it must go on serving.
 #[async_std::test]
 async fn an_isolated_entry_refuses_keys_only_with_strict_keys() {
     for (strict, wanted) in [("strict_keys = true\ntrust_keys_for = 1500ms\n", true), ("", false)] {
@@ -188,14 +189,15 @@
             assert!(began.elapsed() < MAX_PROPAGATION_TIME, "{:?}", began.elapsed());
         }
         assert_eq!(entry.has_logged("keys_unconfirmed"), wanted);
-        // An unknown key is refused by what is known, in any case.
+        // A key that is unknown to the last known configuration is refused in any case.
         assert_eq!(status_as(entry.callers, OTHER_KEY, Method::Get, "/q/").await, 401);
         gate.shut(false);
         wait_for_status(entry.callers, 200, "/q/", &[&token(KEY)]).await;
     }
 }
 
-/// A deployment with two services, and a workspace that may have `cores` tasks running on both together.
+/// A deployment with two services, and a workspace whose limit allows `cores` tasks over both
+/// services.
 async fn start_limited(test: &'static str, cores: u64) -> Deployment {
     let mut deployment = Deployment::start(test, 3, 2).await;
     for number in 0..2 {
@@ -214,7 +216,7 @@
     deployment.site.configure_workspaces(version, &[team, OTHER]);
 }
 
-/// Submits jobs of two tasks to both services by turns; returns their paths.
+/// Submits jobs of two tasks to both services alternately; returns their paths.
 async fn submit_all(deployment: &Deployment, count: u32, spec: &str) -> Vec<String> {
     let mut paths = Vec::new();
     for number in 0..count {
@@ -244,8 +246,8 @@
     assert!(at_once <= max_tasks, "{at_once} tasks at once, {max_tasks} allowed");
 }
 
-/// Guards against a workspace that runs beyond its limit because two owners each keep within it, and after one of
-/// them was killed.
+/// Guards against a workspace that exceeds its limit because two owners each apply it on their own,
+/// or because one of them is killed.
 #[async_std::test]
 async fn a_limit_holds_over_services_and_killed_owners() {
     let mut deployment = start_limited("limit-killed", 5).await;
@@ -257,8 +259,8 @@
     assert_limited(&deployment, 5);
 }
 
-/// Guards against a refused key or a job held by a limit that the lines can't explain, and against shares that operators
-/// can't see.
+/// Guards against a refused key, or a job held by a limit, that the log lines cannot explain, and
+/// against shares missing from the fleet status.
 #[async_std::test]
 async fn keys_and_limits_are_explained() {
     let deployment = start_limited("limit-explain", 2).await;
@@ -273,7 +275,7 @@
     .await;
     let held = format!("/q/{}", id(2));
     assert_eq!(submit_as(entry, KEY, &format!("/q/{}", id(3)), 2, "ms=20000").await, 200);
-    // The shorter job would be started first if both waited.
+    // If both jobs waited, the shorter one would be started first.
     eventually("the limit is in use", async || {
         (check::most_at_once(&deployment.site.history()) == 2).then_some(())
     })
@@ -293,7 +295,8 @@
     );
 }
 
-/// Guards against an owner that stands still beyond its term, wakes, and starts by what it knew before.
+/// Guards against an owner that is suspended for longer than its term, resumes, and starts tasks
+/// based on outdated shares.
 #[async_std::test]
 async fn a_limit_holds_when_a_frozen_owner_wakes() {
     let deployment = start_limited("limit-frozen", 4).await;
@@ -306,7 +309,8 @@
     assert_limited(&deployment, 4);
 }
 
-/// Guards against starts beyond a limit that was lowered while more than that runs, and against a stop of what runs.
+/// Guards against starts beyond a limit that was lowered below what is running, and against
+/// stopping what is running.
 #[async_std::test]
 async fn a_lowered_limit_stops_nothing_and_starts_nothing_until_there_is_room() {
     let deployment = start_limited("limit-lowered", 6).await;
@@ -325,7 +329,7 @@
     assert_limited(&deployment, 6);
 }
 
-/// Guards against a share that is spent twice because the answer of its transfer was lost.
+/// Guards against a share that is used twice because the answer to its transfer was lost.
 #[async_std::test]
 async fn a_limit_holds_while_the_store_loses_answers() {
     use celerythread_standin::site::store::Trouble;
