--- a/crates/scheduler/src/front.rs
+++ b/crates/scheduler/src/front.rs
@@ -235,7 +235,7 @@
                 context,
                 id,
                 StatusCode::Conflict,
-                &"another workspace's job has this id",
+                &"the id belongs to another workspace's job",
             );
         }
         let took = clock::now().since(context.began);
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -166,12 +166,15 @@
             reader.note(Code::Contradiction, "peer", "takeover_after", text);
         }
         if !self.orders_per_s.is_finite() || self.orders_per_s < 1.0 {
-            let text = format!("{} orders a second; no machine would ever move", self.orders_per_s);
+            let text = format!(
+                "orders_per_s {} is not a finite number of at least 1; no machine would be moved",
+                self.orders_per_s
+            );
             reader.note(Code::Contradiction, "maintenance", "orders_per_s", text);
         }
         if self.run_lease.0 < self.takeover_after.0 {
             let text = format!(
-                "lease {} is less than takeover_after {}; whatever runs would end with its owner",
+                "lease {} is less than takeover_after {}; runs would end when their owner is lost",
                 self.run_lease, self.takeover_after
             );
             reader.note(Code::Contradiction, "run", "lease", text);
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -63,7 +63,7 @@
 pub(crate) async fn write(node: &Node, job: &Job<'_>) -> WriteOutcome {
     let began = clock::now();
     let mut unanswered = false;
-    let mut refusal = Error::Refused { reason: "the caller's time is over".into() };
+    let mut refusal = Error::Refused { reason: "the caller's deadline has passed".into() };
     let mut peers = choose_peers(node).into_iter();
     loop {
         let attempt = Attempt {
@@ -81,7 +81,7 @@
         let outcome = match peer {
             Some(peer) => write_through_peer(node, peer, job).await,
             None if attempt.silent => {
-                refusal = Error::Refused { reason: "the store is away".into() };
+                refusal = Error::Refused { reason: "the store is unavailable".into() };
                 async_std::task::sleep(STORE_POLL_INTERVAL.min(job.deadline.since(clock::now())))
                     .await;
                 continue;
@@ -145,7 +145,7 @@
 }
 
 fn refused_by_peer() -> WriteOutcome {
-    WriteOutcome::Refused(Error::Refused { reason: "not written through a peer".into() })
+    WriteOutcome::Refused(Error::Refused { reason: "the peer did not write the job".into() })
 }
 
 /// Chooses peers at random, so that a peer that the store refuses too is not chosen each time.
