--- a/crates/scheduler/src/fleet.rs
+++ b/crates/scheduler/src/fleet.rs
@@ -82,7 +82,7 @@
     /// Pools whose owners have not answered yet.
     pub(crate) awaited_loads: BTreeSet<String>,
     /// Machines whose maintenance has begun but is not stored yet, with their wave.
-    pub(crate) unsaved_begun: BTreeSet<(u64, String)>,
+    pub(crate) unsaved_starts: BTreeSet<(u64, String)>,
     /// Machines whose emptying rows are being dropped.
     pub(crate) dropping_rows: BTreeSet<String>,
     /// Machines for which an order may have been given, by this holder or the former one, and
@@ -129,10 +129,10 @@
         let mut empty = BTreeSet::new();
         for (pool, load) in &self.loads {
             let asked = self.load_asked_at.get(pool);
-            let tells = |minion: &&String| {
+            let is_reported_since = |minion: &&String| {
                 self.emptying_written_at.get(*minion).is_none_or(|at| asked > Some(at))
             };
-            empty.extend(load.empty.iter().filter(tells).cloned());
+            empty.extend(load.empty.iter().filter(is_reported_since).cloned());
         }
         empty
     }
--- a/crates/scheduler/src/fleet/maintenance.rs
+++ b/crates/scheduler/src/fleet/maintenance.rs
@@ -46,7 +46,7 @@
         add_new_waves(controller).await;
         if controller.state.lock().waves.is_busy() {
             advance_waves(controller).await;
-            save_begun(controller).await;
+            save_starts(controller).await;
             log_progress(controller, &mut limiter);
         }
         if !controller.owner.pause(STEP_INTERVAL).await {
@@ -82,9 +82,9 @@
         return;
     }
     let node = controller.node();
-    let view: BTreeSet<String> = node.view.read().emptying.values().cloned().collect();
+    let emptying_minions: BTreeSet<String> = node.view.read().emptying.values().cloned().collect();
     let (mut targets, mut starts, mut complete) = (Vec::new(), Vec::new(), Vec::new());
-    for step in plan_steps(&mut controller.state.lock(), &view) {
+    for step in plan_steps(&mut controller.state.lock(), &emptying_minions) {
         match step {
             Step::Empty { machine, minion } => targets.push((machine, minion)),
             Step::Begin { machine, wave } => starts.push((machine, wave)),
@@ -229,7 +229,7 @@
         OrderOutcome::Done => {
             node.metrics.count(Counter::Maintenances);
             state.waves.begun(wave, machine);
-            state.unsaved_begun.insert((wave, machine.into()));
+            state.unsaved_starts.insert((wave, machine.into()));
         }
         OrderOutcome::Deferred => state.revert_order(machine),
         // Ordered again once the list has had time to show the maintenance.
@@ -240,22 +240,22 @@
 /// Stores which machines' maintenance has begun.
 ///
 /// If this is lost, a later holder orders the same maintenance again, which has no effect.
-async fn save_begun(controller: &Controller) {
-    let unsaved_begun: Vec<(u64, String)> =
-        controller.state.lock().unsaved_begun.iter().cloned().collect();
-    for chunk in unsaved_begun.chunks(MAX_ENTRIES) {
+async fn save_starts(controller: &Controller) {
+    let unsaved_starts: Vec<(u64, String)> =
+        controller.state.lock().unsaved_starts.iter().cloned().collect();
+    for chunk in unsaved_starts.chunks(MAX_ENTRIES) {
         let row = |(wave, machine): &(u64, String)| (rows::begun(*wave, machine), Vec::new());
         let writes = chunk.iter().map(row).collect();
         let change = Transaction { writes, ..Transaction::default() };
         if let Err(error) = controller.node().commit(&change, CALL_TIMEOUT).await {
-            let machines = unsaved_begun.len();
+            let machines = unsaved_starts.len();
             let fields: [(&'static str, &dyn std::fmt::Display); 2] =
                 [("machines", &machines), ("reason", &error)];
             controller.node().journal.warn("maintenance_unkept", &fields);
             return;
         }
         let mut state = controller.state.lock();
-        state.unsaved_begun.retain(|begun| !chunk.contains(begun));
+        state.unsaved_starts.retain(|begun| !chunk.contains(begun));
     }
 }
 
