--- a/crates/scheduler/src/fleet.rs
+++ b/crates/scheduler/src/fleet.rs
@@ -49,8 +49,8 @@
 /// within that time, and the stored rows still name the machines that are being emptied.
 const MAX_LOAD_AGE: Duration = Duration::from_millis(2000);
 
-/// Maximum number of planning rounds in a second.  In each round, a pool may be given this fraction
-/// of the orders that the platform accepts in a second.
+/// Maximum number of times that the pools' demand is polled in a second.  Each time, a pool may be
+/// given its share of the orders that the platform accepts in a second.
 const LOAD_POLLS_PER_S: f64 = 4.0;
 
 /// Maximum number of concurrent orders.  An answer takes some 5 ms, so this allows more orders in a
