--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -4,7 +4,8 @@
 //! when ends come one by one.  Without network: the calls come on top.
 
 use celerythread_engine::cell::{
-    Cell, End, How, Listing, MinionId, Order, Permit, Queue, Report, Running, Settings, StartResult,
+    Cell, End, EndReason, Listing, MinionId, Order, Permit, Queue, Report, Running, Settings,
+    StartResult,
 };
 use celerythread_engine::job::{Accepted, Definition, Id, Resources, Step, TaskName};
 use celerythread_engine::time::Time;
@@ -53,8 +54,8 @@
             .map(|number| (format!("minion-{number}").into(), (Vec::new(), 0)))
             .collect();
         for minion in minions.keys() {
-            cell.list(minion, Listing { capacity, ..Listing::default() });
-            cell.report(minion, &Report::default(), now, now);
+            cell.update_listing(minion, Listing { capacity, ..Listing::default() });
+            cell.process_report(minion, &Report::default(), now, now);
         }
         for number in 0..jobs {
             cell.add_job(id(number), job(number), None, false, Duration::ZERO, now);
@@ -70,7 +71,7 @@
         for order in &orders {
             if let Order::Start { minion, task, run, .. } = order {
                 let started = StartResult::Started;
-                self.cell.start_result(minion, task, *run, started, self.now);
+                self.cell.process_start_result(minion, task, *run, started, self.now);
                 if let Some((runs, _)) = self.minions.get_mut(minion) {
                     runs.push((*task, *run));
                 }
@@ -88,7 +89,7 @@
         }
         let (task, run) = runs.remove(0);
         *number += 1;
-        let end = End { number: *number, task, run, how: How::Done, checkpoint: None };
+        let end = End { number: *number, task, run, reason: EndReason::Done, checkpoint: None };
         let running = runs
             .iter()
             .map(|(task, run)| Running {
@@ -101,7 +102,7 @@
             .collect();
         let report = Report { running, finished: vec![end], ..Report::default() };
         let began = Instant::now();
-        self.cell.report(minion, &report, self.now, self.now);
+        self.cell.process_report(minion, &report, self.now, self.now);
         began.elapsed()
     }
 }
--- a/benches/recovery.rs
+++ b/benches/recovery.rs
@@ -70,11 +70,11 @@
     for number in 0..minions {
         let minion: MinionId = format!("minion-{number}").into();
         let capacity = Resources { cpu: 16_000, memory_mb: 32_768, gpu: 0 };
-        cell.inherit(&minion);
-        cell.list(&minion, Listing { capacity, ..Listing::default() });
+        cell.inherit_minion(&minion);
+        cell.update_listing(&minion, Listing { capacity, ..Listing::default() });
         let task = TaskName { job: id(10 * number as u32), occurrence: 0, step: 0, index: 3 };
         let running = vec![Running { task, run: 1, checkpoint: None, percent: 50, load: None }];
-        cell.report(
+        cell.process_report(
             &minion,
             &Report { running, finished: Vec::new(), ..Report::default() },
             NOW,
--- a/crates/engine/src/cell.rs
+++ b/crates/engine/src/cell.rs
@@ -37,13 +37,13 @@
 use crate::quota::Summary;
 use crate::time::Time;
 pub use advice::Query;
-pub use idle::Guard;
+pub use idle::Blocker;
 pub use keep::{Batch, EndCursor};
 pub use minion::{Incarnation, Listing, Minion, MinionId};
 pub use permit::Permit;
 pub use plan::Order;
 pub use quota::Charge;
-pub use report::{End, How, Refusal, Report, Running, StartResult};
+pub use report::{End, EndReason, Refusal, Report, Running, StartResult};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 pub use work::Job;
@@ -65,11 +65,11 @@
     /// How long an ended job is kept for its caller to ask for.
     pub retention: Duration,
     /// A run without progress for this many times its estimate, and at least
-    /// [`Settings::stall_least`], is taken for hanging.  Declared times are off by a fifth and
+    /// [`Settings::min_stall`], is taken for hanging.  Declared times are off by a fifth and
     /// slow minions take six times as long while progressing, so only a standstill counts.
     pub stall_factor: f64,
     /// See [`Settings::stall_factor`].
-    pub stall_least: Duration,
+    pub min_stall: Duration,
     /// How long a minion that failed tasks of two jobs in a row is left out; doubled each time.
     pub quarantine: Duration,
 }
@@ -82,7 +82,7 @@
             stop_timeout: Duration::from_millis(900),
             retention: Duration::from_secs(150),
             stall_factor: 1.0,
-            stall_least: Duration::from_millis(1500),
+            min_stall: Duration::from_millis(1500),
             quarantine: Duration::from_millis(2000),
         }
     }
@@ -100,7 +100,7 @@
     /// ... and this many milliseconds more.
     pub target_ms: u64,
     /// Whether starts need a ticket.
-    pub advised: bool,
+    pub needs_ticket: bool,
     /// Whether callers need no key.
     pub public: bool,
 }
@@ -112,7 +112,7 @@
             attempts: 3,
             stretch: 2.0,
             target_ms: 1000,
-            advised: false,
+            needs_ticket: false,
             public: false,
         }
     }
@@ -127,39 +127,39 @@
     pub(crate) queues: BTreeMap<Box<str>, Queue>,
     pub(crate) jobs: BTreeMap<Id, Job>,
     /// Jobs that have not ended.
-    pub(crate) active: BTreeSet<Id>,
+    pub(crate) active_jobs: BTreeSet<Id>,
     /// Jobs of which something is to be kept.
-    pub(crate) changed: BTreeSet<Id>,
+    pub(crate) changed_jobs: BTreeSet<Id>,
     pub(crate) minions: BTreeMap<MinionId, Minion>,
     /// When all runs were last looked at for what must stop; none while that can't wait.
-    pub(crate) swept: Option<Time>,
+    pub(crate) last_sweep: Option<Time>,
     /// When it was last looked for jobs that could run and don't.
-    pub(crate) looked: Option<Time>,
+    pub(crate) last_idle_check: Option<Time>,
     /// Needs for which no minion has room, in the plan being made.
-    pub(crate) full: place::Full,
+    pub(crate) unmet_needs: place::UnmetNeeds,
     /// When runs that the former owner started must have lapsed on minions that don't answer;
     /// none for the first owner.
-    pub(crate) former_lapse: Option<Time>,
+    pub(crate) former_lease_expiry: Option<Time>,
     /// Mean work of a queue's jobs, in core-milliseconds, learnt from those seen.
-    pub(crate) mean_work: BTreeMap<Box<str>, f64>,
+    pub(crate) mean_core_ms: BTreeMap<Box<str>, f64>,
     /// What is known of steps that need tickets.
     pub(crate) advice: BTreeMap<TaskName, advice::Advice>,
     /// Questions to ask about them.
     pub(crate) queries: Vec<Query>,
     /// What was decided since the notes were last taken.
-    pub(crate) notes: Vec<Note>,
+    pub(crate) events: Vec<Event>,
     /// What its workspaces may have running.
     pub(crate) accounts: quota::Accounts,
     /// Minions lost lately, to tell which losses came together.
-    pub(crate) losses: Vec<crash::Loss>,
+    pub(crate) recent_losses: Vec<crash::Loss>,
 }
 
 /// Notes held until they are taken; more are left out, as they are only for the log.
-const MAX_NOTES: usize = 256;
+const MAX_PENDING_EVENTS: usize = 256;
 
 /// A decision that gives up or takes away something, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum Event {
     /// A run's end was taken in.
     Ended {
         /// The minion.
@@ -191,7 +191,7 @@
         /// Whether its minion was ever seen to run it.
         listed: bool,
         /// How many other runs ended with it.
-        beside: usize,
+        other_runs: usize,
     },
     /// A minion's unplanned end, or one that may be, counts against a task that ran there.
     Suspected {
@@ -264,7 +264,7 @@
         /// Where it counts as placed.
         placed: Option<MinionId>,
         /// What keeps it from each minion.
-        guards: Vec<(MinionId, Guard)>,
+        blockers: Vec<(MinionId, Blocker)>,
     },
     /// A task waits for its workspace's limit; told once a job.
     Held {
@@ -293,25 +293,25 @@
     ///
     /// `former_lapse` is when everything that a predecessor started must have lapsed on
     /// minions that never answer.
-    pub fn new(settings: Settings, generation: u32, former_lapse: Option<Time>) -> Self {
+    pub fn new(settings: Settings, generation: u32, former_lease_expiry: Option<Time>) -> Self {
         Self {
             settings,
             generation,
             queues: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            active: BTreeSet::new(),
-            changed: BTreeSet::new(),
+            active_jobs: BTreeSet::new(),
+            changed_jobs: BTreeSet::new(),
             minions: BTreeMap::new(),
-            swept: None,
-            looked: None,
-            full: place::Full::default(),
-            former_lapse,
-            mean_work: BTreeMap::new(),
+            last_sweep: None,
+            last_idle_check: None,
+            unmet_needs: place::UnmetNeeds::default(),
+            former_lease_expiry,
+            mean_core_ms: BTreeMap::new(),
             advice: BTreeMap::new(),
             queries: Vec::new(),
-            notes: Vec::new(),
-            accounts: quota::Accounts::new(former_lapse.is_none()),
-            losses: Vec::new(),
+            events: Vec::new(),
+            accounts: quota::Accounts::new(former_lease_expiry.is_none()),
+            recent_losses: Vec::new(),
         }
     }
 
@@ -342,26 +342,26 @@
             return false;
         }
         let work = accepted.definition.work() as f64;
-        let mean = self.mean_work.entry(accepted.queue.clone()).or_insert(work);
+        let mean = self.mean_core_ms.entry(accepted.queue.clone()).or_insert(work);
         // A twentieth of each new job: some twenty jobs are remembered, which at ten a second
         // follows a change of the mix within a few seconds.
         *mean += (work - *mean) * 0.05;
         let account = self.open_account(&accepted.origin, now);
         let mut job = Job::new(accepted, inherited, now - age);
         job.account = account;
-        job.known = now;
+        job.known_since = now;
         if let Some(progress) = progress {
             job.restore(progress);
         }
         // Its last owner was lost before it knew of the crash that proves it.
         if !job.state().is_final() && job.crashes_minions() {
             job.fail(now);
-            self.changed.insert(id);
+            self.changed_jobs.insert(id);
         }
         if job.state().is_final() {
-            job.ended = Some(now);
+            job.ended_at = Some(now);
         } else {
-            self.active.insert(id);
+            self.active_jobs.insert(id);
         }
         self.jobs.insert(id, job);
         true
@@ -372,9 +372,9 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         if !job.state().is_final() {
             job.cancelled = true;
-            job.ended = Some(now);
-            self.active.remove(id);
-            self.swept = None;
+            job.ended_at = Some(now);
+            self.active_jobs.remove(id);
+            self.last_sweep = None;
         }
     }
 
@@ -384,11 +384,11 @@
     /// caller was told to be completed.  A cancellation was kept before it came here.
     pub fn state(&self, id: &Id) -> Option<State> {
         let job = self.jobs.get(id)?;
-        let told = match job.outcome {
-            Some(_) if !job.is_kept() => State::Running,
+        let reported = match job.outcome {
+            Some(_) if !job.is_persisted() => State::Running,
             _ => job.state(),
         };
-        Some(told)
+        Some(reported)
     }
 
     /// The same for a caller; none also for a job that isn't its to see.
@@ -398,22 +398,22 @@
     }
 
     /// How many jobs of a queue wait for their first task.
-    pub fn pending(&self, queue: &str) -> usize {
+    pub fn queued_jobs(&self, queue: &str) -> usize {
         let waits = |id: &&Id| {
             let job = &self.jobs[*id];
             &*job.accepted.queue == queue && !job.started
         };
-        self.active.iter().filter(waits).count()
+        self.active_jobs.iter().filter(waits).count()
     }
 
     /// Takes the notes.
-    pub fn take_notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.notes)
+    pub fn take_events(&mut self) -> Vec<Event> {
+        std::mem::take(&mut self.events)
     }
 
-    pub(crate) fn note(&mut self, note: Note) {
-        if self.notes.len() < MAX_NOTES {
-            self.notes.push(note);
+    pub(crate) fn record_event(&mut self, note: Event) {
+        if self.events.len() < MAX_PENDING_EVENTS {
+            self.events.push(note);
         }
     }
 
@@ -434,37 +434,37 @@
 
     /// Whether tasks of inherited jobs may be started: nothing of them can still be running
     /// where this owner doesn't see it.
-    pub fn is_settled(&self, now: Time) -> bool {
-        match self.former_lapse {
+    pub fn is_takeover_complete(&self, now: Time) -> bool {
+        match self.former_lease_expiry {
             None => true,
-            Some(lapse) => {
+            Some(expiry) => {
                 let mut inherited = self.minions.values().filter(|minion| minion.inherited);
-                now >= lapse || inherited.all(|minion| minion.answered)
+                now >= expiry || inherited.all(|minion| minion.answered)
             }
         }
     }
 
     /// Drops jobs whose retention is over and returns them, so that their rows can go too.
-    pub fn expire(&mut self, now: Time) -> Vec<Id> {
+    pub fn remove_expired_jobs(&mut self, now: Time) -> Vec<Id> {
         let retention = self.settings.retention;
-        let over = |job: &Job| job.ended.is_some_and(|at| now.since(at) > retention);
+        let is_expired = |job: &Job| job.ended_at.is_some_and(|at| now.since(at) > retention);
         let ids: Vec<Id> =
-            self.jobs.iter().filter(|(_, job)| over(job)).map(|(id, _)| *id).collect();
+            self.jobs.iter().filter(|(_, job)| is_expired(job)).map(|(id, _)| *id).collect();
         for id in &ids {
             self.jobs.remove(id);
-            self.changed.remove(id);
+            self.changed_jobs.remove(id);
         }
-        self.forget_advice();
+        self.remove_ended_advice();
         ids
     }
 
     /// The first number for a run of a task under this owner that is above `last`.
-    pub(crate) fn next_run(&self, last: u32) -> u32 {
+    pub(crate) fn next_run_number(&self, last: u32) -> u32 {
         (last + 1).max(self.generation * RUNS_PER_GENERATION + 1)
     }
 
     /// Whether a task's end is still of interest.
     pub(crate) fn task_exists(&self, name: &TaskName) -> bool {
-        self.jobs.get(&name.job).is_some_and(|job| job.flat(name).is_some())
+        self.jobs.get(&name.job).is_some_and(|job| job.flat_index(name).is_some())
     }
 }
--- a/crates/engine/src/cell/idle.rs
+++ b/crates/engine/src/cell/idle.rs
@@ -7,7 +7,7 @@
 
 use crate::cell::minion::Minion;
 use crate::cell::work::{Job, Phase};
-use crate::cell::{Cell, MinionId, Note};
+use crate::cell::{Cell, Event, MinionId};
 use crate::job::{Id, Step, TaskName};
 use crate::time::Time;
 use std::collections::BTreeSet;
@@ -15,12 +15,12 @@
 use strum::Display;
 
 /// Time between two looks, and for how long nothing of a job must have run.
-const LOOK: Duration = Duration::from_secs(1);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What keeps a task from a minion.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
-pub enum Guard {
+pub enum Blocker {
     /// The platform's list doesn't have the minion.
     Unlisted,
     /// It has not answered this owner.
@@ -49,20 +49,22 @@
 
 impl Cell {
     /// Notes one job that could run and doesn't, if there is one.
-    pub(crate) fn note_idle(&mut self, now: Time, wall_ms: u64) {
-        if self.looked.is_some_and(|looked| now.since(looked) < LOOK) || !self.is_settled(now) {
+    pub(crate) fn record_idle_job(&mut self, now: Time, wall_ms: u64) {
+        if self.last_idle_check.is_some_and(|looked| now.since(looked) < IDLE_CHECK_INTERVAL)
+            || !self.is_takeover_complete(now)
+        {
             return;
         }
-        self.looked = Some(now);
+        self.last_idle_check = Some(now);
         let runs = self.minions.values().flat_map(|minion| minion.runs.keys());
         let running: BTreeSet<Id> = runs.map(|task| task.job).collect();
-        let jobs = self.active.iter().filter(|id| !running.contains(id));
+        let jobs = self.active_jobs.iter().filter(|id| !running.contains(id));
         let found = jobs
             .filter_map(|id| self.idle_task(*id, self.jobs.get(id)?, now, wall_ms))
-            .find_map(|name| Some((name, self.guards(&name, now)?)));
-        if let Some((task, guards)) = found {
-            let placed = self.placed_at(&task);
-            self.note(Note::Idle { task, placed, guards });
+            .find_map(|name| Some((name, self.blockers(&name, now)?)));
+        if let Some((task, blockers)) = found {
+            let placed = self.placement(&task);
+            self.record_event(Event::Idle { task, placed, blockers });
         }
     }
 
@@ -71,7 +73,7 @@
         let definition = &job.accepted.definition;
         let due = |occurrence| definition.due_ms(occurrence).is_none_or(|at| wall_ms >= at);
         let waited =
-            |task: &crate::cell::work::Task| now.since(task.waits_since.max(task.not_before));
+            |task: &crate::cell::work::Task| now.since(task.waiting_since.max(task.not_before));
         for occurrence in (0..definition.occurrences()).filter(|occurrence| due(*occurrence)) {
             for step in 0..definition.steps.len() as u32 {
                 let open = job.open_tasks(occurrence, step) > 0;
@@ -82,8 +84,9 @@
                 let mut names =
                     (0..count).map(|index| TaskName { job: id, occurrence, step, index });
                 return names.find(|name| {
-                    job.task(name)
-                        .is_some_and(|task| task.phase != Phase::Done && waited(task) >= LOOK)
+                    job.task(name).is_some_and(|task| {
+                        task.phase != Phase::Done && waited(task) >= IDLE_CHECK_INTERVAL
+                    })
                 });
             }
         }
@@ -91,16 +94,16 @@
     }
 
     /// What keeps a task from each minion; none if no minion has room for it.
-    fn guards(&self, name: &TaskName, now: Time) -> Option<Vec<(MinionId, Guard)>> {
+    fn blockers(&self, name: &TaskName, now: Time) -> Option<Vec<(MinionId, Blocker)>> {
         let step = &self.jobs.get(&name.job)?.accepted.definition.steps[name.step as usize];
         let has_room = |minion: &Minion| minion.listed && minion.free().holds(&step.counted_need());
         self.minions.values().find(|minion| has_room(minion))?;
         let spread = self.spread(name);
-        let guard = |minion: &Minion| (minion.id.clone(), guard(minion, step, &spread, now));
-        Some(self.minions.values().map(guard).collect())
+        let entry = |minion: &Minion| (minion.id.clone(), blocker(minion, step, &spread, now));
+        Some(self.minions.values().map(entry).collect())
     }
 
-    fn placed_at(&self, name: &TaskName) -> Option<MinionId> {
+    fn placement(&self, name: &TaskName) -> Option<MinionId> {
         match &self.jobs.get(&name.job)?.task(name)?.phase {
             Phase::Placed { minion, .. } => Some(minion.clone()),
             Phase::Waiting | Phase::Done => None,
@@ -108,20 +111,25 @@
     }
 }
 
-fn guard(minion: &Minion, step: &Step, spread: &crate::cell::place::Spread, now: Time) -> Guard {
+fn blocker(
+    minion: &Minion,
+    step: &Step,
+    spread: &crate::cell::place::Spread,
+    now: Time,
+) -> Blocker {
     let checks = [
-        (!minion.listed, Guard::Unlisted),
-        (!minion.answered, Guard::Unanswered),
-        (!minion.is_reachable(), Guard::Unreachable),
-        (!minion.has_current_listing(), Guard::Restarted),
-        (minion.listing.draining, Guard::Draining),
-        (minion.leaving, Guard::Leaving),
-        (minion.reserved, Guard::Reserved),
-        (now < minion.quarantined, Guard::Quarantined),
-        (minion.is_proving_ground(), Guard::OnTrial),
-        (!crate::cell::place::is_suitable(minion, step, spread), Guard::Unsuitable),
-        (!minion.free().holds(&step.counted_need()), Guard::Full),
+        (!minion.listed, Blocker::Unlisted),
+        (!minion.answered, Blocker::Unanswered),
+        (!minion.is_reachable(), Blocker::Unreachable),
+        (!minion.has_current_listing(), Blocker::Restarted),
+        (minion.listing.draining, Blocker::Draining),
+        (minion.leaving, Blocker::Leaving),
+        (minion.reserved, Blocker::Reserved),
+        (now < minion.quarantined_until, Blocker::Quarantined),
+        (minion.runs_isolated_trial(), Blocker::OnTrial),
+        (!crate::cell::place::is_suitable(minion, step, spread), Blocker::Unsuitable),
+        (!minion.free().holds(&step.counted_need()), Blocker::Full),
     ];
     let failed = checks.into_iter().find(|(holds, _)| *holds);
-    failed.map_or(Guard::Nothing, |(_, guard)| guard)
+    failed.map_or(Blocker::Nothing, |(_, blocker)| blocker)
 }
--- a/crates/engine/src/cell/keep.rs
+++ b/crates/engine/src/cell/keep.rs
@@ -32,11 +32,11 @@
 
 impl Cell {
     /// What is to be kept now, at most `limit` jobs; none if all is kept.
-    pub fn unkept(&self, limit: usize) -> Option<Batch> {
+    pub fn unpersisted_batch(&self, limit: usize) -> Option<Batch> {
         let mut batch = Batch::default();
         let mut complete = true;
-        let changed = self.changed.iter().filter_map(|id| Some((id, self.jobs.get(id)?)));
-        for (id, job) in changed.filter(|(_, job)| !job.is_kept()) {
+        let changed = self.changed_jobs.iter().filter_map(|id| Some((id, self.jobs.get(id)?)));
+        for (id, job) in changed.filter(|(_, job)| !job.is_persisted()) {
             if batch.rows.len() == limit {
                 complete = false;
                 break;
@@ -44,34 +44,34 @@
             batch.rows.push((*id, job.changes, job.progress()));
         }
         if complete {
-            let open = self.minions.values().filter(|minion| minion.has_unkept());
-            batch.ends = open.map(Minion::end_cursor).collect();
+            let unacknowledged = self.minions.values().filter(|minion| minion.has_unpersisted());
+            batch.ends = unacknowledged.map(Minion::end_cursor).collect();
         }
         (!batch.rows.is_empty() || !batch.ends.is_empty()).then_some(batch)
     }
 
     /// Whether anything is to be kept.
-    pub fn has_unkept(&self) -> bool {
-        !self.changed.is_empty() || self.minions.values().any(Minion::has_unkept)
+    pub fn has_unpersisted(&self) -> bool {
+        !self.changed_jobs.is_empty() || self.minions.values().any(Minion::has_unpersisted)
     }
 
     /// Whether a caller waits for something to be kept: a job has ended.
-    pub fn is_keeping_urgent(&self) -> bool {
-        let mut changed = self.changed.iter().filter_map(|id| self.jobs.get(id));
+    pub fn is_persisting_urgent(&self) -> bool {
+        let mut changed = self.changed_jobs.iter().filter_map(|id| self.jobs.get(id));
         changed.any(|job| job.outcome.is_some())
     }
 
     /// Notes that a batch is kept.
-    pub fn kept(&mut self, batch: &Batch) {
+    pub fn record_persisted(&mut self, batch: &Batch) {
         for (id, change, _) in &batch.rows {
             if let Some(job) = self.jobs.get_mut(id) {
-                job.kept = job.kept.max(*change);
-                if job.is_kept() {
-                    self.changed.remove(id);
+                job.persisted_changes = job.persisted_changes.max(*change);
+                if job.is_persisted() {
+                    self.changed_jobs.remove(id);
                 }
-                if job.is_end_kept() {
+                if job.is_end_persisted() {
                     // The next plan sweeps, which stops the remaining runs of the job.
-                    self.swept = None;
+                    self.last_sweep = None;
                 }
             }
         }
--- a/crates/engine/src/cell/load.rs
+++ b/crates/engine/src/cell/load.rs
@@ -11,7 +11,7 @@
 /// Times longer that a late job's work may take than that of one that can meet its objective: late
 /// by a little or by more, its caller has lost most of its worth, and machines that come for it are
 /// taken from those whose callers have not.
-const LATE: u64 = 4;
+const LATE_WORK_DIVISOR: u64 = 4;
 
 /// [`HORIZON`] in milliseconds.
 const HORIZON_MS: u64 = HORIZON.as_millis() as u64;
@@ -24,21 +24,22 @@
     /// while the pool whose turn it was had ten.
     pub fn load(&self, now: Time) -> Load {
         let mut load = Load::default();
-        let settled = self.is_settled(now);
-        let mean = Mean::of(self.minions.values());
-        for job in self.active.iter().filter_map(|id| self.jobs.get(id)) {
-            load.least = load.least.max(spread_over(job));
-            if settled || !job.inherited {
+        let takeover_complete = self.is_takeover_complete(now);
+        let average = AverageMinion::of(self.minions.values());
+        for job in self.active_jobs.iter().filter_map(|id| self.jobs.get(id)) {
+            load.least = load.least.max(min_minions(job));
+            if takeover_complete || !job.inherited {
                 let is_late = self.rank(job, now).class > 1;
-                load.waiting += waiting(job, &mean) / if is_late { LATE } else { 1 };
+                load.waiting +=
+                    waiting_work(job, &average) / if is_late { LATE_WORK_DIVISOR } else { 1 };
             }
         }
         for minion in self.minions.values().filter(|minion| minion.listed) {
-            let of = |lasting: bool| {
-                let runs = minion.runs.values().filter(|run| run.lasting == lasting);
-                runs.map(|run| mean.cores(&run.need)).sum::<u64>()
+            let millicores = |lasting: bool| {
+                let runs = minion.runs.values().filter(|run| run.long_running == lasting);
+                runs.map(|run| average.equivalent_cores(&run.need)).sum::<u64>()
             };
-            let (working, lasting) = (of(false), of(true));
+            let (working, lasting) = (millicores(false), millicores(true));
             load.working += working;
             load.lasting += lasting;
             load.minions += 1;
@@ -47,21 +48,24 @@
                 if minion.answered && minion.is_empty() {
                     load.empty.push(id());
                 }
-            } else if minion.lasting == 0 && minion.is_reachable() && !minion.listing.draining {
+            } else if minion.long_running_count == 0
+                && minion.is_reachable()
+                && !minion.listing.draining
+            {
                 load.free.push((id(), working));
             }
         }
-        load.minion_cpu = mean.capacity.cpu;
+        load.minion_cpu = average.capacity.cpu;
         load
     }
 }
 
 /// A minion of average size.
-struct Mean {
+struct AverageMinion {
     capacity: Resources,
 }
 
-impl Mean {
+impl AverageMinion {
     fn of<'a>(minions: impl Iterator<Item = &'a Minion>) -> Self {
         let listed: Vec<&Resources> =
             minions.filter(|minion| minion.listed).map(|minion| &minion.listing.capacity).collect();
@@ -78,16 +82,16 @@
     /// The cores that a task keeps from others, in thousandths: its own, or those beside the memory
     /// or the accelerators that it takes.  By cores alone, a pool whose tasks fill the memory of its
     /// minions with half of their cores in use asked for half of the machines that it needs.
-    fn cores(&self, need: &Resources) -> u64 {
-        let beside = |part: u64, whole: u64| (part * self.capacity.cpu).checked_div(whole);
-        let memory = beside(need.memory_mb, self.capacity.memory_mb).unwrap_or(0);
-        let accelerators = beside(need.gpu, self.capacity.gpu).unwrap_or(0);
+    fn equivalent_cores(&self, need: &Resources) -> u64 {
+        let cpu_share = |part: u64, whole: u64| (part * self.capacity.cpu).checked_div(whole);
+        let memory = cpu_share(need.memory_mb, self.capacity.memory_mb).unwrap_or(0);
+        let accelerators = cpu_share(need.gpu, self.capacity.gpu).unwrap_or(0);
         need.cpu.max(memory).max(accelerators)
     }
 }
 
 /// Minions that a job's lasting tasks need at least.
-fn spread_over(job: &Job) -> usize {
+fn min_minions(job: &Job) -> usize {
     let steps = job.accepted.definition.steps.iter().filter(|step| step.lasting);
     let needed = |step: &crate::job::Step| {
         step.per_minion.map_or(1, |limit| step.count.div_ceil(limit.max(1)) as usize)
@@ -101,7 +105,7 @@
 /// where those ran: only the widest of them asks for more than its job has already.  With all that
 /// waits counted in full, a queue of long tasks in two steps asked for 1,400 machines where 500 of its
 /// 950 idled, and the callers of the next turn had 46 machines of the 740 that they needed.
-fn waiting(job: &Job, mean: &Mean) -> u64 {
+fn waiting_work(job: &Job, average: &AverageMinion) -> u64 {
     let definition = &job.accepted.definition;
     let mut running = 0;
     let mut ready = 0;
@@ -110,11 +114,11 @@
         if task.phase == Phase::Done {
             continue;
         }
-        let (occurrence, number, _) = job.place_of(flat as u32);
+        let (occurrence, number, _) = job.position_of(flat as u32);
         let step = &definition.steps[number as usize];
         // A lasting task needs its cores for good: as if it had work for the horizon.
         let ms = if step.lasting { HORIZON_MS } else { step.estimate_ms.min(HORIZON_MS) };
-        let work = mean.cores(&step.need) * ms / 1000;
+        let work = average.equivalent_cores(&step.need) * ms / 1000;
         if task.phase != Phase::Waiting {
             running += work;
         } else if job.is_step_ready(occurrence, number) {
--- a/crates/engine/src/cell/minion.rs
+++ b/crates/engine/src/cell/minion.rs
@@ -85,24 +85,24 @@
     /// What it takes of its workspace's limit; none where nothing limits it.
     pub charge: Option<Charge>,
     /// Whether its task is a lasting one.
-    pub lasting: bool,
+    pub long_running: bool,
     /// When it was ordered.
-    pub since: Time,
+    pub ordered_at: Time,
     /// Whether its task only fills.
-    pub fills: bool,
+    pub best_effort: bool,
     /// For a serving task the tail of its response times in milliseconds, as last reported; for
     /// others the processor time in use.
     pub load: Option<u64>,
     /// Percent at which it is let work, and since when.
-    pub pace: u8,
-    /// See [`Run::pace`].
-    pub paced: Time,
+    pub pace_percent: u8,
+    /// See [`Run::pace_percent`].
+    pub pace_changed_at: Time,
     /// Percent of its work that is done; for lasting tasks, 100 means at work.
     pub percent: u8,
     /// When the percentage last changed.
-    pub moved: Time,
+    pub progressed_at: Time,
     /// Whether its minion ever said that it has it.  A start without an answer may have come to one that was gone.
-    pub begun: bool,
+    pub is_start_confirmed: bool,
     /// How long after its order its minion last listed it as running; none if it never did.
     pub listed_for: Option<Duration>,
     /// What was held against its task when it was ordered.
@@ -117,15 +117,15 @@
             phase,
             need: step.map(Step::counted_need).unwrap_or_default(),
             charge: None,
-            lasting: step.is_some_and(|step| step.lasting),
-            fills: step.is_some_and(|step| step.fills),
-            since: now,
+            long_running: step.is_some_and(|step| step.lasting),
+            best_effort: step.is_some_and(|step| step.fills),
+            ordered_at: now,
             load: None,
-            pace: 100,
-            paced: Time(0),
+            pace_percent: 100,
+            pace_changed_at: Time(0),
             percent: 0,
-            moved: now,
-            begun: phase == RunPhase::Active,
+            progressed_at: now,
+            is_start_confirmed: phase == RunPhase::Active,
             listed_for: None,
             suspicion: Suspicion::default(),
         }
@@ -152,17 +152,17 @@
     /// Previous incarnations, oldest first.
     pub(crate) former_incarnations: SmallVec<[Incarnation; restart::MAX_FORMER_INCARNATIONS]>,
     /// When it last told what runs there.
-    pub reported: Time,
+    pub reported_at: Time,
     /// Since when calls go unanswered; none while it answers.
     pub(crate) silent_since: Option<Time>,
     /// When all leases that it may have been given must have lapsed, on any clock.
-    pub lapse: Time,
+    pub lease_expiry: Time,
     pub(crate) runs: BTreeMap<TaskName, Run>,
     pub(crate) used: Resources,
     /// How many of the runs are of lasting tasks.
-    pub(crate) lasting: usize,
+    pub(crate) long_running_count: usize,
     /// How many of the runs are of tasks that may crash it.
-    pub(crate) guarded: usize,
+    pub(crate) isolated_runs: usize,
     /// Whether its room is kept for a task that found none, in the plan being made.
     pub(crate) reserved: bool,
     /// Number of the last end taken in.
@@ -170,13 +170,13 @@
     /// Number of the last end that may be acknowledged.
     pub(crate) acknowledged: u64,
     /// Jobs whose tasks failed here since the last success.
-    pub(crate) failing: BTreeSet<crate::job::Id>,
+    pub(crate) failing_jobs: BTreeSet<crate::job::Id>,
     /// Jobs whose tasks were slow here since one was swift.
     pub(crate) slow_jobs: BTreeSet<crate::job::Id>,
     /// Quarantines in a row.
-    pub(crate) strikes: u32,
+    pub(crate) quarantine_count: u32,
     /// No tasks are started before.
-    pub(crate) quarantined: Time,
+    pub(crate) quarantined_until: Time,
 }
 
 impl Minion {
@@ -190,20 +190,20 @@
             answered: false,
             incarnation: None,
             former_incarnations: SmallVec::new(),
-            reported: Time(0),
+            reported_at: Time(0),
             silent_since: None,
-            lapse: Time(0),
+            lease_expiry: Time(0),
             runs: BTreeMap::new(),
             used: Resources::default(),
-            lasting: 0,
-            guarded: 0,
+            long_running_count: 0,
+            isolated_runs: 0,
             reserved: false,
             seen: 0,
             acknowledged: 0,
-            failing: BTreeSet::new(),
+            failing_jobs: BTreeSet::new(),
             slow_jobs: BTreeSet::new(),
-            strikes: 0,
-            quarantined: Time(0),
+            quarantine_count: 0,
+            quarantined_until: Time(0),
         }
     }
 
@@ -218,8 +218,8 @@
     }
 
     /// What is free once all that ends by itself has ended.
-    pub(crate) fn free_in_the_end(&self) -> Resources {
-        let lasting = self.runs.values().filter(|run| run.lasting);
+    pub(crate) fn free_after_ending_runs(&self) -> Resources {
+        let lasting = self.runs.values().filter(|run| run.long_running);
         let used = lasting.fold(Resources::default(), |sum, run| sum.plus(&run.need));
         self.listing.capacity.less(&used)
     }
@@ -235,7 +235,7 @@
     }
 
     /// Whether some ends were taken in and may not be acknowledged yet.
-    pub fn has_unkept(&self) -> bool {
+    pub fn has_unpersisted(&self) -> bool {
         self.seen > self.acknowledged
     }
 
@@ -245,8 +245,8 @@
     }
 
     /// Whether it can be given tasks.
-    pub(crate) fn takes_work(&self, now: Time) -> bool {
-        !self.leaving && self.is_sound(now)
+    pub(crate) fn accepts_tasks(&self, now: Time) -> bool {
+        !self.leaving && self.is_usable(now)
     }
 
     /// Whether it can be given a lasting task that finds no room elsewhere, although it is to be
@@ -254,42 +254,42 @@
     ///
     /// One that is empty may be ordered down at any moment, and is never filled again.  One that
     /// isn't can't be before this owner has said that it is.
-    pub(crate) fn is_refuge(&self, now: Time) -> bool {
-        self.leaving && !self.is_empty() && self.is_sound(now)
+    pub(crate) fn is_fallback(&self, now: Time) -> bool {
+        self.leaving && !self.is_empty() && self.is_usable(now)
     }
 
-    fn is_sound(&self, now: Time) -> bool {
+    fn is_usable(&self, now: Time) -> bool {
         self.listed
             && self.answered
             && self.is_reachable()
             && self.has_current_listing()
             && !self.listing.draining
             && !self.reserved
-            && !self.is_proving_ground()
-            && now >= self.quarantined
+            && !self.runs_isolated_trial()
+            && now >= self.quarantined_until
     }
 
-    pub(crate) fn insert(&mut self, task: TaskName, run: Run) {
-        self.remove(&task);
+    pub(crate) fn insert_run(&mut self, task: TaskName, run: Run) {
+        self.remove_run(&task);
         self.used = self.used.plus(&run.need);
-        self.lasting += usize::from(run.lasting);
-        self.guarded += usize::from(run.suspicion.is_guarded());
+        self.long_running_count += usize::from(run.long_running);
+        self.isolated_runs += usize::from(run.suspicion.needs_isolation());
         self.runs.insert(task, run);
     }
 
-    pub(crate) fn remove(&mut self, task: &TaskName) -> Option<Run> {
+    pub(crate) fn remove_run(&mut self, task: &TaskName) -> Option<Run> {
         let run = self.runs.remove(task)?;
         self.used = self.used.less(&run.need);
-        self.lasting -= usize::from(run.lasting);
-        self.guarded -= usize::from(run.suspicion.is_guarded());
+        self.long_running_count -= usize::from(run.long_running);
+        self.isolated_runs -= usize::from(run.suspicion.needs_isolation());
         Some(run)
     }
 
     /// Takes all runs out.
-    pub(crate) fn clear(&mut self) -> BTreeMap<TaskName, Run> {
+    pub(crate) fn take_runs(&mut self) -> BTreeMap<TaskName, Run> {
         self.used = Resources::default();
-        self.lasting = 0;
-        self.guarded = 0;
+        self.long_running_count = 0;
+        self.isolated_runs = 0;
         std::mem::take(&mut self.runs)
     }
 
--- a/crates/engine/src/cell/pace.rs
+++ b/crates/engine/src/cell/pace.rs
@@ -12,56 +12,56 @@
 
 /// Share of the target, in percent, from which on the tasks beside are slowed down.  The report
 /// is a rough figure for the last half second, so some room to the target is kept.
-const SLOW_FROM: u64 = 80;
+const SLOW_DOWN_FROM_PERCENT: u64 = 80;
 
 /// Share of the target below which they are let go on.
-const EASE_BELOW: u64 = 55;
+const SPEED_UP_BELOW_PERCENT: u64 = 55;
 
 /// Time between two steps down: the report's half second and the time until a pace holds.
-const STEP_DOWN: Duration = Duration::from_millis(600);
+const SLOW_DOWN_INTERVAL: Duration = Duration::from_millis(600);
 
 /// Time between two steps up; slower, as a target that is missed costs more than a task that
 /// fills gains.
-const STEP_UP: Duration = Duration::from_millis(1500);
+const SPEED_UP_INTERVAL: Duration = Duration::from_millis(1500);
 
 /// Percent gained with a step up.
-const GAIN: u8 = 15;
+const SPEED_UP_STEP_PERCENT: u8 = 15;
 
 /// What a minion's serving tasks say of the tasks beside them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Verdict {
+enum Adjustment {
     /// Over the target: stop them.
-    Stop,
+    Pause,
     /// Close to the target: slow them down.
-    Slow,
+    SlowDown,
     /// Far below: let them go on.
-    Ease,
+    SpeedUp,
     /// Leave them.
     Keep,
 }
 
 /// Judges the worst tail against its target, in percent of it.
-fn judge(worst: u64) -> Verdict {
+fn adjustment(worst: u64) -> Adjustment {
     match worst {
-        worst if worst >= 100 => Verdict::Stop,
-        worst if worst >= SLOW_FROM => Verdict::Slow,
-        worst if worst < EASE_BELOW => Verdict::Ease,
-        _ => Verdict::Keep,
+        worst if worst >= 100 => Adjustment::Pause,
+        worst if worst >= SLOW_DOWN_FROM_PERCENT => Adjustment::SlowDown,
+        worst if worst < SPEED_UP_BELOW_PERCENT => Adjustment::SpeedUp,
+        _ => Adjustment::Keep,
     }
 }
 
 /// The next pace of a task that fills.
-fn next(pace: u8, verdict: Verdict) -> u8 {
+fn next_pace(pace: u8, verdict: Adjustment) -> u8 {
     match verdict {
-        Verdict::Stop => 0,
-        Verdict::Slow => pace / 2,
-        Verdict::Ease => pace.saturating_add(GAIN).min(100),
-        Verdict::Keep => pace,
+        Adjustment::Pause => 0,
+        Adjustment::SlowDown => pace / 2,
+        Adjustment::SpeedUp => pace.saturating_add(SPEED_UP_STEP_PERCENT).min(100),
+        Adjustment::Keep => pace,
     }
 }
 
 /// The worst tail of a minion's serving tasks, in percent of its target; none without any.
-fn worst_tail(cell: &Cell, minion: &Minion) -> Option<u64> {
+fn worst_tail_percent(cell: &Cell, minion: &Minion) -> Option<u64> {
     let share = |(task, run): (&crate::job::TaskName, &crate::cell::minion::Run)| {
         let job = cell.jobs.get(&task.job)?;
         let step = &job.accepted.definition.steps[task.step as usize];
@@ -73,27 +73,30 @@
 
 impl Cell {
     /// Decides the pace of the tasks that fill.
-    pub(crate) fn pace(&mut self, now: Time, orders: &mut Vec<Order>) {
+    pub(crate) fn adjust_paces(&mut self, now: Time, orders: &mut Vec<Order>) {
         let verdicts: Vec<_> = self
             .minions
             .values()
-            .filter(|minion| minion.runs.values().any(|run| run.fills))
+            .filter(|minion| minion.runs.values().any(|run| run.best_effort))
             .map(|minion| {
                 // Without a serving task nobody is disturbed.
-                let verdict = worst_tail(self, minion).map_or(Verdict::Ease, judge);
+                let verdict =
+                    worst_tail_percent(self, minion).map_or(Adjustment::SpeedUp, adjustment);
                 (minion.id.clone(), verdict)
             })
             .collect();
         for (id, verdict) in verdicts {
-            let wait = if verdict == Verdict::Ease { STEP_UP } else { STEP_DOWN };
+            let wait =
+                if verdict == Adjustment::SpeedUp { SPEED_UP_INTERVAL } else { SLOW_DOWN_INTERVAL };
             let Some(minion) = self.minions.get_mut(&id) else { continue };
             for (task, run) in &mut minion.runs {
-                let due =
-                    run.fills && run.phase == RunPhase::Active && now.since(run.paced) >= wait;
-                let pace = next(run.pace, verdict);
-                if due && pace != run.pace {
-                    run.pace = pace;
-                    run.paced = now;
+                let due = run.best_effort
+                    && run.phase == RunPhase::Active
+                    && now.since(run.pace_changed_at) >= wait;
+                let pace = next_pace(run.pace_percent, verdict);
+                if due && pace != run.pace_percent {
+                    run.pace_percent = pace;
+                    run.pace_changed_at = now;
                     let (minion, task, run) = (id.clone(), *task, run.number);
                     orders.push(Order::Pace { minion, task, run, percent: pace });
                 }
@@ -102,13 +105,13 @@
     }
 
     /// Takes in that a pace was not taken over, so that it is ordered again.
-    pub fn pace_missed(&mut self, id: &str, task: &crate::job::TaskName, number: u32) {
+    pub fn record_pace_failure(&mut self, id: &str, task: &crate::job::TaskName, number: u32) {
         let Some(minion) = self.minions.get_mut(id) else { return };
         if let Some(run) = minion.runs.get_mut(task).filter(|run| run.number == number) {
             // Whatever it is, it isn't known to be slowed down.
-            run.pace = 100;
-            run.paced = Time(0);
-            self.swept = None;
+            run.pace_percent = 100;
+            run.pace_changed_at = Time(0);
+            self.last_sweep = None;
         }
     }
 }
--- a/crates/engine/src/cell/permit.rs
+++ b/crates/engine/src/cell/permit.rs
@@ -22,7 +22,7 @@
     /// Everything: nobody can have taken the cell over.
     All,
     /// Tasks that were never started, of jobs known by then.
-    Fresh {
+    NeverStarted {
         /// The last moment at which the cell was certainly this owner's.
         known_by: Time,
     },
@@ -35,7 +35,7 @@
     pub(crate) fn covers(&self, job: &Job) -> bool {
         match self {
             Permit::All => true,
-            Permit::Fresh { known_by } => job.known <= *known_by,
+            Permit::NeverStarted { known_by } => job.known_since <= *known_by,
             Permit::Nothing => false,
         }
     }
@@ -44,7 +44,7 @@
     pub(crate) fn covers_task(&self, task: &Task) -> bool {
         match self {
             Permit::All => true,
-            Permit::Fresh { .. } => task.last_run == 0,
+            Permit::NeverStarted { .. } => task.last_run == 0,
             Permit::Nothing => false,
         }
     }
--- a/crates/engine/src/cell/place.rs
+++ b/crates/engine/src/cell/place.rs
@@ -15,25 +15,25 @@
 /// lasting tasks are weighed against each other.
 mod penalty {
     /// Where the task's last run failed.
-    pub(super) const AVOID: u64 = 1_000_000_000;
+    pub(super) const FAILED_TASK: u64 = 1_000_000_000;
     /// Away from the rack with its data.
-    pub(super) const REMOTE: u64 = 10_000_000;
+    pub(super) const REMOTE_DATA: u64 = 10_000_000;
     /// Lasting: each task of the same step that is there.  Two of them go together before a
     /// further minion is kept from moving, a third doesn't: with a minion lost, its users lose a
     /// part of their service, and tasks that have to leave one after the other can go.
     pub(super) const SAME_STEP: u64 = 250_000;
     /// Most tasks of the same step that count, so that they weigh less than a failure.
-    pub(super) const SAME_STEP_MOST: u32 = 3;
+    pub(super) const MAX_SAME_STEP_TASKS: u32 = 3;
     /// Lasting: where no other lasting task is.
-    pub(super) const ALONE: u64 = 400_000;
+    pub(super) const NO_LONG_RUNNING_TASK: u64 = 400_000;
     /// A failure there since its last success, or slowness.
-    pub(super) const FAILING: u64 = 1_000_000;
+    pub(super) const UNRELIABLE_MINION: u64 = 1_000_000;
 }
 
 /// How long a lasting task waits for room before it goes to a minion that is being emptied.
 /// Most ending tasks take about a second, so most room that is to come has come by then; its
 /// users notice its absence after some 3 s, of which a start takes up to one.
-const REFUGE_AFTER: Duration = Duration::from_millis(1500);
+const FALLBACK_DELAY: Duration = Duration::from_millis(1500);
 
 /// Needs for which no minion has room, in one plan.
 ///
@@ -43,24 +43,24 @@
 /// three quarters of the time with it (0.75 ms of a core for 1.0 ms, `cargo bench --bench owner`), on
 /// instances with an eighth to half of a core.
 #[derive(Debug, Default)]
-pub(crate) struct Full(SmallVec<[Resources; 8]>);
+pub(crate) struct UnmetNeeds(SmallVec<[Resources; 8]>);
 
-impl Full {
+impl UnmetNeeds {
     /// Forgets all, for the next plan.
     pub(crate) fn clear(&mut self) {
         self.0.clear();
     }
 
     /// Notes that no minion has room for a need.
-    pub(crate) fn note(&mut self, need: Resources) {
-        if !self.is_noted(&need) {
+    pub(crate) fn add(&mut self, need: Resources) {
+        if !self.covers(&need) {
             self.0.retain(|known| !known.holds(&need));
             self.0.push(need);
         }
     }
 
     /// Whether it is known that no minion has room for a need.
-    pub(crate) fn is_noted(&self, need: &Resources) -> bool {
+    pub(crate) fn covers(&self, need: &Resources) -> bool {
         self.0.iter().any(|known| need.holds(known))
     }
 }
@@ -92,7 +92,7 @@
         now: Time,
         may_run: impl Fn(&str) -> bool,
     ) -> Option<MinionId> {
-        let may_run = |minion: &Minion| minion.takes_work(now) && may_run(&minion.id);
+        let may_run = |minion: &Minion| minion.accepts_tasks(now) && may_run(&minion.id);
         self.find_among(step, task, spread, may_run)
     }
 
@@ -101,7 +101,7 @@
     /// While a wave empties most minions of a pool, the rest may have no room for long: the task
     /// would stay away although its former minion has room, and while it is away no other task of
     /// its step may leave, so that the wave would stand still, too.
-    pub(crate) fn find_refuge(
+    pub(crate) fn find_fallback(
         &self,
         step: &Step,
         task: &Task,
@@ -109,10 +109,10 @@
         now: Time,
         may_run: impl Fn(&str) -> bool,
     ) -> Option<MinionId> {
-        if !step.lasting || now.since(task.waits_since) < REFUGE_AFTER {
+        if !step.lasting || now.since(task.waiting_since) < FALLBACK_DELAY {
             return None;
         }
-        let may_run = |minion: &Minion| minion.is_refuge(now) && may_run(&minion.id);
+        let may_run = |minion: &Minion| minion.is_fallback(now) && may_run(&minion.id);
         self.find_among(step, task, spread, may_run)
     }
 
@@ -127,7 +127,7 @@
         self.minions
             .values()
             .filter(|minion| may_run(minion) && fits(minion, step, &need, spread))
-            .min_by_key(|minion| (cost(minion, step, task, &need, spread), &minion.id))
+            .min_by_key(|minion| (placement_cost(minion, step, task, &need, spread), &minion.id))
             .map(|minion| minion.id.clone())
     }
 
@@ -142,9 +142,9 @@
         let need = step.counted_need();
         self.minions
             .values()
-            .filter(|minion| minion.takes_work(now))
+            .filter(|minion| minion.accepts_tasks(now))
             .filter(|minion| is_suitable(minion, step, spread))
-            .filter(|minion| minion.free_in_the_end().holds(&need))
+            .filter(|minion| minion.free_after_ending_runs().holds(&need))
             .max_by_key(|minion| (minion.free().cpu, &minion.id))
             .map(|minion| minion.id.clone())
     }
@@ -166,15 +166,15 @@
             racks.sort_by_key(|rack| step.near.as_deref() != Some(*rack));
             let in_rack = racks
                 .into_iter()
-                .find_map(|rack| self.fill_gang(job, name, step, Some(rack), now, may_run));
+                .find_map(|rack| self.place_gang(job, name, step, Some(rack), now, may_run));
             if in_rack.is_some() {
                 return in_rack;
             }
         }
-        self.fill_gang(job, name, step, None, now, may_run)
+        self.place_gang(job, name, step, None, now, may_run)
     }
 
-    fn fill_gang(
+    fn place_gang(
         &self,
         job: &Job,
         name: &TaskName,
@@ -187,7 +187,7 @@
         let mut free: BTreeMap<MinionId, Resources> = self
             .minions
             .values()
-            .filter(|minion| minion.takes_work(now))
+            .filter(|minion| minion.accepts_tasks(now))
             .filter(|minion| rack.is_none() || minion.rack() == rack)
             .filter(|minion| may_run(&minion.id))
             .map(|minion| (minion.id.clone(), minion.free()))
@@ -203,7 +203,7 @@
                 .filter_map(|(id, _)| self.minions.get(id))
                 .filter(|minion| fits(minion, step, &need, &spread))
                 .min_by_key(|minion| {
-                    (cost(minion, step, task, &need, &spread), minion.id.clone())
+                    (placement_cost(minion, step, task, &need, &spread), minion.id.clone())
                 })?;
             let id = place.id.clone();
             let room = free.get_mut(&id)?;
@@ -237,32 +237,39 @@
     labelled && spaced
 }
 
-fn cost(minion: &Minion, step: &Step, task: &Task, need: &Resources, spread: &Spread) -> u64 {
+fn placement_cost(
+    minion: &Minion,
+    step: &Step,
+    task: &Task,
+    need: &Resources,
+    spread: &Spread,
+) -> u64 {
     let mut cost = minion.free().cpu - need.cpu.min(minion.free().cpu);
     if step.lasting {
         // Lasting tasks of different jobs go together: their minions can't be given to another
         // pool and have to be evacuated for maintenance, so they should be few.
-        let same = spread.get(&minion.id).copied().unwrap_or(0).min(penalty::SAME_STEP_MOST);
+        let same_step =
+            spread.get(&minion.id).copied().unwrap_or(0).min(penalty::MAX_SAME_STEP_TASKS);
         cost = minion.free().cpu
-            + penalty::ALONE * u64::from(minion.lasting == 0)
-            + penalty::SAME_STEP * u64::from(same);
+            + penalty::NO_LONG_RUNNING_TASK * u64::from(minion.long_running_count == 0)
+            + penalty::SAME_STEP * u64::from(same_step);
     }
     if step.fills {
         // What fills goes where most is unused, and not beside serving tasks.
-        cost = minion.used.cpu + penalty::ALONE * minion.lasting as u64;
+        cost = minion.used.cpu + penalty::NO_LONG_RUNNING_TASK * minion.long_running_count as u64;
     }
-    if task.suspicion.is_guarded() {
+    if task.suspicion.needs_isolation() {
         // Where the least would be lost with it.
-        cost = minion.used.cpu + penalty::ALONE * minion.lasting as u64;
+        cost = minion.used.cpu + penalty::NO_LONG_RUNNING_TASK * minion.long_running_count as u64;
     }
     if task.avoid.as_ref() == Some(&minion.id) {
-        cost += penalty::AVOID;
+        cost += penalty::FAILED_TASK;
     }
     if step.near.is_some() && step.near.as_deref() != minion.rack() {
-        cost += penalty::REMOTE;
+        cost += penalty::REMOTE_DATA;
     }
-    if !minion.failing.is_empty() || minion.strikes > 0 || minion.is_slow() {
-        cost += penalty::FAILING;
+    if !minion.failing_jobs.is_empty() || minion.quarantine_count > 0 || minion.is_slow() {
+        cost += penalty::UNRELIABLE_MINION;
     }
     cost
 }
--- a/crates/engine/src/cell/quota.rs
+++ b/crates/engine/src/cell/quota.rs
@@ -1,6 +1,6 @@
 //! What a cell's workspaces may have running: the accounts, and what the cell's runs take of them.
 
-use crate::cell::{Cell, Job, Note};
+use crate::cell::{Cell, Event, Job};
 use crate::job::{Origin, Resources, TaskName};
 use crate::quota::{Account, Change, Holder, Limit, Split};
 use crate::time::Time;
@@ -8,15 +8,15 @@
 use std::time::Duration;
 
 /// Time between two changes of a cell's shares.
-const CHANGE_INTERVAL: Duration = Duration::from_millis(40);
+const SHARE_CHANGE_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Most splits changed in one transaction: each is a condition and a write, and a transaction has a hundred
 /// entries.
-const MAX_CHANGES: usize = 45;
+const MAX_CHANGES_PER_TRANSACTION: usize = 45;
 
 /// The account of jobs of which nobody knows the workspace.  No configuration gives it a limit, so one task of
 /// theirs runs at a time; no workspace has such a name, since one's begin with a letter.
-const UNKNOWN: &str = "~unknown";
+const UNKNOWN_WORKSPACE: &str = "~unknown";
 
 /// A workspace's place among the accounts.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -33,33 +33,33 @@
 #[derive(Debug, Default)]
 pub(crate) struct Accounts {
     list: Vec<Account>,
-    places: BTreeMap<Box<str>, AccountId>,
+    ids: BTreeMap<Box<str>, AccountId>,
     /// When the splits were last known to be as read.
-    confirmed: Option<Time>,
+    confirmed_at: Option<Time>,
     /// Whether nothing can run here any more that this owner doesn't see.
-    settled: bool,
+    is_takeover_complete: bool,
     /// When shares were last to be changed.
-    changed: Option<Time>,
+    changed_at: Option<Time>,
 }
 
 impl Accounts {
     /// For an owner; `settled` if it is the cell's first.
-    pub(crate) fn new(settled: bool) -> Self {
-        Self { settled, ..Self::default() }
+    pub(crate) fn new(is_takeover_complete: bool) -> Self {
+        Self { is_takeover_complete, ..Self::default() }
     }
 
-    fn open(&mut self, workspace: &str, holder: Holder, now: Time) -> AccountId {
-        if let Some(place) = self.places.get(workspace) {
-            return *place;
+    fn get_or_open(&mut self, workspace: &str, holder: Holder, now: Time) -> AccountId {
+        if let Some(id) = self.ids.get(workspace) {
+            return *id;
         }
-        let place = AccountId(self.list.len() as u16);
-        let mut account = Account::new(workspace, holder, self.settled, now);
-        if let Some(confirmed) = self.confirmed {
+        let id = AccountId(self.list.len() as u16);
+        let mut account = Account::new(workspace, holder, self.is_takeover_complete, now);
+        if let Some(confirmed) = self.confirmed_at {
             account.confirm(confirmed);
         }
         self.list.push(account);
-        self.places.insert(workspace.into(), place);
-        place
+        self.ids.insert(workspace.into(), id);
+        id
     }
 
     pub(crate) fn get(&self, id: AccountId) -> &Account {
@@ -67,7 +67,7 @@
     }
 
     /// Counts a run that is ordered.
-    pub(crate) fn take(&mut self, charge: Option<Charge>) {
+    pub(crate) fn charge_run(&mut self, charge: Option<Charge>) {
         if let Some(Charge { account, need }) = charge {
             self.get_mut(account).start(&need);
         }
@@ -92,7 +92,7 @@
         now: Time,
     ) {
         for (workspace, limit) in limits {
-            let id = self.accounts.open(&workspace, self.holder(), now);
+            let id = self.accounts.get_or_open(&workspace, self.holder(), now);
             self.accounts.get_mut(id).configure(limit, configuration, now);
         }
     }
@@ -103,57 +103,58 @@
     }
 
     /// Takes in splits that were read, each with its row's version.
-    pub fn take_splits(
+    pub fn record_splits(
         &mut self,
         splits: impl IntoIterator<Item = (Box<str>, u64, Split)>,
         now: Time,
     ) {
         for (workspace, version, split) in splits {
-            let id = self.accounts.open(&workspace, self.holder(), now);
+            let id = self.accounts.get_or_open(&workspace, self.holder(), now);
             self.accounts.get_mut(id).read(version, Some(split), now);
         }
     }
 
     /// Notes that all splits were certain to be as known at `now`.
     pub fn confirm_splits(&mut self, now: Time) {
-        self.accounts.confirmed = Some(now);
+        self.accounts.confirmed_at = Some(now);
         self.accounts.list.iter_mut().for_each(|account| account.confirm(now));
     }
 
     /// Changes of splits that are due, to be written in one transaction.
     pub fn split_changes(&mut self, now: Time) -> Vec<Change> {
-        let is_early = self.accounts.changed.is_some_and(|at| now.since(at) < CHANGE_INTERVAL);
+        let is_early =
+            self.accounts.changed_at.is_some_and(|at| now.since(at) < SHARE_CHANGE_INTERVAL);
         if self.accounts.list.is_empty() || is_early {
             return Vec::new();
         }
-        let takes = self.minions.values().filter(|minion| minion.takes_work(now));
-        let room = takes.fold(Resources::default(), |sum, minion| sum.plus(&minion.free()));
+        let accepting = self.minions.values().filter(|minion| minion.accepts_tasks(now));
+        let room = accepting.fold(Resources::default(), |sum, minion| sum.plus(&minion.free()));
         let changes: Vec<Change> = self
             .accounts
             .list
             .iter_mut()
             .filter_map(|account| account.change(&room, now))
-            .take(MAX_CHANGES)
+            .take(MAX_CHANGES_PER_TRANSACTION)
             .collect();
         if !changes.is_empty() {
-            self.accounts.changed = Some(now);
+            self.accounts.changed_at = Some(now);
         }
         changes
     }
 
     /// Notes that changes were carried out and gave their rows this version.
-    pub fn splits_written(&mut self, changes: &[Change], version: u64, now: Time) {
-        self.each_changed(changes, |account, change| account.written(change, version, now));
+    pub fn record_split_changes(&mut self, changes: &[Change], version: u64, now: Time) {
+        self.for_each_change(changes, |account, change| account.written(change, version, now));
     }
 
     /// Notes that changes were certainly not carried out.
-    pub fn splits_refused(&mut self, changes: &[Change]) {
-        self.each_changed(changes, Account::refused);
+    pub fn discard_split_changes(&mut self, changes: &[Change]) {
+        self.for_each_change(changes, Account::refused);
     }
 
-    fn each_changed(&mut self, changes: &[Change], work: impl Fn(&mut Account, &Change)) {
+    fn for_each_change(&mut self, changes: &[Change], work: impl Fn(&mut Account, &Change)) {
         for change in changes {
-            if let Some(id) = self.accounts.places.get(&change.workspace).copied() {
+            if let Some(id) = self.accounts.ids.get(&change.workspace).copied() {
                 work(self.accounts.get_mut(id), change);
             }
         }
@@ -164,9 +165,9 @@
         let workspace = match origin {
             Origin::Public => return None,
             Origin::Workspace(name) => name,
-            Origin::Unknown => UNKNOWN,
+            Origin::Unknown => UNKNOWN_WORKSPACE,
         };
-        Some(self.accounts.open(workspace, self.holder(), now))
+        Some(self.accounts.get_or_open(workspace, self.holder(), now))
     }
 
     /// Counts what runs anew.
@@ -176,7 +177,7 @@
         }
         self.settle_accounts(now);
         self.accounts.list.iter_mut().for_each(Account::begin);
-        let first_own = self.next_run(0);
+        let first_own = self.next_run_number(0);
         for run in self.minions.values().flat_map(|minion| minion.runs.values()) {
             if let Some(Charge { account, need }) = run.charge {
                 self.accounts.get_mut(account).count(&need, run.number >= first_own);
@@ -187,18 +188,18 @@
     /// A run of a job that isn't known yet may be of any workspace, so the former owner's shares stay in use until
     /// it is gone.
     fn settle_accounts(&mut self, now: Time) {
-        if self.accounts.settled || !self.is_settled(now) {
+        if self.accounts.is_takeover_complete || !self.is_takeover_complete(now) {
             return;
         }
         let mut tasks = self.minions.values().flat_map(|minion| minion.runs.keys());
         if tasks.all(|task| self.jobs.contains_key(&task.job)) {
-            self.accounts.settled = true;
+            self.accounts.is_takeover_complete = true;
             self.accounts.list.iter_mut().for_each(Account::settle);
         }
     }
 
     /// Whether the job's workspace is limited here.
-    fn limited(&self, job: &Job) -> Option<AccountId> {
+    fn limited_account(&self, job: &Job) -> Option<AccountId> {
         let is_open = || self.queues.get(&job.accepted.queue).is_some_and(|queue| queue.public);
         job.account.filter(|_| job.accepted.origin != Origin::Unknown || !is_open())
     }
@@ -211,13 +212,19 @@
         count: u64,
         now: Time,
     ) -> bool {
-        self.limited(job).is_none_or(|id| self.accounts.get(id).may_start(need, count, now))
+        self.limited_account(job).is_none_or(|id| self.accounts.get(id).may_start(need, count, now))
     }
 
     /// Notes that tasks of a job wait for their workspace's limit: `count` of them one by one, or a gang.
-    pub(crate) fn hold_back(&mut self, name: &TaskName, unit: &Resources, count: u64, now: Time) {
+    pub(crate) fn record_held_back(
+        &mut self,
+        name: &TaskName,
+        unit: &Resources,
+        count: u64,
+        now: Time,
+    ) {
         let Some(job) = self.jobs.get(&name.job) else { return };
-        let Some(id) = self.limited(job) else { return };
+        let Some(id) = self.limited_account(job) else { return };
         let is_gang = job.accepted.definition.steps[name.step as usize].gang;
         let is_first = !job.held_back;
         let account = self.accounts.get_mut(id);
@@ -227,11 +234,11 @@
             account.want(unit, count);
         }
         if is_first {
-            self.note_held(name, id, *unit, is_larger, now);
+            self.record_held_event(name, id, *unit, is_larger, now);
         }
     }
 
-    fn note_held(
+    fn record_held_event(
         &mut self,
         name: &TaskName,
         id: AccountId,
@@ -241,7 +248,7 @@
     ) {
         let account = self.accounts.get(id);
         let (workspace, summary) = (account.workspace.clone(), account.summary(now));
-        self.note(Note::Held { task: *name, workspace, need, is_larger, summary });
+        self.record_event(Event::Held { task: *name, workspace, need, is_larger, summary });
         if let Some(job) = self.jobs.get_mut(&name.job) {
             job.held_back = true;
         }
--- a/crates/engine/src/cell/report.rs
+++ b/crates/engine/src/cell/report.rs
@@ -3,7 +3,7 @@
 use crate::cell::crash::Certainty;
 use crate::cell::minion::{Incarnation, Listing, Minion, MinionId, Run, RunPhase};
 use crate::cell::work::{Phase, Task};
-use crate::cell::{Cell, Note, Order};
+use crate::cell::{Cell, Event, Order};
 use crate::job::{State, TaskName};
 use crate::time::Time;
 use smallvec::smallvec;
@@ -12,21 +12,21 @@
 
 /// Failures of this many different jobs in a row, without a success between them, put a minion
 /// in quarantine: one job may be hopeless by itself.
-const FAILING_JOBS: usize = 2;
+const MIN_FAILING_JOBS: usize = 2;
 
 /// Longest quarantine, as a power of two of the first.
-const MAX_STRIKES: u32 = 3;
+const MAX_QUARANTINE_DOUBLINGS: u32 = 3;
 
 /// Pause before a lasting task that failed is started again, so that one that fails at once
 /// doesn't fill its minion's calls.
-const LASTING_PAUSE: Duration = Duration::from_millis(100);
+const LONG_RUNNING_RESTART_DELAY: Duration = Duration::from_millis(100);
 
 /// Pause for a task that its minion had no room for: the books differ, and the next report
 /// sets them right.
-const ROOM_PAUSE: Duration = Duration::from_millis(150);
+const NO_ROOM_QUARANTINE: Duration = Duration::from_millis(150);
 
 /// Pause for a minion that says it is unhealthy.
-const UNHEALTHY_PAUSE: Duration = Duration::from_millis(700);
+const UNHEALTHY_QUARANTINE: Duration = Duration::from_millis(700);
 
 /// Maximum number of ends in one answer.
 const MAX_ENDS_PER_ANSWER: usize = 500;
@@ -37,7 +37,7 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
-pub enum How {
+pub enum EndReason {
     /// Its work is done.
     Done,
     /// It failed, by its own fault or the minion's.
@@ -78,7 +78,7 @@
     /// The run's number.
     pub run: u32,
     /// How it ended.
-    pub how: How,
+    pub reason: EndReason,
     /// Its last checkpoint.
     pub checkpoint: Option<Box<str>>,
 }
@@ -138,7 +138,7 @@
         };
         let is_missing = |task: &TaskName, run: &Run| match run.phase {
             RunPhase::Ordered | RunPhase::Unanswered { .. } => false,
-            RunPhase::Active => run.moved < sent && !listed(task, run.number),
+            RunPhase::Active => run.progressed_at < sent && !listed(task, run.number),
             RunPhase::Stopping { confirmed, .. } => {
                 confirmed.is_some_and(|at| at < sent) && !listed(task, run.number)
             }
@@ -150,7 +150,7 @@
 
 impl Cell {
     /// Takes in a minion as the platform lists it.
-    pub fn list(&mut self, id: &MinionId, listing: Listing) {
+    pub fn update_listing(&mut self, id: &MinionId, listing: Listing) {
         match self.minions.get_mut(id) {
             Some(minion) => {
                 minion.listing = listing;
@@ -163,14 +163,14 @@
     }
 
     /// Takes in a minion that a former owner used, whether it is still listed or not.
-    pub fn inherit(&mut self, id: &MinionId) {
+    pub fn inherit_minion(&mut self, id: &MinionId) {
         let absent = || Minion::new(id.clone(), Listing::default(), false);
         self.minions.entry(id.clone()).or_insert_with(absent).inherited = true;
     }
 
     /// Notes that the platform's list no longer has a minion.  It may be cut off and still run
     /// what it has, so its runs are given up only when their lease must have lapsed.
-    pub fn unlist(&mut self, id: &str) {
+    pub fn mark_unlisted(&mut self, id: &str) {
         if let Some(minion) = self.minions.get_mut(id) {
             minion.listed = false;
         }
@@ -187,51 +187,57 @@
     }
 
     /// Notes that a call about to be sent may extend leases up to `until`.
-    pub fn promise(&mut self, id: &str, until: Time) {
+    pub fn extend_lease_expiry(&mut self, id: &str, until: Time) {
         if let Some(minion) = self.minions.get_mut(id) {
-            minion.lapse = minion.lapse.max(until);
+            minion.lease_expiry = minion.lease_expiry.max(until);
         }
     }
 
     /// Notes that a minion's life is over for certain: all that it ran is gone.
-    pub fn bury(&mut self, id: &str, now: Time) {
+    pub fn remove_terminated_minion(&mut self, id: &str, now: Time) {
         let Some(minion) = self.minions.remove(id) else { return };
-        self.note_loss(&minion, Certainty::Certain, now);
-        self.give_up_lost_runs(&minion.id, minion.runs, now);
+        self.record_loss(&minion, Certainty::Certain, now);
+        self.requeue_lost_runs(&minion.id, minion.runs, now);
     }
 
     /// Notes that a minion didn't answer.
-    pub fn missed(&mut self, id: &str, now: Time) {
+    pub fn record_missed_answer(&mut self, id: &str, now: Time) {
         if let Some(minion) = self.minions.get_mut(id) {
             minion.silent_since.get_or_insert(now);
-            self.doubt(id);
+            self.mark_possible_crash(id);
         }
     }
 
     /// Takes in a minion's answer to a hold that was sent at `sent`; returns stops of runs that
     /// nobody wants.
-    pub fn report(&mut self, id: &MinionId, report: &Report, sent: Time, now: Time) -> Vec<Order> {
+    pub fn process_report(
+        &mut self,
+        id: &MinionId,
+        report: &Report,
+        sent: Time,
+        now: Time,
+    ) -> Vec<Order> {
         let Some(minion) = self.minions.get_mut(id) else { return Vec::new() };
         if minion.is_outdated(report.incarnation) {
             return Vec::new();
         }
         let restart = minion.update_incarnation(report.incarnation);
         minion.answered = true;
-        minion.reported = now;
+        minion.reported_at = now;
         let seen = minion.seen;
         if minion.silent_since.take().is_some() {
-            self.trust(id);
+            self.clear_possible_crash(id);
         }
         for end in report.finished.iter().filter(|end| end.number > seen) {
-            self.end(id, end, now);
+            self.process_end(id, end, now);
         }
         let mut orders = Vec::new();
         for running in &report.running {
-            self.running(id, running, now, &mut orders);
+            self.process_running(id, running, now, &mut orders);
         }
         match restart {
             Some(restart) => self.drop_lost_runs(id, &restart, report, sent, now),
-            None => self.drop_vanished(id, report, sent, now),
+            None => self.drop_vanished_runs(id, report, sent, now),
         }
         self.stop_unanswered(id, sent);
         orders
@@ -244,49 +250,61 @@
         for run in minion.runs.values_mut() {
             if matches!(run.phase, RunPhase::Unanswered { since } if since <= sent) {
                 run.phase = STOP_DUE;
-                self.swept = None;
+                self.last_sweep = None;
             }
         }
     }
 
     /// Gives up runs that the minion no longer lists although it had them when the hold was
     /// sent, and unanswered starts of which a stop has made sure that they never run.
-    fn drop_vanished(&mut self, id: &MinionId, report: &Report, sent: Time, now: Time) {
+    fn drop_vanished_runs(&mut self, id: &MinionId, report: &Report, sent: Time, now: Time) {
         let Some(minion) = self.minions.get(id) else { return };
         let (seen, acknowledged) = (minion.seen, minion.acknowledged);
         for (task, number) in minion.missing_runs(report, sent) {
             if let Some(minion) = self.minions.get_mut(id) {
-                minion.remove(&task);
+                minion.remove_run(&task);
             }
-            self.note(Note::Vanished { minion: id.clone(), task, run: number, seen, acknowledged });
-            self.give_up(id, &task, number, now);
+            self.record_event(Event::Vanished {
+                minion: id.clone(),
+                task,
+                run: number,
+                seen,
+                acknowledged,
+            });
+            self.requeue_task(id, &task, number, now);
         }
     }
 
     /// Gives up runs lost with their minion, or with its former incarnation, and emits a
-    /// [`Note::Lost`] for each.
-    pub(crate) fn give_up_lost_runs(
+    /// [`Event::Lost`] for each.
+    pub(crate) fn requeue_lost_runs(
         &mut self,
         id: &MinionId,
         runs: impl IntoIterator<Item = (TaskName, Run), IntoIter: ExactSizeIterator>,
         now: Time,
     ) {
         let runs = runs.into_iter();
-        let beside = runs.len().saturating_sub(1);
+        let other_runs = runs.len().saturating_sub(1);
         for (task, run) in runs {
-            self.note(Note::Lost {
+            self.record_event(Event::Lost {
                 minion: id.clone(),
                 task,
                 run: run.number,
-                age: now.since(run.since),
+                age: now.since(run.ordered_at),
                 listed: run.listed_for.is_some(),
-                beside,
+                other_runs,
             });
-            self.give_up(id, &task, run.number, now);
+            self.requeue_task(id, &task, run.number, now);
         }
     }
 
-    fn running(&mut self, id: &MinionId, running: &Running, now: Time, orders: &mut Vec<Order>) {
+    fn process_running(
+        &mut self,
+        id: &MinionId,
+        running: &Running,
+        now: Time,
+        orders: &mut Vec<Order>,
+    ) {
         let stop = Order::Stop { minion: id.clone(), task: running.task, run: running.run };
         let Some(minion) = self.minions.get_mut(id) else { return };
         if let Some(run) = minion.runs.get_mut(&running.task) {
@@ -296,14 +314,14 @@
             }
             if matches!(run.phase, RunPhase::Ordered | RunPhase::Unanswered { .. }) {
                 run.phase = RunPhase::Active;
-                run.moved = now;
+                run.progressed_at = now;
             }
             run.load = running.load;
-            run.begun = true;
-            run.listed_for = Some(running.life(now.since(run.since)));
+            run.is_start_confirmed = true;
+            run.listed_for = Some(running.min_run_time(now.since(run.ordered_at)));
             if run.percent != running.percent {
                 run.percent = running.percent;
-                run.moved = now;
+                run.progressed_at = now;
             }
             let Some(job) = self.jobs.get_mut(&running.task.job) else { return };
             job.started = true;
@@ -313,9 +331,9 @@
                 task.checkpoint = Some(checkpoint.clone());
             }
             let is_suspected = job.task(&running.task).is_some_and(Task::is_suspected);
-            self.learn_speed(id, &running.task, running.percent.min(99), now);
+            self.record_speed(id, &running.task, running.percent.min(99), now);
             if is_suspected {
-                self.note_life(id, &running.task);
+                self.record_run_time(id, &running.task);
             }
             return;
         }
@@ -325,14 +343,14 @@
             let phase = RunPhase::Stopping { ordered: now, confirmed: None };
             let need = minion.free();
             let run = Run { need, ..Run::new(running.run, phase, None, now) };
-            minion.insert(running.task, run);
+            minion.insert_run(running.task, run);
             orders.push(stop);
             return;
         };
         let steps = &job.accepted.definition.steps;
         let step = steps.get(running.task.step as usize).cloned();
         let charge = step.as_ref().and_then(|step| job.charge(step));
-        let wanted = !job.is_end_kept();
+        let wanted = !job.is_end_persisted();
         let Some(task) = job.task_mut(&running.task) else {
             orders.push(stop);
             return;
@@ -342,7 +360,7 @@
             // Unwanted here, but it takes room until its end is listed.
             let phase = RunPhase::Stopping { ordered: now, confirmed: None };
             let run = Run { charge, ..Run::new(number, phase, step.as_ref(), now) };
-            minion.insert(running.task, run);
+            minion.insert_run(running.task, run);
             orders.push(stop);
             return;
         }
@@ -352,7 +370,7 @@
             task.checkpoint = Some(checkpoint.clone());
         }
         job.started = true;
-        let listed_for = running.life(Duration::ZERO);
+        let listed_for = running.min_run_time(Duration::ZERO);
         let run = Run {
             percent: running.percent,
             load: running.load,
@@ -360,33 +378,33 @@
             charge,
             ..Run::new(number, RunPhase::Active, step.as_ref(), now)
         };
-        minion.insert(running.task, run);
-        self.note(Note::Adopted { minion: id.clone(), task: running.task, run: number });
+        minion.insert_run(running.task, run);
+        self.record_event(Event::Adopted { minion: id.clone(), task: running.task, run: number });
     }
 
-    fn end(&mut self, id: &MinionId, end: &End, now: Time) {
-        self.take_end(id, end, now);
+    fn process_end(&mut self, id: &MinionId, end: &End, now: Time) {
+        self.apply_end(id, end, now);
         let Some(job) = self.jobs.get(&end.task.job) else { return };
-        if !job.is_kept() {
-            self.changed.insert(end.task.job);
+        if !job.is_persisted() {
+            self.changed_jobs.insert(end.task.job);
         }
     }
 
-    fn take_end(&mut self, id: &MinionId, end: &End, now: Time) {
+    fn apply_end(&mut self, id: &MinionId, end: &End, now: Time) {
         let Some(minion) = self.minions.get_mut(id) else { return };
         minion.seen = end.number;
-        let ours = minion.run(&end.task, end.run).is_some();
-        if ours && end.how == How::Done {
-            self.learn_speed(id, &end.task, 100, now);
+        let is_known_run = minion.run(&end.task, end.run).is_some();
+        if is_known_run && end.reason == EndReason::Done {
+            self.record_speed(id, &end.task, 100, now);
         }
-        if let Some(minion) = self.minions.get_mut(id).filter(|_| ours) {
-            minion.remove(&end.task);
+        if let Some(minion) = self.minions.get_mut(id).filter(|_| is_known_run) {
+            minion.remove_run(&end.task);
         }
-        self.note(Note::Ended { minion: id.clone(), end: end.clone() });
+        self.record_event(Event::Ended { minion: id.clone(), end: end.clone() });
         if !self.task_exists(&end.task) {
             return;
         }
-        self.judge_minion(id, end, now);
+        self.update_quarantine(id, end, now);
         let Some(job) = self.jobs.get_mut(&end.task.job) else { return };
         let attempts = self
             .queues
@@ -395,8 +413,8 @@
         let step = &job.accepted.definition.steps[end.task.step as usize];
         let (lasting, gang) = (step.lasting, step.gang);
         job.started = true;
-        match end.how {
-            How::Done if !lasting => {
+        match end.reason {
+            EndReason::Done if !lasting => {
                 job.finish_task(&end.task);
                 if gang {
                     // Its members end done together, so one such end stands for all.
@@ -404,12 +422,12 @@
                 }
                 if job.is_done() && !job.state().is_final() {
                     job.outcome = Some(State::Completed);
-                    job.ended = Some(now);
-                    self.active.remove(&end.task.job);
+                    job.ended_at = Some(now);
+                    self.active_jobs.remove(&end.task.job);
                 }
                 return;
             }
-            How::Failed if !lasting => {
+            EndReason::Failed if !lasting => {
                 let cancelled = job.state().is_final();
                 let Some(task) = job.task_mut(&end.task) else { return };
                 if task.phase == Phase::Done {
@@ -422,16 +440,16 @@
                 let failed = task.failed.len();
                 // A gang is tried as a whole: each of its runs that failed counts once.
                 let failed = if gang { job.failed_runs(&end.task) } else { failed };
-                let spent = failed >= attempts as usize;
-                job.change();
-                if spent && !cancelled {
+                let is_exhausted = failed >= attempts as usize;
+                job.mark_changed();
+                if is_exhausted && !cancelled {
                     job.fail(now);
-                    self.active.remove(&end.task.job);
+                    self.active_jobs.remove(&end.task.job);
                 }
             }
-            How::Failed => {
+            EndReason::Failed => {
                 if let Some(task) = job.task_mut(&end.task) {
-                    task.not_before = now + LASTING_PAUSE;
+                    task.not_before = now + LONG_RUNNING_RESTART_DELAY;
                     task.avoid = Some(id.clone());
                 }
             }
@@ -441,44 +459,45 @@
         if let Some(checkpoint) = &end.checkpoint {
             task.checkpoint = Some(checkpoint.clone());
         }
-        self.give_up(id, &end.task, end.run, now);
+        self.requeue_task(id, &end.task, end.run, now);
     }
 
     /// Puts a task back to wait if its run on `minion` was the current one.
-    pub(crate) fn give_up(&mut self, minion: &MinionId, name: &TaskName, run: u32, now: Time) {
+    pub(crate) fn requeue_task(&mut self, minion: &MinionId, name: &TaskName, run: u32, now: Time) {
         let Some(job) = self.jobs.get_mut(&name.job) else { return };
         let Some(task) = job.task_mut(name) else { return };
         let current = Phase::Placed { minion: minion.clone(), run };
         if task.phase == current {
             task.phase = Phase::Waiting;
-            task.waits_since = now;
+            task.waiting_since = now;
         }
         // What may have crashed its minion was counted before.
-        self.set_doubt(smallvec![*name], false);
+        self.set_possible_crash(smallvec![*name], false);
         // The rest of its gang must stop, or all of its job.
-        self.swept = None;
+        self.last_sweep = None;
     }
 
     /// Quarantines a minion that fails whatever it starts.
     ///
     /// Such a minion is always free, so without this it would draw task after task and use up
     /// their attempts: callers would see job after job fail.
-    fn judge_minion(&mut self, id: &MinionId, end: &End, now: Time) {
+    fn update_quarantine(&mut self, id: &MinionId, end: &End, now: Time) {
         let quarantine = self.settings.quarantine;
         let Some(minion) = self.minions.get_mut(id) else { return };
-        match end.how {
-            How::Done => {
-                minion.failing.clear();
-                minion.strikes = 0;
+        match end.reason {
+            EndReason::Done => {
+                minion.failing_jobs.clear();
+                minion.quarantine_count = 0;
             }
-            How::Failed => {
-                minion.failing.insert(end.task.job);
-                if minion.failing.len() >= FAILING_JOBS {
-                    minion.failing.clear();
-                    minion.quarantined = now + quarantine * (1 << minion.strikes.min(MAX_STRIKES));
-                    minion.strikes += 1;
-                    let until = minion.quarantined;
-                    self.note(Note::Quarantined { minion: id.clone(), until });
+            EndReason::Failed => {
+                minion.failing_jobs.insert(end.task.job);
+                if minion.failing_jobs.len() >= MIN_FAILING_JOBS {
+                    minion.failing_jobs.clear();
+                    minion.quarantined_until = now
+                        + quarantine * (1 << minion.quarantine_count.min(MAX_QUARANTINE_DOUBLINGS));
+                    minion.quarantine_count += 1;
+                    let until = minion.quarantined_until;
+                    self.record_event(Event::Quarantined { minion: id.clone(), until });
                 }
             }
             _ => {}
@@ -486,7 +505,7 @@
     }
 
     /// Takes in what became of a start.
-    pub fn start_result(
+    pub fn process_start_result(
         &mut self,
         id: &MinionId,
         task: &TaskName,
@@ -500,10 +519,10 @@
         };
         match result {
             StartResult::Started => {
-                entry.begun = true;
+                entry.is_start_confirmed = true;
                 if entry.phase == RunPhase::Ordered {
                     entry.phase = RunPhase::Active;
-                    entry.moved = now;
+                    entry.progressed_at = now;
                 }
             }
             StartResult::Unknown => {
@@ -512,24 +531,26 @@
                 }
             }
             StartResult::Refused(reason) => {
-                minion.remove(task);
+                minion.remove_run(task);
                 match reason {
                     Refusal::NoRoom => {
-                        minion.quarantined = minion.quarantined.max(now + ROOM_PAUSE)
+                        minion.quarantined_until =
+                            minion.quarantined_until.max(now + NO_ROOM_QUARANTINE)
                     }
                     Refusal::Unhealthy | Refusal::Malformed => {
-                        minion.quarantined = minion.quarantined.max(now + UNHEALTHY_PAUSE);
+                        minion.quarantined_until =
+                            minion.quarantined_until.max(now + UNHEALTHY_QUARANTINE);
                     }
                     Refusal::NoTicket => self.drop_ticket(task, id),
                     _ => {}
                 }
-                self.give_up(id, task, run, now);
+                self.requeue_task(id, task, run, now);
             }
         }
     }
 
     /// Takes in that a minion answered a stop at `now`.
-    pub fn stop_confirmed(&mut self, id: &MinionId, task: &TaskName, run: u32, now: Time) {
+    pub fn confirm_stop(&mut self, id: &MinionId, task: &TaskName, run: u32, now: Time) {
         let Some(minion) = self.minions.get_mut(id) else { return };
         let Some(entry) = minion.runs.get_mut(task).filter(|entry| entry.number == run) else {
             return;
--- a/crates/engine/src/cell/restart.rs
+++ b/crates/engine/src/cell/restart.rs
@@ -5,7 +5,7 @@
 
 use crate::cell::crash::Certainty;
 use crate::cell::minion::{Incarnation, Minion, MinionId, Run, RunPhase};
-use crate::cell::{Cell, Note, Report};
+use crate::cell::{Cell, Event, Report};
 use crate::job::TaskName;
 use crate::time::Time;
 
@@ -65,10 +65,10 @@
         self.former_incarnations.push(former);
         self.seen = 0;
         self.acknowledged = 0;
-        self.failing.clear();
+        self.failing_jobs.clear();
         self.slow_jobs.clear();
-        self.strikes = 0;
-        self.quarantined = Time(0);
+        self.quarantine_count = 0;
+        self.quarantined_until = Time(0);
         Some(restart)
     }
 
@@ -107,9 +107,11 @@
         let Some(minion) = self.minions.get_mut(id) else { return };
         let missing = minion.missing_runs(report, sent);
         let former_minion = minion.former_minion(restart, &missing);
-        let runs: Vec<(TaskName, Run)> =
-            missing.iter().filter_map(|(task, _)| Some((*task, minion.remove(task)?))).collect();
-        self.note(Note::Restarted {
+        let runs: Vec<(TaskName, Run)> = missing
+            .iter()
+            .filter_map(|(task, _)| Some((*task, minion.remove_run(task)?)))
+            .collect();
+        self.record_event(Event::Restarted {
             minion: id.clone(),
             former: restart.former,
             current: restart.current,
@@ -118,7 +120,7 @@
             acknowledged: restart.acknowledged,
         });
         self.drop_tickets(id);
-        self.note_loss(&former_minion, Certainty::Certain, now);
-        self.give_up_lost_runs(id, runs, now);
+        self.record_loss(&former_minion, Certainty::Certain, now);
+        self.requeue_lost_runs(id, runs, now);
     }
 }
--- a/crates/engine/src/cell/sequence.rs
+++ b/crates/engine/src/cell/sequence.rs
@@ -13,11 +13,11 @@
 
 /// Share of a job's worth that doesn't depend on its size; the rest grows with its work
 /// against the mean of its queue.  The users' own weights.
-const FIXED_WORTH: f64 = 0.3;
+const FIXED_VALUE_SHARE: f64 = 0.3;
 
 /// A job that has waited this many times its objective is no longer put behind all that can
 /// meet theirs: without it, late jobs would wait for as long as a pool is busy.
-const PATIENCE: f64 = 6.0;
+const AGING_FACTOR: f64 = 6.0;
 
 /// A job's place in the order; the smallest comes first.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -27,9 +27,9 @@
     /// The queue's priority.
     pub priority: u32,
     /// Worth for each core-millisecond left; more comes first.
-    pub density: f64,
+    pub value_density: f64,
     /// The longer known comes first.
-    pub since: Time,
+    pub accepted_at: Time,
 }
 
 impl Eq for Rank {}
@@ -45,28 +45,34 @@
         self.class
             .cmp(&other.class)
             .then(self.priority.cmp(&other.priority))
-            .then(other.density.total_cmp(&self.density))
-            .then(self.since.cmp(&other.since))
+            .then(other.value_density.total_cmp(&self.value_density))
+            .then(self.accepted_at.cmp(&other.accepted_at))
     }
 }
 
 /// Ranks a job.
-pub fn rank(job: &Job, queue: &Queue, mean_work: f64, now: Time) -> Rank {
+pub fn rank(job: &Job, queue: &Queue, mean_core_ms: f64, now: Time) -> Rank {
     let definition = &job.accepted.definition;
-    let base = Rank { class: 0, priority: queue.priority, density: 0.0, since: job.since };
+    let base = Rank {
+        class: 0,
+        priority: queue.priority,
+        value_density: 0.0,
+        accepted_at: job.accepted_at,
+    };
     if definition.is_lasting() {
         return base;
     }
-    let objective = job.whole.chain_ms as f64 * queue.stretch + queue.target_ms as f64;
-    let age = now.since(job.since).as_millis() as f64;
-    let can_meet = age + job.left.chain_ms as f64 <= objective || definition.schedule.is_some();
-    let size = job.whole.work as f64 / mean_work.max(1.0);
-    let worth = FIXED_WORTH + (1.0 - FIXED_WORTH) * size;
-    let density = worth / (job.left.work as f64).max(1.0);
-    if can_meet || age > objective * PATIENCE {
-        Rank { class: 1, density, ..base }
+    let objective = job.total.critical_path_ms as f64 * queue.stretch + queue.target_ms as f64;
+    let age = now.since(job.accepted_at).as_millis() as f64;
+    let can_meet_objective =
+        age + job.remaining.critical_path_ms as f64 <= objective || definition.schedule.is_some();
+    let size = job.total.core_ms as f64 / mean_core_ms.max(1.0);
+    let value = FIXED_VALUE_SHARE + (1.0 - FIXED_VALUE_SHARE) * size;
+    let value_density = value / (job.remaining.core_ms as f64).max(1.0);
+    if can_meet_objective || age > objective * AGING_FACTOR {
+        Rank { class: 1, value_density, ..base }
     } else {
-        Rank { class: 2, density, ..base }
+        Rank { class: 2, value_density, ..base }
     }
 }
 
@@ -74,7 +80,7 @@
     /// The rank of a job of this cell.
     pub(crate) fn rank(&self, job: &Job, now: Time) -> Rank {
         let queue = self.queue(&job.accepted.queue);
-        let mean = self.mean_work.get(&job.accepted.queue).copied().unwrap_or(1.0);
+        let mean = self.mean_core_ms.get(&job.accepted.queue).copied().unwrap_or(1.0);
         rank(job, &queue, mean, now)
     }
 }
--- a/crates/engine/src/cell/work.rs
+++ b/crates/engine/src/cell/work.rs
@@ -41,13 +41,13 @@
     /// It isn't started before.
     pub not_before: Time,
     /// When its last run was given up, or its job was accepted.
-    pub waits_since: Time,
+    pub waiting_since: Time,
     /// Where it failed last, to try another minion next.
     pub avoid: Option<MinionId>,
     /// Whether it was stopped once on a slow minion, to be begun anew elsewhere.
-    pub begun_anew: bool,
+    pub was_straggler: bool,
     /// Where it stood still last.
-    pub stood_on: Option<MinionId>,
+    pub stalled_on: Option<MinionId>,
     /// What crashes of its minions hold against it.
     pub suspicion: Suspicion,
 }
@@ -67,9 +67,9 @@
     /// Whether a former owner may have started some of it.
     pub inherited: bool,
     /// When it was accepted, on this process's clock.
-    pub since: Time,
+    pub accepted_at: Time,
     /// When this owner came to know it.
-    pub known: Time,
+    pub known_since: Time,
     /// What its workspace may have running; none where nothing limits it.
     pub(crate) account: Option<AccountId>,
     /// Whether tasks of it have waited for that.
@@ -81,19 +81,19 @@
     /// Whether any task has been started.
     pub started: bool,
     /// When it ended.
-    pub ended: Option<Time>,
+    pub ended_at: Option<Time>,
     /// Counts changes that must be kept, and the last of them that is.
     pub changes: u64,
-    pub(crate) kept: u64,
+    pub(crate) persisted_changes: u64,
     pub(crate) tasks: Vec<Task>,
     /// Flat number of each step's first task within an occurrence.
     offsets: SmallVec<[u32; 8]>,
     /// Tasks of each occurrence and step that are not done.
-    pub(crate) open: Vec<u32>,
+    pub(crate) open_counts: Vec<u32>,
     /// All of its estimated work, and what is left of it.
-    pub(crate) whole: Estimate,
-    /// See [`Job::whole`].
-    pub(crate) left: Estimate,
+    pub(crate) total: Estimate,
+    /// See [`Job::total`].
+    pub(crate) remaining: Estimate,
 }
 
 /// What a job's steps, or those that are left, take as estimated.
@@ -102,27 +102,28 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Estimate {
     /// Milliseconds of the longest chain.
-    pub(crate) chain_ms: u64,
+    pub(crate) critical_path_ms: u64,
     /// Core-milliseconds.
-    pub(crate) work: u64,
+    pub(crate) core_ms: u64,
 }
 
 impl Estimate {
-    fn of(definition: &Definition, open: &[u32]) -> Self {
+    fn of(definition: &Definition, open_counts: &[u32]) -> Self {
         let steps = definition.steps.len();
-        let open_of = |step: usize| -> u32 { open.iter().skip(step).step_by(steps).sum() };
-        let work_of = |(number, step): (usize, &Step)| {
-            u64::from(open_of(number)) * step.need.cpu * step.estimate_ms / 1000
+        let count_open =
+            |step: usize| -> u32 { open_counts.iter().skip(step).step_by(steps).sum() };
+        let step_core_ms = |(number, step): (usize, &Step)| {
+            u64::from(count_open(number)) * step.need.cpu * step.estimate_ms / 1000
         };
         Self {
-            chain_ms: definition.chain_ms(|step| open_of(step) > 0),
-            work: definition.steps.iter().enumerate().map(work_of).sum(),
+            critical_path_ms: definition.chain_ms(|step| count_open(step) > 0),
+            core_ms: definition.steps.iter().enumerate().map(step_core_ms).sum(),
         }
     }
 }
 
 impl Job {
-    pub(crate) fn new(accepted: Accepted, inherited: bool, since: Time) -> Self {
+    pub(crate) fn new(accepted: Accepted, inherited: bool, accepted_at: Time) -> Self {
         let definition = &accepted.definition;
         let mut offsets = SmallVec::new();
         let mut next = 0;
@@ -132,29 +133,32 @@
         }
         let occurrences = definition.occurrences();
         let counts: Vec<u32> = definition.steps.iter().map(|step| step.count).collect();
-        let open = counts.repeat(occurrences as usize);
-        let task = Task { waits_since: since, ..Task::default() };
+        let open_counts = counts.repeat(occurrences as usize);
+        let task = Task { waiting_since: accepted_at, ..Task::default() };
         let tasks = vec![task; (next * occurrences) as usize];
-        let whole = Estimate { chain_ms: definition.chain_ms(|_| true), work: definition.work() };
-        let left = Estimate::of(definition, &open);
+        let total = Estimate {
+            critical_path_ms: definition.chain_ms(|_| true),
+            core_ms: definition.work(),
+        };
+        let remaining = Estimate::of(definition, &open_counts);
         Self {
             accepted,
             inherited,
-            since,
-            known: since,
+            accepted_at,
+            known_since: accepted_at,
             account: None,
             held_back: false,
             cancelled: false,
             outcome: None,
             started: false,
-            ended: None,
+            ended_at: None,
             changes: 0,
-            kept: 0,
+            persisted_changes: 0,
             tasks,
             offsets,
-            open,
-            whole,
-            left,
+            open_counts,
+            total,
+            remaining,
         }
     }
 
@@ -177,73 +181,74 @@
     ///
     /// An outcome that is not persisted must not stop the job's runs, since a new owner would resume
     /// the job.
-    pub(crate) fn is_end_kept(&self) -> bool {
-        self.cancelled || (self.outcome.is_some() && self.is_kept())
+    pub(crate) fn is_end_persisted(&self) -> bool {
+        self.cancelled || (self.outcome.is_some() && self.is_persisted())
     }
 
     /// Whether all that must outlive this owner is kept.
-    pub fn is_kept(&self) -> bool {
-        self.kept >= self.changes
+    pub fn is_persisted(&self) -> bool {
+        self.persisted_changes >= self.changes
     }
 
-    pub(crate) fn change(&mut self) {
+    pub(crate) fn mark_changed(&mut self) {
         self.changes += 1;
     }
 
     /// Notes that a task stood still on a minion; whether the minion may be the cause, as far as is known.
-    pub(crate) fn stood_still(&mut self, name: &TaskName, minion: MinionId) -> bool {
+    pub(crate) fn record_stall(&mut self, name: &TaskName, minion: MinionId) -> bool {
         let Some(task) = self.task_mut(name) else { return true };
         task.avoid = Some(minion.clone());
-        let before = task.stood_on.replace(minion.clone());
-        before.is_none_or(|before| before == minion)
+        let previous = task.stalled_on.replace(minion.clone());
+        previous.is_none_or(|previous| previous == minion)
     }
 
     /// Whether a task of it has crashed so many minions that it is to be given up.
     pub(crate) fn crashes_minions(&self) -> bool {
-        self.tasks.iter().any(|task| task.suspicion.is_proved())
+        self.tasks.iter().any(|task| task.suspicion.is_conclusive())
     }
 
     /// Ends it as failed.
     pub(crate) fn fail(&mut self, now: Time) {
         self.outcome = Some(State::Failed);
-        self.ended = Some(now);
-        self.change();
+        self.ended_at = Some(now);
+        self.mark_changed();
     }
 
     /// Tasks of one occurrence.
-    fn width(&self) -> u32 {
+    fn tasks_per_occurrence(&self) -> u32 {
         self.accepted.definition.tasks_per_occurrence()
     }
 
     /// The flat number of a task.
-    pub(crate) fn flat(&self, name: &TaskName) -> Option<usize> {
+    pub(crate) fn flat_index(&self, name: &TaskName) -> Option<usize> {
         let step = self.accepted.definition.steps.get(name.step as usize)?;
         let exists =
             name.index < step.count && name.occurrence < self.accepted.definition.occurrences();
         let offset = self.offsets.get(name.step as usize)?;
-        exists.then(|| (name.occurrence * self.width() + offset + name.index) as usize)
+        exists
+            .then(|| (name.occurrence * self.tasks_per_occurrence() + offset + name.index) as usize)
     }
 
     /// Occurrence, step and index of a flat number.
-    pub(crate) fn place_of(&self, flat: u32) -> (u32, u32, u32) {
-        let occurrence = flat / self.width();
-        let within = flat % self.width();
+    pub(crate) fn position_of(&self, flat: u32) -> (u32, u32, u32) {
+        let occurrence = flat / self.tasks_per_occurrence();
+        let within = flat % self.tasks_per_occurrence();
         let step = self.offsets.iter().rposition(|offset| *offset <= within).unwrap_or(0);
         (occurrence, step as u32, within - self.offsets[step])
     }
 
     pub(crate) fn task(&self, name: &TaskName) -> Option<&Task> {
-        self.flat(name).map(|flat| &self.tasks[flat])
+        self.flat_index(name).map(|flat| &self.tasks[flat])
     }
 
     pub(crate) fn task_mut(&mut self, name: &TaskName) -> Option<&mut Task> {
-        let flat = self.flat(name)?;
+        let flat = self.flat_index(name)?;
         self.tasks.get_mut(flat)
     }
 
     /// Tasks of a step that are not done.
     pub(crate) fn open_tasks(&self, occurrence: u32, step: u32) -> u32 {
-        self.open[occurrence as usize * self.accepted.definition.steps.len() + step as usize]
+        self.open_counts[occurrence as usize * self.accepted.definition.steps.len() + step as usize]
     }
 
     /// The first task of a step that could be started now, room apart.
@@ -251,8 +256,8 @@
         let count = self.accepted.definition.steps[first.step as usize].count;
         let mut names = (0..count).map(|index| TaskName { index, ..first });
         names.find(|name| {
-            let waits = |task: &Task| task.phase == Phase::Waiting && now >= task.not_before;
-            self.task(name).is_some_and(waits)
+            let is_waiting = |task: &Task| task.phase == Phase::Waiting && now >= task.not_before;
+            self.task(name).is_some_and(is_waiting)
         })
     }
 
@@ -263,7 +268,7 @@
     }
 
     /// The first tasks of all steps that are gangs and not done.
-    pub(crate) fn gangs(&self, job: Id) -> Vec<TaskName> {
+    pub(crate) fn open_gangs(&self, job: Id) -> Vec<TaskName> {
         let steps = &self.accepted.definition.steps;
         let gangs = (0..steps.len() as u32).filter(|step| steps[*step as usize].gang);
         let occurrences = 0..self.accepted.definition.occurrences();
@@ -278,7 +283,7 @@
 
     /// Notes that a task is done; true if that was news.
     pub(crate) fn finish_task(&mut self, name: &TaskName) -> bool {
-        self.flat(name).is_some_and(|flat| self.finish_flat(flat))
+        self.flat_index(name).is_some_and(|flat| self.finish_task_at(flat))
     }
 
     /// Notes that all tasks of a step are done.
@@ -296,24 +301,24 @@
         runs.len()
     }
 
-    fn finish_flat(&mut self, flat: usize) -> bool {
+    fn finish_task_at(&mut self, flat: usize) -> bool {
         let Some(task) = self.tasks.get_mut(flat) else { return false };
         if task.phase == Phase::Done {
             return false;
         }
         task.phase = Phase::Done;
         task.checkpoint = None;
-        let (occurrence, step, _) = self.place_of(flat as u32);
+        let (occurrence, step, _) = self.position_of(flat as u32);
         let steps = self.accepted.definition.steps.len();
-        self.open[occurrence as usize * steps + step as usize] -= 1;
-        self.left = Estimate::of(&self.accepted.definition, &self.open);
-        self.change();
+        self.open_counts[occurrence as usize * steps + step as usize] -= 1;
+        self.remaining = Estimate::of(&self.accepted.definition, &self.open_counts);
+        self.mark_changed();
         true
     }
 
     /// Whether all tasks are done.
     pub(crate) fn is_done(&self) -> bool {
-        self.open.iter().all(|open| *open == 0)
+        self.open_counts.iter().all(|open| *open == 0)
     }
 
     /// What is to be kept.
@@ -333,8 +338,8 @@
             if let Some(checkpoint) = &task.checkpoint {
                 progress.checkpoints.push((flat, checkpoint.clone()));
             }
-            if task.suspicion.kept() > 0 && task.phase != Phase::Done {
-                progress.suspicions.push((flat, task.suspicion.kept()));
+            if task.suspicion.persisted_points() > 0 && task.phase != Phase::Done {
+                progress.suspicions.push((flat, task.suspicion.persisted_points()));
             }
         }
         progress
@@ -344,7 +349,7 @@
     pub(crate) fn restore(&mut self, progress: &Progress) {
         self.outcome = progress.outcome;
         for flat in &progress.done {
-            self.finish_flat(*flat as usize);
+            self.finish_task_at(*flat as usize);
             self.started = true;
         }
         for (flat, failed) in &progress.failed {
@@ -361,10 +366,10 @@
         }
         for (flat, points) in &progress.suspicions {
             if let Some(task) = self.tasks.get_mut(*flat as usize) {
-                task.suspicion = Suspicion::restored(*points);
+                task.suspicion = Suspicion::from_persisted(*points);
                 self.started = true;
             }
         }
-        self.kept = self.changes;
+        self.persisted_changes = self.changes;
     }
 }
--- a/crates/engine/tests/all/crashes.rs
+++ b/crates/engine/tests/all/crashes.rs
@@ -1,7 +1,7 @@
 //! Tasks that crash the minions that start them, and tasks that were only beside them.
 
 use crate::fixture::*;
-use celerythread_engine::cell::{How, Listing, MinionId, Report, StartResult};
+use celerythread_engine::cell::{EndReason, Listing, MinionId, Report, StartResult};
 use celerythread_engine::job::{Progress, Resources, State, Step, TaskName};
 use celerythread_engine::time::Time;
 use std::collections::BTreeSet;
@@ -55,10 +55,10 @@
     /// half a second later.  That a minion is over is known after three seconds, when it is back as another.
     fn step(&mut self) {
         for (minion, task, run) in self.world.start_all() {
-            self.world.cell.promise(&minion, self.world.now + LEASE);
+            self.world.cell.extend_lease_expiry(&minion, self.world.now + LEASE);
             if self.crashing.contains(&task) {
                 self.crashed.push((task, minion.clone()));
-                self.world.cell.missed(&minion, self.world.now);
+                self.world.cell.record_missed_answer(&minion, self.world.now);
                 self.down.push((minion, self.world.now + BACK_AFTER));
             } else {
                 self.working.push((minion, task, run, self.world.now + WORK));
@@ -69,10 +69,10 @@
         self.world.pass(100);
         self.report();
         self.replace();
-        while let Some(batch) = self.world.cell.unkept(90) {
+        while let Some(batch) = self.world.cell.unpersisted_batch(90) {
             let mut of_first = batch.rows.iter().filter(|(job, ..)| *job == id(1));
             self.kept = of_first.next_back().map(|row| row.2.clone()).or(self.kept.take());
-            self.world.cell.kept(&batch);
+            self.world.cell.record_persisted(&batch);
         }
     }
 
@@ -82,7 +82,7 @@
         let (done, rest) = std::mem::take(&mut self.working).into_iter().partition(|w| w.3 <= now);
         self.working = rest;
         for (minion, task, run, _) in Vec::from_iter::<Vec<_>>(done) {
-            self.world.end(&minion, task, run, How::Done);
+            self.world.end(&minion, task, run, EndReason::Done);
         }
         let minions: Vec<MinionId> =
             self.world.cell.minions().map(|minion| minion.id.clone()).collect();
@@ -90,7 +90,7 @@
             let mine = self.working.iter().filter(|working| working.0 == *minion);
             let listed = mine.map(|(_, task, run, _)| running(*task, *run, 5)).collect();
             let report = Report { running: listed, finished: Vec::new(), ..Report::default() };
-            self.world.cell.report(minion, &report, now, now);
+            self.world.cell.process_report(minion, &report, now, now);
         }
     }
 
@@ -99,7 +99,7 @@
         let (over, rest) = std::mem::take(&mut self.down).into_iter().partition(|d| d.1 <= now);
         self.down = rest;
         for (minion, _) in Vec::from_iter::<Vec<_>>(over) {
-            self.world.cell.bury(&minion, now);
+            self.world.cell.remove_terminated_minion(&minion, now);
             self.world.join(self.next);
             self.next += 1;
         }
@@ -157,11 +157,11 @@
     world.submit(1, definition(vec![step(1)]));
     for round in 0..3 {
         let (minion, name, run) = world.next_start();
-        world.cell.start_result(&minion, &name, run, StartResult::Started, world.now);
+        world.cell.process_start_result(&minion, &name, run, StartResult::Started, world.now);
         let all: Vec<MinionId> = world.cell.minions().map(|minion| minion.id.clone()).collect();
-        all.iter().for_each(|minion| world.cell.missed(minion, world.now));
+        all.iter().for_each(|minion| world.cell.record_missed_answer(minion, world.now));
         world.pass(3000);
-        all.iter().for_each(|minion| world.cell.bury(minion, world.now));
+        all.iter().for_each(|minion| world.cell.remove_terminated_minion(minion, world.now));
         for number in 0..4 {
             world.join(10 * (round + 1) + number);
         }
@@ -169,7 +169,7 @@
     world.keep();
     assert_eq!(world.cell.state(&id(1)), Some(State::Running));
     let (minion, name, run) = starts(&world.plan_kept()).remove(0);
-    world.end(&minion, name, run, How::Done);
+    world.end(&minion, name, run, EndReason::Done);
     world.keep();
     assert_eq!(world.cell.state(&id(1)), Some(State::Completed));
 }
@@ -182,18 +182,18 @@
         world.submit(1, definition(vec![step(1)]));
         for _ in 0..5 {
             let (minion, name, run) = starts(&world.plan_kept()).remove(0);
-            world.cell.start_result(&minion, &name, run, StartResult::Started, world.now);
+            world.cell.process_start_result(&minion, &name, run, StartResult::Started, world.now);
             if drains {
                 let listing = Listing { capacity: CAPACITY, draining: true, ..Listing::default() };
-                world.cell.list(&minion, listing);
+                world.cell.update_listing(&minion, listing);
             } else {
                 world.cell.set_leaving(&minion, true);
             }
-            world.cell.missed(&minion, world.now);
+            world.cell.record_missed_answer(&minion, world.now);
             // What says that it is to be emptied is dropped once its machine has another minion.
             world.cell.set_leaving(&minion, false);
             world.pass(2000);
-            world.cell.bury(&minion, world.now);
+            world.cell.remove_terminated_minion(&minion, world.now);
         }
         world.keep();
         assert_eq!(world.cell.state(&id(1)), Some(State::Running));
@@ -227,11 +227,11 @@
     let mut world = World::new(2);
     world.submit(1, definition(vec![step(1)]));
     let (minion, ..) = world.start_all().remove(0);
-    world.cell.missed(&minion, world.now);
-    let batch = world.cell.unkept(90).expect("something to keep");
+    world.cell.record_missed_answer(&minion, world.now);
+    let batch = world.cell.unpersisted_batch(90).expect("something to keep");
     let (_, _, progress) = &batch.rows[0];
     assert_eq!(progress.suspicions.len(), 1);
-    world.cell.kept(&batch);
+    world.cell.record_persisted(&batch);
     // It was cut off for a moment and is back: nothing is held against the task.
     let number = usize::from(minion == World::minion(1));
     world.answer(
@@ -242,7 +242,7 @@
             ..Report::default()
         },
     );
-    let batch = world.cell.unkept(90).expect("that is kept, too");
+    let batch = world.cell.unpersisted_batch(90).expect("that is kept, too");
     assert!(batch.rows[0].2.suspicions.is_empty());
 }
 
@@ -263,7 +263,7 @@
     assert_eq!(started.len(), 3);
     let (minion, ..) = started.iter().find(|(_, name, _)| *name == task(1, 0, 0)).unwrap();
     world.crash(minion);
-    world.cell.unkept(90).expect("a batch with the failure of the job");
+    world.cell.unpersisted_batch(90).expect("a batch with the failure of the job");
     assert_eq!(stops(&world.plan()), []);
     world.pass(100);
     assert_eq!(stops(&world.plan()), []);
@@ -293,7 +293,7 @@
     world.submit(1, definition(vec![Step { lasting: true, ..step(1) }]));
     for round in 0..6 {
         let (minion, name, run) = world.next_start();
-        world.cell.start_result(&minion, &name, run, StartResult::Started, world.now);
+        world.cell.process_start_result(&minion, &name, run, StartResult::Started, world.now);
         for _ in 0..6 {
             world.pass(1000);
             world.answer(
@@ -334,7 +334,7 @@
     assert_eq!(world.start_all().len(), 10);
     let minion = World::minion(0);
     let room = |cpu: u64| Listing { capacity: Resources { cpu, ..CAPACITY }, ..Listing::default() };
-    world.cell.list(&minion, room(4000));
+    world.cell.update_listing(&minion, room(4000));
     world.cell.cancel(&id(1), world.now);
     world.submit(2, definition(vec![step(4)]));
     let orders = world.plan();
@@ -344,10 +344,10 @@
         "what is stopped still counts"
     );
     for index in 0..7 {
-        world.end(&minion, task(1, 0, index), 1, How::Stopped);
+        world.end(&minion, task(1, 0, index), 1, EndReason::Stopped);
     }
     assert_eq!(world.start_all().len(), 1, "three of four cores are taken");
-    world.cell.list(&minion, room(16_000));
+    world.cell.update_listing(&minion, room(16_000));
     assert_eq!(world.start_all().len(), 3);
 }
 
@@ -362,14 +362,14 @@
     world.pass(300);
     for number in 0..4 {
         let minion = World::minion(number);
-        world.cell.promise(&minion, world.now + LEASE);
+        world.cell.extend_lease_expiry(&minion, world.now + LEASE);
         let mine = started.iter().filter(|start| start.0 == minion);
         let listed = mine.map(|(_, task, run)| running(*task, *run, 50)).collect();
         world.answer(number, Report { running: listed, finished: vec![], ..Report::default() });
     }
     let cut = [started[0].0.clone(), started[39].0.clone()];
     assert_ne!(cut[0], cut[1]);
-    cut.iter().for_each(|minion| world.cell.missed(minion, world.now));
+    cut.iter().for_each(|minion| world.cell.record_missed_answer(minion, world.now));
     let lost = started.iter().filter(|start| cut.contains(&start.0)).count();
     for number in 10..14 {
         world.join(number);
@@ -388,7 +388,7 @@
     world.crash(&minion);
     world.join(1);
     let (tried, name, run) = world.next_start();
-    world.cell.start_result(&tried, &name, run, StartResult::Started, world.now);
+    world.cell.process_start_result(&tried, &name, run, StartResult::Started, world.now);
     world.submit(2, definition(vec![step(1)]));
     assert_eq!(starts(&world.plan_kept()), []);
     world.pass(300);
@@ -421,7 +421,7 @@
     world.submit(1, definition(vec![step(1)]));
     for round in 0..2 {
         let (minion, name, run) = world.next_start();
-        world.cell.start_result(&minion, &name, run, StartResult::Started, world.now);
+        world.cell.process_start_result(&minion, &name, run, StartResult::Started, world.now);
         world.pass(300);
         world.answer(
             round,
@@ -430,7 +430,7 @@
         let other = round as u8 + 2;
         world.submit(other, definition(vec![step(1)]));
         assert_eq!(starts(&world.plan()).len(), 1, "ordered, and not answered yet");
-        world.cell.bury(&minion, world.now);
+        world.cell.remove_terminated_minion(&minion, world.now);
         world.cell.cancel(&id(other), world.now);
         world.join(round + 1);
     }
--- a/crates/engine/tests/all/fixture.rs
+++ b/crates/engine/tests/all/fixture.rs
@@ -1,7 +1,7 @@
 //! A cell with minions that a test moves by hand.
 
 use celerythread_engine::cell::{
-    Cell, End, How, Incarnation, Listing, MinionId, Order, Permit, Queue, Report, Running,
+    Cell, End, EndReason, Incarnation, Listing, MinionId, Order, Permit, Queue, Report, Running,
     Settings, StartResult,
 };
 use celerythread_engine::job::{
@@ -50,7 +50,7 @@
             attempts: 2,
             stretch: 1.6,
             target_ms: 600,
-            advised: false,
+            needs_ticket: false,
             public: true,
         };
         world.cell.configure([("queue".into(), queue)]);
@@ -77,7 +77,7 @@
         let rack = format!("rack-{}", number / 4);
         let labels = ["kind".into(), rack.as_str().into()].into_iter().collect();
         let listing = Listing { incarnation, capacity: CAPACITY, labels, ..Listing::default() };
-        self.cell.list(&Self::minion(number), listing);
+        self.cell.update_listing(&Self::minion(number), listing);
     }
 
     /// A further minion is listed, and runs nothing.
@@ -88,15 +88,15 @@
 
     /// A minion falls silent, and is known to be over three seconds later.
     pub(crate) fn crash(&mut self, minion: &MinionId) {
-        self.cell.missed(minion, self.now);
+        self.cell.record_missed_answer(minion, self.now);
         self.pass(3000);
-        self.cell.bury(minion, self.now);
+        self.cell.remove_terminated_minion(minion, self.now);
     }
 
     /// The minion answers a hold that was sent just now.
     pub(crate) fn answer(&mut self, number: usize, report: Report) -> Vec<Order> {
         self.now = self.now + Duration::from_millis(1);
-        self.cell.report(&Self::minion(number), &report, self.now, self.now)
+        self.cell.process_report(&Self::minion(number), &report, self.now, self.now)
     }
 
     pub(crate) fn submit(&mut self, job: u8, definition: Definition) {
@@ -131,7 +131,7 @@
         loop {
             self.keep();
             orders.extend(self.plan());
-            if !self.cell.has_unkept() {
+            if !self.cell.has_unpersisted() {
                 return orders;
             }
         }
@@ -152,25 +152,31 @@
     pub(crate) fn start_all(&mut self) -> Vec<(MinionId, TaskName, u32)> {
         let started = starts(&self.plan());
         for (minion, task, run) in &started {
-            self.cell.start_result(minion, task, *run, StartResult::Started, self.now);
+            self.cell.process_start_result(minion, task, *run, StartResult::Started, self.now);
         }
         started
     }
 
     /// A minion lists an end, and that everything else of its runs goes on.
-    pub(crate) fn end(&mut self, minion: &MinionId, task: TaskName, run: u32, how: How) -> u64 {
+    pub(crate) fn end(
+        &mut self,
+        minion: &MinionId,
+        task: TaskName,
+        run: u32,
+        how: EndReason,
+    ) -> u64 {
         self.ends += 1;
         let number = self.ends;
-        let end = End { number, task, run, how, checkpoint: None };
+        let end = End { number, task, run, reason: how, checkpoint: None };
         let report = Report { running: Vec::new(), finished: vec![end], ..Report::default() };
         // Sent long ago, so that it says nothing about other runs.
-        self.cell.report(minion, &report, Time(0), self.now);
+        self.cell.process_report(minion, &report, Time(0), self.now);
         number
     }
 
     pub(crate) fn keep(&mut self) {
-        while let Some(batch) = self.cell.unkept(90) {
-            self.cell.kept(&batch);
+        while let Some(batch) = self.cell.unpersisted_batch(90) {
+            self.cell.record_persisted(&batch);
         }
     }
 }
--- a/crates/engine/tests/all/jobs.rs
+++ b/crates/engine/tests/all/jobs.rs
@@ -1,7 +1,7 @@
 //! A job's life: order of steps, attempts, cancellation, gangs, what a caller is told.
 
 use crate::fixture::*;
-use celerythread_engine::cell::{How, Refusal, StartResult};
+use celerythread_engine::cell::{EndReason, Refusal, StartResult};
 use celerythread_engine::job::{Progress, State, Step, encode};
 
 #[test]
@@ -12,10 +12,10 @@
     let first = world.start_all();
     assert_eq!(first.len(), 2);
     let (minion, name, run) = &first[0];
-    world.end(minion, *name, *run, How::Done);
+    world.end(minion, *name, *run, EndReason::Done);
     assert!(starts(&world.plan()).is_empty());
     let (minion, name, run) = &first[1];
-    world.end(minion, *name, *run, How::Done);
+    world.end(minion, *name, *run, EndReason::Done);
     assert_eq!(starts(&world.plan())[0].1, task(1, 1, 0));
 }
 
@@ -26,7 +26,7 @@
     let mut world = World::new(1);
     world.submit(1, definition(vec![step(1)]));
     let (minion, name, run) = world.start_all().remove(0);
-    world.end(&minion, name, run, How::Done);
+    world.end(&minion, name, run, EndReason::Done);
     assert_eq!(world.cell.state(&id(1)), Some(State::Running));
     world.keep();
     assert_eq!(world.cell.state(&id(1)), Some(State::Completed));
@@ -39,7 +39,7 @@
     let mut world = World::new(1);
     world.submit(1, definition(vec![step(2)]));
     let (minion, name, run) = world.start_all().remove(0);
-    let number = world.end(&minion, name, run, How::Done);
+    let number = world.end(&minion, name, run, EndReason::Done);
     assert_eq!(world.cell.minion(&minion).unwrap().acknowledged(), 0);
     world.keep();
     assert_eq!(world.cell.minion(&minion).unwrap().acknowledged(), number);
@@ -50,12 +50,12 @@
     let mut world = World::new(3);
     world.submit(1, definition(vec![step(1)]));
     let (first, name, run) = world.start_all().remove(0);
-    world.end(&first, name, run, How::Failed);
+    world.end(&first, name, run, EndReason::Failed);
     assert_eq!(world.cell.state(&id(1)), Some(State::Running));
     let (second, name, again) = world.start_all().remove(0);
     assert_ne!(first, second, "it is tried elsewhere");
     assert!(again > run);
-    world.end(&second, name, again, How::Failed);
+    world.end(&second, name, again, EndReason::Failed);
     world.keep();
     assert_eq!(world.cell.state(&id(1)), Some(State::Failed));
     assert!(starts(&world.plan()).is_empty());
@@ -69,8 +69,8 @@
     let mut world = World::new(2);
     world.submit(1, definition(vec![step(1)]));
     let (minion, name, run) = world.start_all().remove(0);
-    world.end(&minion, name, run, How::Failed);
-    world.end(&minion, name, run, How::Failed);
+    world.end(&minion, name, run, EndReason::Failed);
+    world.end(&minion, name, run, EndReason::Failed);
     world.keep();
     assert_eq!(world.cell.state(&id(1)), Some(State::Running));
 }
@@ -85,7 +85,7 @@
     let orders = world.plan();
     assert_eq!(stops(&orders), [(minion.clone(), name, run)]);
     assert!(starts(&orders).is_empty());
-    world.end(&minion, name, run, How::Done);
+    world.end(&minion, name, run, EndReason::Done);
     assert!(starts(&world.plan()).is_empty());
     assert_eq!(world.cell.state(&id(1)), Some(State::Cancelled));
 }
@@ -114,7 +114,7 @@
     let gang = Step { gang: true, ..step(3) };
     world.submit(1, definition(vec![gang]));
     let (minion, name, run) = world.start_all().remove(0);
-    world.end(&minion, name, run, How::Done);
+    world.end(&minion, name, run, EndReason::Done);
     world.keep();
     assert_eq!(world.cell.state(&id(1)), Some(State::Completed));
 }
@@ -183,10 +183,10 @@
     let ordered = starts(&world.plan());
     let (minion, name, run) = &ordered[2];
     let refused = StartResult::Refused(Refusal::NoRoom);
-    world.cell.start_result(minion, name, *run, refused, world.now);
+    world.cell.process_start_result(minion, name, *run, refused, world.now);
     assert_eq!(stops(&world.plan()).len(), 2);
     for (minion, name, run) in &ordered[..2] {
-        world.end(minion, *name, *run, How::Stopped);
+        world.end(minion, *name, *run, EndReason::Stopped);
     }
     world.pass(200);
     let again = starts(&world.plan());
--- a/crates/engine/tests/all/model.rs
+++ b/crates/engine/tests/all/model.rs
@@ -3,7 +3,7 @@
 pub(crate) mod owner;
 pub(crate) mod play;
 
-use celerythread_engine::cell::{End, How, Incarnation, MinionId, Refusal, Report, Running};
+use celerythread_engine::cell::{End, EndReason, Incarnation, MinionId, Refusal, Report, Running};
 use celerythread_engine::job::{Id, Progress, Resources, TaskName};
 use celerythread_engine::time::Time;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 pub(crate) struct Lived {
     pub(crate) task: TaskName,
     pub(crate) run: u32,
-    pub(crate) ended: Option<(Time, How)>,
+    pub(crate) ended: Option<(Time, EndReason)>,
     /// Whether its end was acknowledged to its minion.
     pub(crate) noted: bool,
     /// Whether its minion crashed under it.
@@ -185,9 +185,9 @@
             let done = work.done.is_some_and(|at| now >= at);
             let stopped = work.stops.is_some_and(|at| now >= at);
             let how = match (done, stopped, expired) {
-                (true, ..) => How::Done,
-                (_, true, _) => How::Stopped,
-                (_, _, true) => How::Expired,
+                (true, ..) => EndReason::Done,
+                (_, true, _) => EndReason::Stopped,
+                (_, _, true) => EndReason::Expired,
                 _ => return None,
             };
             Some((*task, how))
@@ -197,20 +197,20 @@
         }
     }
 
-    fn end(&mut self, task: TaskName, how: How, now: Time, lived: &mut [Lived]) {
+    fn end(&mut self, task: TaskName, how: EndReason, now: Time, lived: &mut [Lived]) {
         let Some(work) = self.running.remove(&task) else { return };
         lived[work.lived].ended = Some((now, how));
         let over = self.over.entry(task).or_default();
         *over = work.run.max(*over);
         self.count += 1;
-        let end = End { number: self.count, task, run: work.run, how, checkpoint: None };
+        let end = End { number: self.count, task, run: work.run, reason: how, checkpoint: None };
         self.ends.push(end);
     }
 
     /// Ends everything at once: the minion has crashed.
     pub(crate) fn crash(&mut self, now: Time, lived: &mut [Lived]) {
         for work in std::mem::take(&mut self.running).into_values() {
-            lived[work.lived].ended = Some((now, How::Expired));
+            lived[work.lived].ended = Some((now, EndReason::Expired));
             lived[work.lived].crashed = true;
         }
     }
--- a/crates/engine/tests/all/model/owner.rs
+++ b/crates/engine/tests/all/model/owner.rs
@@ -112,7 +112,7 @@
         match now.since(self.renewed) {
             silence if silence <= START_ALONE => Permit::All,
             silence if silence <= EXTEND_ALONE => {
-                Permit::Fresh { known_by: self.renewed + START_ALONE }
+                Permit::NeverStarted { known_by: self.renewed + START_ALONE }
             }
             _ => Permit::Nothing,
         }
@@ -129,7 +129,7 @@
         let Call::Start { start, .. } = call else { return false };
         match self.permit(now) {
             Permit::All => false,
-            Permit::Fresh { .. } => !start.first,
+            Permit::NeverStarted { .. } => !start.first,
             Permit::Nothing => true,
         }
     }
@@ -142,7 +142,7 @@
         }
         for minion in listed {
             let listing = Listing { capacity: CAPACITY, ..Listing::default() };
-            self.cell.list(minion, listing);
+            self.cell.update_listing(minion, listing);
         }
         let known: Vec<(MinionId, Option<Incarnation>, u64)> = self
             .cell
@@ -151,7 +151,7 @@
             .collect();
         for (minion, incarnation, acknowledged) in known {
             if !listed.contains(&minion) {
-                self.cell.unlist(&minion);
+                self.cell.mark_unlisted(&minion);
             }
             if self.next_look.get(&minion).is_some_and(|at| now < *at) {
                 continue;
@@ -167,7 +167,7 @@
         }
         let orders = self.cell.plan(now, now.0, self.permit(now));
         self.give(orders, now);
-        if let Some(batch) = self.cell.unkept(90) {
+        if let Some(batch) = self.cell.unpersisted_batch(90) {
             self.calls.push_back(Call::Keep { batch, version: ledger });
         }
     }
@@ -176,7 +176,7 @@
         if now.since(self.renewed) > EXTEND_ALONE {
             return None;
         }
-        self.cell.promise(minion, now + LEASE + MARGIN);
+        self.cell.extend_lease_expiry(minion, now + LEASE + MARGIN);
         Some(now + LEASE)
     }
 
@@ -188,7 +188,7 @@
                     let work = Duration::from_millis(step.estimate_ms);
                     let Some(deadline) = self.promise(&minion, now) else {
                         let refused = StartResult::Refused(Refusal::Unhealthy);
-                        self.cell.start_result(&minion, &task, run, refused, now);
+                        self.cell.process_start_result(&minion, &task, run, refused, now);
                         continue;
                     };
                     let start = Start {
@@ -214,7 +214,7 @@
     pub(crate) fn take(&mut self, call: &Call, answer: Answer, now: Time) {
         if let Some(minion) = call.minion() {
             match answer {
-                Answer::OtherLife => return self.cell.bury(&minion, now),
+                Answer::OtherLife => return self.cell.remove_terminated_minion(&minion, now),
                 Answer::Unknown => {
                     self.connections.remove(&minion);
                     self.missed.insert(minion);
@@ -225,29 +225,29 @@
         match (call, answer) {
             (_, Answer::Superseded) => self.over = true,
             (Call::Renew, Answer::Done) => self.renewed = now,
-            (Call::Keep { batch, .. }, Answer::Done) => self.cell.kept(batch),
+            (Call::Keep { batch, .. }, Answer::Done) => self.cell.record_persisted(batch),
             (Call::Hold { minion, .. }, Answer::Report(report)) => {
                 if let Some(incarnation) = report.incarnation {
                     self.connections.insert(minion.clone(), incarnation);
                 }
                 let sent = now - Duration::from_millis(1);
-                let orders = self.cell.report(minion, &report, sent, now);
+                let orders = self.cell.process_report(minion, &report, sent, now);
                 self.give(orders, now);
             }
-            (Call::Hold { minion, .. }, _) => self.cell.missed(minion, now),
+            (Call::Hold { minion, .. }, _) => self.cell.record_missed_answer(minion, now),
             (Call::Start { minion, start }, answer) => {
                 if matches!(answer, Answer::Unknown) {
-                    self.cell.missed(minion, now);
+                    self.cell.record_missed_answer(minion, now);
                 }
                 let result = match answer {
                     Answer::Done => StartResult::Started,
                     Answer::Refused(reason) => StartResult::Refused(reason),
                     _ => StartResult::Unknown,
                 };
-                self.cell.start_result(minion, &start.task, start.run, result, now);
+                self.cell.process_start_result(minion, &start.task, start.run, result, now);
             }
             (Call::Stop { minion, task, run }, Answer::Done) => {
-                self.cell.stop_confirmed(minion, task, *run, now);
+                self.cell.confirm_stop(minion, task, *run, now);
             }
             _ => {}
         }
--- a/crates/engine/tests/all/model/play.rs
+++ b/crates/engine/tests/all/model/play.rs
@@ -4,7 +4,7 @@
 use super::{Lived, Minion, Table};
 use crate::fixture::{definition, id, step};
 use celerythread_engine::cell::{
-    Batch, Cell, How, Incarnation, MinionId, Queue, Refusal, Settings,
+    Batch, Cell, EndReason, Incarnation, MinionId, Queue, Refusal, Settings,
 };
 use celerythread_engine::job::{Accepted, Definition, Id, State, Step, TaskName};
 use celerythread_engine::time::Time;
@@ -143,7 +143,7 @@
         cell.configure([("queue".into(), queue)]);
         let inherited = former_lapse.is_some();
         if inherited {
-            self.roster.iter().for_each(|minion| cell.inherit(minion));
+            self.roster.iter().for_each(|minion| cell.inherit_minion(minion));
         }
         for (id, definition) in jobs() {
             let accepted = Accepted {
@@ -433,7 +433,7 @@
         if self.table.done.get(&run.task).is_some_and(|at| *at < self.now) {
             breaches.push("after its end was kept");
         }
-        let done = |other: &Lived| matches!(other.ended, Some((_, How::Done)));
+        let done = |other: &Lived| matches!(other.ended, Some((_, EndReason::Done)));
         if self.lived.iter().filter(earlier).any(|other| done(other) && other.noted) {
             breaches.push("after its end was acknowledged");
         }
--- a/crates/engine/tests/all/quota.rs
+++ b/crates/engine/tests/all/quota.rs
@@ -3,7 +3,7 @@
 mod model;
 
 use crate::fixture::{World, id, starts, step};
-use celerythread_engine::cell::Note;
+use celerythread_engine::cell::Event;
 use celerythread_engine::job::{Accepted, Definition, Id, Origin, Resources, Step};
 use celerythread_engine::quota::{Account, Holder, Limit, Share, Split};
 use celerythread_engine::time::Time;
@@ -194,7 +194,7 @@
 fn write_all(world: &mut World, version: u64) -> bool {
     world.pass(50);
     let changes = world.cell.split_changes(world.now);
-    world.cell.splits_written(&changes, version, world.now);
+    world.cell.record_split_changes(&changes, version, world.now);
     !changes.is_empty()
 }
 
@@ -216,8 +216,8 @@
     assert!(write_all(&mut world, 1));
     assert_eq!(starts(&world.plan()).len(), 5);
     assert!(world.plan().is_empty());
-    let held = |note: &Note| matches!(note, Note::Held { is_larger: false, .. });
-    assert_eq!(world.cell.take_notes().iter().filter(|note| held(note)).count(), 1);
+    let held = |note: &Event| matches!(note, Event::Held { is_larger: false, .. });
+    assert_eq!(world.cell.take_events().iter().filter(|note| held(note)).count(), 1);
 }
 
 /// Guards against a gang wider than its workspace's limit taking the whole of it and still not starting.
@@ -227,8 +227,8 @@
     submit(&mut world, 1, team(), vec![Step { gang: true, ..step(8) }]);
     submit(&mut world, 2, team(), vec![step(4)]);
     world.plan();
-    let larger = |note: &Note| matches!(note, Note::Held { is_larger: true, .. });
-    assert!(world.cell.take_notes().iter().any(larger));
+    let larger = |note: &Event| matches!(note, Event::Held { is_larger: true, .. });
+    assert!(world.cell.take_events().iter().any(larger));
     write_all(&mut world, 1);
     assert_eq!(starts(&world.plan()).len(), 4);
 }
--- a/crates/engine/tests/all/restarts.rs
+++ b/crates/engine/tests/all/restarts.rs
@@ -1,7 +1,7 @@
 //! Minions that restart under the same id.
 
 use crate::fixture::*;
-use celerythread_engine::cell::{End, How, Incarnation, Report, StartResult};
+use celerythread_engine::cell::{End, EndReason, Incarnation, Report, StartResult};
 use celerythread_engine::job::{State, TaskName};
 use std::time::Duration;
 
@@ -73,7 +73,8 @@
 
     fn end(&mut self, task: TaskName, run: u32) {
         self.last_end += 1;
-        let end = End { number: self.last_end, task, run, how: How::Done, checkpoint: None };
+        let end =
+            End { number: self.last_end, task, run, reason: EndReason::Done, checkpoint: None };
         self.ends.push(end);
     }
 }
@@ -102,9 +103,9 @@
         scenario.end(task, run);
     }
     scenario.answer();
-    let batch = scenario.world.cell.unkept(90).unwrap();
+    let batch = scenario.world.cell.unpersisted_batch(90).unwrap();
     scenario.restart();
-    scenario.world.cell.kept(&batch);
+    scenario.world.cell.record_persisted(&batch);
     assert_eq!(scenario.world.cell.minion(&World::minion(0)).unwrap().acknowledged(), 0);
 }
 
@@ -148,13 +149,19 @@
     let mut scenario = RestartScenario::new();
     scenario.world.submit(1, definition(vec![step(1)]));
     let (minion, name, run) = starts(&scenario.world.plan()).remove(0);
-    scenario.world.cell.start_result(&minion, &name, run, StartResult::Unknown, scenario.world.now);
+    scenario.world.cell.process_start_result(
+        &minion,
+        &name,
+        run,
+        StartResult::Unknown,
+        scenario.world.now,
+    );
     scenario.world.pass(50);
     scenario.restart();
     let orders = scenario.world.plan();
     assert_eq!(stops(&orders), [(minion.clone(), name, run)]);
     assert!(starts(&orders).is_empty());
-    scenario.world.cell.stop_confirmed(&minion, &name, run, scenario.world.now);
+    scenario.world.cell.confirm_stop(&minion, &name, run, scenario.world.now);
     scenario.world.pass(50);
     scenario.answer();
     assert_eq!(scenario.world.start_all().len(), 1);
@@ -189,7 +196,7 @@
     let mut starts = 0;
     for _ in 0..40 {
         starts += scenario.world.start_all().len();
-        scenario.world.cell.missed(&World::minion(0), scenario.world.now);
+        scenario.world.cell.record_missed_answer(&World::minion(0), scenario.world.now);
         scenario.world.pass(DOWN_MS);
         scenario.restart();
         scenario.world.keep();
--- a/crates/engine/tests/all/runs.rs
+++ b/crates/engine/tests/all/runs.rs
@@ -2,7 +2,7 @@
 
 use crate::fixture::*;
 use celerythread_engine::cell::{
-    Cell, Guard, How, Note, Permit, Refusal, Report, Settings, StartResult,
+    Blocker, Cell, EndReason, Event, Permit, Refusal, Report, Settings, StartResult,
 };
 use celerythread_engine::job::{State, Step};
 use std::collections::BTreeSet;
@@ -16,19 +16,19 @@
     let mut world = World::new(2);
     world.submit(1, definition(vec![step(1)]));
     let (minion, name, run) = starts(&world.plan()).remove(0);
-    world.cell.start_result(&minion, &name, run, StartResult::Unknown, world.now);
+    world.cell.process_start_result(&minion, &name, run, StartResult::Unknown, world.now);
     assert!(world.plan().is_empty(), "a look comes first");
-    world.cell.report(&minion, &Report::default(), world.now, world.now);
+    world.cell.process_report(&minion, &Report::default(), world.now, world.now);
     let orders = world.plan();
     assert_eq!(stops(&orders), [(minion.clone(), name, run)]);
     assert!(starts(&orders).is_empty());
     // A report from before the confirmation proves nothing.
-    world.cell.report(&minion, &Report::default(), world.now, world.now);
+    world.cell.process_report(&minion, &Report::default(), world.now, world.now);
     assert!(starts(&world.plan()).is_empty());
     world.pass(10);
-    world.cell.stop_confirmed(&minion, &name, run, world.now);
+    world.cell.confirm_stop(&minion, &name, run, world.now);
     world.pass(10);
-    world.cell.report(&minion, &Report::default(), world.now, world.now);
+    world.cell.process_report(&minion, &Report::default(), world.now, world.now);
     let again = starts(&world.plan());
     assert_eq!(again[0].1, name);
     assert!(again[0].2 > run);
@@ -55,8 +55,8 @@
     world.submit(1, definition(vec![step(1)]));
     let (minion, name, run) = world.start_all().remove(0);
     let lapse = world.now + Duration::from_millis(5000);
-    world.cell.promise(&minion, lapse);
-    world.cell.missed(&minion, world.now);
+    world.cell.extend_lease_expiry(&minion, lapse);
+    world.cell.record_missed_answer(&minion, world.now);
     world.pass(4999);
     assert!(starts(&world.plan()).is_empty());
     world.pass(1);
@@ -83,7 +83,7 @@
     let mut world = World::new(2);
     world.submit(1, definition(vec![step(1)]));
     let (minion, name, _) = world.start_all().remove(0);
-    world.cell.bury(&minion, world.now);
+    world.cell.remove_terminated_minion(&minion, world.now);
     assert_eq!(starts(&world.plan_kept())[0].1, name);
 }
 
@@ -98,7 +98,7 @@
     let started = world.start_all();
     assert_eq!(started[0].0, started[1].0, "packed on one minion");
     for (minion, name, run) in &started {
-        world.end(minion, *name, *run, How::Failed);
+        world.end(minion, *name, *run, EndReason::Failed);
     }
     world.submit(3, definition(vec![step(20)]));
     let bad = &started[0].0;
@@ -121,15 +121,15 @@
             finished: vec![],
             ..Report::default()
         };
-        world.cell.report(&minion, &report, world.now, world.now);
+        world.cell.process_report(&minion, &report, world.now, world.now);
         assert!(stops(&world.plan()).is_empty());
     }
     world.pass(2100);
     let report =
         Report { running: vec![running(name, run, 80)], finished: vec![], ..Report::default() };
-    world.cell.report(&minion, &report, world.now, world.now);
+    world.cell.process_report(&minion, &report, world.now, world.now);
     assert_eq!(stops(&world.plan()), [(minion.clone(), name, run)]);
-    world.end(&minion, name, run, How::Stopped);
+    world.end(&minion, name, run, EndReason::Stopped);
     assert!(starts(&world.plan()).iter().all(|(place, _, _)| *place != minion));
 }
 
@@ -149,10 +149,10 @@
                 finished: vec![],
                 ..Report::default()
             };
-            world.cell.report(&minion, &report, world.now, world.now);
+            world.cell.process_report(&minion, &report, world.now, world.now);
         }
         assert_eq!(stops(&world.plan()), [(minion.clone(), name, run)]);
-        world.end(&minion, name, run, How::Stopped);
+        world.end(&minion, name, run, EndReason::Stopped);
         stood.insert(minion);
     }
     world.submit(2, definition(vec![step(48)]));
@@ -166,7 +166,7 @@
     world.submit(1, definition(vec![step(1)]));
     let (minion, name, run) = starts(&world.plan()).remove(0);
     let refused = StartResult::Refused(Refusal::NoRoom);
-    world.cell.start_result(&minion, &name, run, refused, world.now);
+    world.cell.process_start_result(&minion, &name, run, refused, world.now);
     assert!(starts(&world.plan()).is_empty());
     world.pass(200);
     assert_eq!(starts(&world.plan()).len(), 1);
@@ -179,7 +179,7 @@
     let started = world.start_all();
     assert_eq!(started.len(), 16);
     let (minion, name, run) = &started[0];
-    world.end(minion, *name, *run, How::Done);
+    world.end(minion, *name, *run, EndReason::Done);
     assert_eq!(starts(&world.plan()).len(), 1);
 }
 
@@ -188,7 +188,13 @@
     let mut world = World::new(3);
     let lasting = Step { lasting: true, may_be_away: Some(1), ..step(1) };
     world.submit(1, definition(vec![lasting]));
-    for how in [How::Done, How::Failed, How::Failed, How::Failed, How::Expired] {
+    for how in [
+        EndReason::Done,
+        EndReason::Failed,
+        EndReason::Failed,
+        EndReason::Failed,
+        EndReason::Expired,
+    ] {
         let (minion, name, run) = world.start_all().remove(0);
         world.end(&minion, name, run, how);
         world.pass(150);
@@ -208,7 +214,7 @@
         let running = vec![running(start.1, start.2, percent)];
         let report = Report { running, finished: vec![], ..Report::default() };
         world.pass(1);
-        world.cell.report(&start.0, &report, world.now, world.now);
+        world.cell.process_report(&start.0, &report, world.now, world.now);
     };
     for start in &started {
         report(&mut world, start, 100);
@@ -218,7 +224,7 @@
     let first = stops(&world.plan());
     assert_eq!(first.len(), 1);
     let (minion, name, run) = first[0].clone();
-    world.end(&minion, name, run, How::Stopped);
+    world.end(&minion, name, run, EndReason::Stopped);
     let moved = world.start_all().remove(0);
     report(&mut world, &moved, 40);
     assert!(stops(&world.plan()).is_empty(), "the moved one is not at work yet");
@@ -239,7 +245,7 @@
     world.submit(2, definition(vec![lasting]));
     for _ in 0..3 {
         let (minion, name, run) = active.remove(0);
-        world.end(&minion, name, run, How::Done);
+        world.end(&minion, name, run, EndReason::Done);
         active.extend(world.start_all());
     }
     assert!(active.iter().any(|(_, name, _)| name.job == id(2)));
@@ -261,7 +267,7 @@
     assert_eq!(world.start_all()[0].0, full);
 
     world.cell.set_leaving(&home, true);
-    world.end(&home, started[0].1, started[0].2, How::Failed);
+    world.end(&home, started[0].1, started[0].2, EndReason::Failed);
     progress(&mut world, &started[1..], 100);
     assert!(world.start_all().is_empty(), "room elsewhere may still come");
     (0..3).for_each(|_| progress(&mut world, &started[1..], 100));
@@ -269,8 +275,8 @@
     assert_eq!(again[0].0, home);
 
     // Once empty, it may go down at any moment.
-    world.end(&home, again[0].1, again[0].2, How::Failed);
-    world.end(&home, started[1].1, started[1].2, How::Failed);
+    world.end(&home, again[0].1, again[0].2, EndReason::Failed);
+    world.end(&home, started[1].1, started[1].2, EndReason::Failed);
     assert_eq!(world.cell.load(world.now).empty, [home.to_string()]);
     world.pass(3000);
     assert!(world.start_all().is_empty());
@@ -308,7 +314,7 @@
         let here = runs.iter().filter(|run| run.0 == minion);
         let running = here.map(|(_, name, run)| running(*name, *run, percent)).collect();
         let report = Report { running, finished: vec![], ..Report::default() };
-        world.cell.report(&minion, &report, world.now, world.now);
+        world.cell.process_report(&minion, &report, world.now, world.now);
     }
 }
 
@@ -327,7 +333,7 @@
     }
     assert_eq!(stops(&world.plan()).len(), 2);
     let (minion, name, run) = started[0].clone();
-    world.end(&minion, name, run, How::Stopped);
+    world.end(&minion, name, run, EndReason::Stopped);
     let again = starts(&world.plan());
     assert_eq!(again[0].1, name);
     assert_ne!(again[0].0, minion);
@@ -361,7 +367,7 @@
         let orders = stops(&world.plan());
         stopped += orders.len();
         for (minion, name, run) in orders {
-            world.end(&minion, name, run, How::Stopped);
+            world.end(&minion, name, run, EndReason::Stopped);
             started.retain(|start| start.1 != name);
         }
         started.extend(world.start_all());
@@ -381,7 +387,7 @@
             finished: vec![],
             ..Report::default()
         };
-        world.cell.report(&minion, &report, world.now, world.now);
+        world.cell.process_report(&minion, &report, world.now, world.now);
         assert!(world.plan().is_empty());
     }
 }
@@ -394,14 +400,14 @@
     let mut world = World::new(2);
     world.submit(1, definition(vec![step(1)]));
     let (first, name, run) = world.start_all().remove(0);
-    world.cell.missed(&first, world.now);
+    world.cell.record_missed_answer(&first, world.now);
     let (second, _, newer) = world.start_all().remove(0);
     assert!(second != first && newer > run);
-    world.end(&second, name, newer, How::Failed);
+    world.end(&second, name, newer, EndReason::Failed);
     let number = (0..2).find(|number| World::minion(*number) == first).expect("one of two");
     world.answer(number, Report { running: vec![running(name, run, 10)], ..Report::default() });
     assert_eq!(starts(&world.plan()), [], "it runs");
-    world.end(&first, name, run, How::Stopped);
+    world.end(&first, name, run, EndReason::Stopped);
     let again = world.start_all();
     assert!(again.iter().any(|(_, task, number)| *task == name && *number > newer), "{again:?}");
 }
@@ -412,12 +418,12 @@
     let mut world = World::new(2);
     world.submit(1, definition(vec![step(1)]));
     let (first, name, run) = world.start_all().remove(0);
-    world.cell.missed(&first, world.now);
+    world.cell.record_missed_answer(&first, world.now);
     let (second, _, newer) = world.start_all().remove(0);
-    world.end(&second, name, newer, How::Failed);
+    world.end(&second, name, newer, EndReason::Failed);
     let number = (0..2).find(|number| World::minion(*number) == first).expect("one of two");
     world.answer(number, Report { running: vec![running(name, run, 10)], ..Report::default() });
-    world.cell.missed(&first, world.now);
+    world.cell.record_missed_answer(&first, world.now);
     let again = starts(&world.plan_kept());
     assert!(again.iter().any(|(_, task, number)| *task == name && *number > newer), "{again:?}");
 }
@@ -428,23 +434,23 @@
 fn a_job_that_could_run_and_does_not_is_noted_with_what_keeps_it() {
     let mut world = World::new(3);
     world.cell.set_leaving(&World::minion(0), true);
-    world.cell.missed(&World::minion(1), world.now);
-    world.cell.unlist(&World::minion(2));
+    world.cell.record_missed_answer(&World::minion(1), world.now);
+    world.cell.mark_unlisted(&World::minion(2));
     world.submit(1, definition(vec![step(1)]));
     world.plan();
     world.pass(1100);
     world.plan();
-    let notes = world.cell.take_notes();
+    let notes = world.cell.take_events();
     let idle = notes.iter().find_map(|note| match note {
-        Note::Idle { task, placed: None, guards } => Some((*task, guards.clone())),
+        Event::Idle { task, placed: None, blockers: guards } => Some((*task, guards.clone())),
         _ => None,
     });
     let (name, guards) = idle.expect("is noted");
     assert_eq!(name, task(1, 0, 0));
-    let said: Vec<Guard> = guards.into_iter().map(|(_, guard)| guard).collect();
-    assert_eq!(said, [Guard::Leaving, Guard::Unreachable, Guard::Unlisted]);
+    let said: Vec<Blocker> = guards.into_iter().map(|(_, guard)| guard).collect();
+    assert_eq!(said, [Blocker::Leaving, Blocker::Unreachable, Blocker::Unlisted]);
     world.plan();
-    assert_eq!(world.cell.take_notes(), [], "once a second at most");
+    assert_eq!(world.cell.take_events(), [], "once a second at most");
 }
 
 /// A job is never done where minions stop runs within 0.2 s: a start isn't answered, its stop is confirmed,
@@ -456,12 +462,12 @@
     let mut world = World::with_cell(Cell::new(settings, 0, None), 1);
     world.submit(1, definition(vec![step(1)]));
     let (minion, name, run) = starts(&world.plan()).remove(0);
-    world.cell.start_result(&minion, &name, run, StartResult::Unknown, world.now);
+    world.cell.process_start_result(&minion, &name, run, StartResult::Unknown, world.now);
     // No look is answered either, so the stop is sent unseen.
     world.pass(900);
     for _ in 0..4 {
         if !stops(&world.plan()).is_empty() {
-            world.cell.stop_confirmed(&minion, &name, run, world.now);
+            world.cell.confirm_stop(&minion, &name, run, world.now);
         }
         world.pass(500);
         world.plan();
@@ -478,12 +484,12 @@
     world.submit(1, definition(vec![step(1)]));
     let (minion, name, run) = starts(&world.plan()).remove(0);
     world.pass(300);
-    world.cell.start_result(&minion, &name, run, StartResult::Unknown, world.now);
+    world.cell.process_start_result(&minion, &name, run, StartResult::Unknown, world.now);
     let report = Report { running: vec![running(name, run, 10)], ..Report::default() };
-    world.cell.report(&minion, &report, world.now, world.now);
+    world.cell.process_report(&minion, &report, world.now, world.now);
     world.pass(1000);
     assert!(world.plan().is_empty());
-    let end = world.end(&minion, name, run, How::Done);
+    let end = world.end(&minion, name, run, EndReason::Done);
     assert_eq!(end, 1);
     world.keep();
     assert_eq!(world.cell.state(&id(1)), Some(State::Completed));
@@ -496,7 +502,7 @@
     let mut world = World::new(2);
     world.submit(1, definition(vec![step(1)]));
     let (minion, name, run) = starts(&world.plan()).remove(0);
-    world.cell.start_result(&minion, &name, run, StartResult::Unknown, world.now);
+    world.cell.process_start_result(&minion, &name, run, StartResult::Unknown, world.now);
     world.pass(800);
     assert!(stops(&world.plan()).is_empty());
     world.pass(100);
@@ -513,6 +519,6 @@
     world.pass(3000);
     assert!(stops(&world.plan()).is_empty());
     let report = Report { running: vec![running(name, run, 50)], ..Report::default() };
-    world.cell.report(&minion, &report, world.now, world.now);
+    world.cell.process_report(&minion, &report, world.now, world.now);
     assert!(stops(&world.plan()).is_empty());
 }
--- a/crates/engine/tests/all/sharing.rs
+++ b/crates/engine/tests/all/sharing.rs
@@ -35,7 +35,7 @@
     });
     let report = Report { running: listed.collect(), finished: vec![], ..Report::default() };
     world.pass(700);
-    world.cell.report(&started[0].0, &report, world.now, world.now);
+    world.cell.process_report(&started[0].0, &report, world.now, world.now);
 }
 
 /// Batch work lengthens the response times of a service beside it past its target, second after
@@ -71,13 +71,13 @@
     report_tail(&mut world, &started, 130);
     assert_eq!(paces(&world.plan()).len(), 1);
     let (minion, name, run) = started.iter().find(|start| start.1.job == id(2)).unwrap();
-    world.cell.pace_missed(minion, name, *run);
+    world.cell.record_pace_failure(minion, name, *run);
     assert_eq!(paces(&world.plan()), [(task(2, 0, 0), 0)]);
 }
 
 fn advised(minions: usize) -> World {
     let mut world = World::new(minions);
-    let queue = Queue { attempts: 2, advised: true, ..Queue::default() };
+    let queue = Queue { attempts: 2, needs_ticket: true, ..Queue::default() };
     world.cell.configure([("queue".into(), queue)]);
     world
 }
@@ -95,7 +95,7 @@
     assert!(world.cell.take_queries().is_empty(), "one question at a time");
     let good = vec![(World::minion(2), "ticket".into())];
     let until = world.now + Duration::from_millis(3000);
-    world.cell.advised(&queries[0], good, until);
+    world.cell.record_advice(&queries[0], good, until);
     let orders = world.plan();
     assert_eq!(starts(&orders).len(), 2);
     for order in &orders {
@@ -112,13 +112,13 @@
     world.plan();
     let query = world.cell.take_queries().remove(0);
     let until = world.now + Duration::from_millis(1000);
-    world.cell.advised(&query, vec![(World::minion(0), "first".into())], until);
+    world.cell.record_advice(&query, vec![(World::minion(0), "first".into())], until);
     let (minion, name, run) = starts(&world.plan()).remove(0);
     let refused = StartResult::Refused(Refusal::NoTicket);
-    world.cell.start_result(&minion, &name, run, refused, world.now);
+    world.cell.process_start_result(&minion, &name, run, refused, world.now);
     assert!(starts(&world.plan()).is_empty());
     let query = world.cell.take_queries().remove(0);
-    world.cell.advised(&query, vec![(World::minion(0), "second".into())], until);
+    world.cell.record_advice(&query, vec![(World::minion(0), "second".into())], until);
     world.pass(1000);
     assert!(starts(&world.plan()).is_empty(), "over by now");
     assert_eq!(world.cell.take_queries().len(), 1);
@@ -130,7 +130,7 @@
     world.submit(1, definition(vec![step(1)]));
     world.plan();
     let query = world.cell.take_queries().remove(0);
-    world.cell.advice_missed(&query, world.now);
+    world.cell.record_advice_failure(&query, world.now);
     world.plan();
     assert!(world.cell.take_queries().is_empty());
     world.pass(400);
--- a/crates/engine/tests/all/takeover.rs
+++ b/crates/engine/tests/all/takeover.rs
@@ -1,7 +1,7 @@
 //! A new owner: what it starts when, and under which numbers.
 
 use crate::fixture::*;
-use celerythread_engine::cell::{Cell, How, Permit, Report, Settings};
+use celerythread_engine::cell::{Cell, EndReason, Permit, Report, Settings};
 use celerythread_engine::job::{Progress, State, Step};
 use celerythread_engine::time::Time;
 use std::time::Duration;
@@ -10,7 +10,7 @@
     let cell = Cell::new(Settings::default(), 1, Some(Time(30_000)));
     let mut world = World::with_cell(cell, 0);
     for number in 0..minions {
-        world.cell.inherit(&World::minion(number));
+        world.cell.inherit_minion(&World::minion(number));
         world.list(number);
     }
     world
@@ -40,7 +40,7 @@
 #[test]
 fn inherited_tasks_start_when_the_former_owners_leases_must_have_lapsed() {
     let mut world = successor(1);
-    world.cell.inherit(&"gone".into());
+    world.cell.inherit_minion(&"gone".into());
     world.add(1, definition(vec![step(1)]), true);
     world.answer(0, Report::default());
     assert!(world.start_all().is_empty());
@@ -97,7 +97,7 @@
 fn an_end_that_the_former_owner_missed_counts() {
     let mut world = successor(1);
     world.add(1, definition(vec![step(1)]), true);
-    world.end(&World::minion(0), task(1, 0, 0), 4, How::Done);
+    world.end(&World::minion(0), task(1, 0, 0), 4, EndReason::Done);
     world.keep();
     assert_eq!(world.cell.state(&id(1)), Some(State::Completed));
 }
@@ -117,11 +117,11 @@
 #[test]
 fn a_minion_whose_life_is_over_is_not_waited_for() {
     let mut world = successor(1);
-    world.cell.inherit(&"over".into());
+    world.cell.inherit_minion(&"over".into());
     world.add(1, definition(vec![step(1)]), true);
     world.answer(0, Report::default());
     assert!(world.start_all().is_empty());
-    world.cell.bury("over", world.now);
+    world.cell.remove_terminated_minion("over", world.now);
     assert_eq!(world.start_all().len(), 1);
 }
 
@@ -131,7 +131,7 @@
 #[test]
 fn what_may_still_run_elsewhere_asks_for_no_machines() {
     let mut world = successor(1);
-    world.cell.inherit(&"gone".into());
+    world.cell.inherit_minion(&"gone".into());
     world.answer(0, Report::default());
     world.add(1, definition(vec![step(40)]), true);
     world.submit(2, definition(vec![step(4)]));
@@ -149,9 +149,9 @@
     let second = Step { after: [0].into_iter().collect(), ..step(1) };
     world.submit(1, definition(vec![step(1), second]));
     let (minion, first, run) = world.start_all().remove(0);
-    let fresh = Permit::Fresh { known_by: world.now };
+    let fresh = Permit::NeverStarted { known_by: world.now };
     world.pass(1500);
-    world.end(&minion, first, run, How::Done);
+    world.end(&minion, first, run, EndReason::Done);
     let orders = world.cell.plan(world.now, world.now.0, fresh);
     assert_eq!(starts(&orders).first().map(|(_, task, _)| *task), Some(task(1, 1, 0)));
 }
@@ -164,9 +164,9 @@
     let mut world = World::new(2);
     world.submit(1, definition(vec![step(1)]));
     let (minion, ..) = world.start_all().remove(0);
-    let fresh = Permit::Fresh { known_by: world.now };
+    let fresh = Permit::NeverStarted { known_by: world.now };
     world.pass(1500);
-    world.cell.missed(&minion, world.now);
+    world.cell.record_missed_answer(&minion, world.now);
     world.submit(2, definition(vec![step(1)]));
     let orders = world.cell.plan(world.now, world.now.0, fresh);
     assert_eq!(starts(&orders), []);
@@ -210,6 +210,6 @@
     let orders = world.answer(0, report);
     assert_eq!(stops(&orders), [(World::minion(0), task(9, 0, 0), 3)]);
     assert_eq!(starts(&world.plan()), [], "how much it takes isn't known");
-    world.end(&World::minion(0), task(9, 0, 0), 3, How::Stopped);
+    world.end(&World::minion(0), task(9, 0, 0), 3, EndReason::Stopped);
     assert_eq!(world.start_all().len(), 16);
 }
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -273,7 +273,7 @@
         if silence < term {
             Permit::All
         } else if silence < self.settings.extend_alone.0 {
-            Permit::Fresh { known_by: sent + term.saturating_sub(START_MARGIN) }
+            Permit::NeverStarted { known_by: sent + term.saturating_sub(START_MARGIN) }
         } else {
             Permit::Nothing
         }
--- a/crates/scheduler/src/owner.rs
+++ b/crates/scheduler/src/owner.rs
@@ -171,7 +171,7 @@
                 attempts: queue.attempts,
                 stretch: queue.stretch,
                 target_ms: queue.target_ms,
-                advised: queue.advice.is_some(),
+                needs_ticket: queue.advice.is_some(),
                 public: configuration.is_public(queue),
             };
             (queue.name.as_str().into(), policy)
@@ -240,7 +240,7 @@
                 self.with(|cell| Answer::Load(cell.load(clock::now())))
             }
             Question::Pending { queue, .. } => {
-                self.with(|cell| Answer::Pending(cell.pending(queue) as u32))
+                self.with(|cell| Answer::Pending(cell.queued_jobs(queue) as u32))
             }
         }
     }
@@ -265,11 +265,11 @@
         self.with(|cell| {
             let known: Vec<Arc<str>> = cell.minions().map(|minion| minion.id.clone()).collect();
             for (id, entry) in mine {
-                cell.list(id, entry.listing.clone());
+                cell.update_listing(id, entry.listing.clone());
             }
             for id in &known {
                 if minions.get(id).is_none_or(|entry| entry.service != self.service) {
-                    cell.unlist(id);
+                    cell.mark_unlisted(id);
                 }
             }
             let all: Vec<Arc<str>> = cell.minions().map(|minion| minion.id.clone()).collect();
@@ -323,7 +323,7 @@
             notes::write(&owner);
             advise::ask(&owner);
             quota::write_shares(&owner);
-            if owner.with(|cell| cell.has_unkept()).unwrap_or(false) {
+            if owner.with(|cell| cell.has_unpersisted()).unwrap_or(false) {
                 owner.keep_wake.wake();
             }
         }
@@ -338,8 +338,8 @@
 /// The age of a job, and of what is known of a minion.
 fn ages(cell: &Cell, job: &Id, minion: &str) -> (Duration, Duration) {
     let now = clock::now();
-    let age = cell.job(job).map(|job| now.since(job.since)).unwrap_or_default();
-    let look = cell.minion(minion).map(|minion| now.since(minion.reported)).unwrap_or_default();
+    let age = cell.job(job).map(|job| now.since(job.accepted_at)).unwrap_or_default();
+    let look = cell.minion(minion).map(|minion| now.since(minion.reported_at)).unwrap_or_default();
     (age, look)
 }
 
@@ -386,5 +386,5 @@
         [("job", &task.job), ("task", task), ("run", &run), ("minion", minion)];
     owner.node.journal.warn("start_given_back", &fields);
     let refused = StartResult::Refused(Refusal::Unhealthy);
-    owner.with(|cell| cell.start_result(minion, task, run, refused, clock::now()));
+    owner.with(|cell| cell.process_start_result(minion, task, run, refused, clock::now()));
 }
--- a/crates/scheduler/src/owner/advise.rs
+++ b/crates/scheduler/src/owner/advise.rs
@@ -31,15 +31,15 @@
         Some(Ok(tickets)) => {
             let outcome = format!("{} of {asked} may run it", tickets.good.len());
             let until = now + tickets.valid;
-            owner.with(|cell| cell.advised(&query, tickets.good, until));
+            owner.with(|cell| cell.record_advice(&query, tickets.good, until));
             outcome
         }
         Some(Err(failure)) => {
-            owner.with(|cell| cell.advice_missed(&query, now));
+            owner.with(|cell| cell.record_advice_failure(&query, now));
             failure.to_string()
         }
         None => {
-            owner.with(|cell| cell.advice_missed(&query, now));
+            owner.with(|cell| cell.record_advice_failure(&query, now));
             "no address is set".into()
         }
     };
--- a/crates/scheduler/src/owner/attend.rs
+++ b/crates/scheduler/src/owner/attend.rs
@@ -8,7 +8,7 @@
 use celerythread_adapter::Failure;
 use celerythread_adapter::minion::{Hold, Reply, Session, Target};
 use celerythread_adapter::store::{Name, Transaction};
-use celerythread_engine::cell::crash::TRIAL;
+use celerythread_engine::cell::crash::TRIAL_PERIOD;
 use celerythread_engine::cell::{
     Incarnation, Minion, MinionId, Order, Permit, Refusal, Report, StartResult,
 };
@@ -199,11 +199,11 @@
     let state = || {
         owner.with(|cell| {
             cell.minion(id).map(|minion| {
-                let ended = !minion.listed && minion.is_empty() && !minion.has_unkept();
+                let ended = !minion.listed && minion.is_empty() && !minion.has_unpersisted();
                 let fresh = !minion.answered;
                 let busy = !minion.is_empty() && !fresh;
                 let sent = session.has_acknowledged(minion.incarnation, minion.acknowledged());
-                (ended && !fresh, busy, fresh, minion.has_unkept(), sent)
+                (ended && !fresh, busy, fresh, minion.has_unpersisted(), sent)
             })
         })
     };
@@ -317,7 +317,7 @@
     let known = (*attendant.clock.lock())?;
     let term_ms = owner.node.settings.run_lease.0.as_millis() as u64;
     let deadline_ms = known.now_ms(clock::now()) + term_ms;
-    owner.with(|cell| cell.promise(&attendant.target.id, known.passes(deadline_ms)));
+    owner.with(|cell| cell.extend_lease_expiry(&attendant.target.id, known.passes(deadline_ms)));
     Some(deadline_ms)
 }
 
@@ -331,14 +331,14 @@
     let is_reset = former.is_some_and(|former| former.is_reset(clock_ms, sent));
     if is_reset {
         let until = now + lease::max_duration(owner.node.settings.lease_limit.0);
-        owner.with(|cell| cell.promise(&attendant.target.id, until));
+        owner.with(|cell| cell.extend_lease_expiry(&attendant.target.id, until));
     }
     !is_reset
 }
 
 fn take_report(owner: &Arc<Owner>, id: &MinionId, report: &Report, sent: Time) {
     let before = owner.with(|cell| cell.minion(id).map(|minion| minion.is_reachable())).flatten();
-    let orders = owner.with(|cell| cell.report(id, report, sent, clock::now()));
+    let orders = owner.with(|cell| cell.process_report(id, report, sent, clock::now()));
     if before == Some(false) {
         let incarnation = report.incarnation.map_or(0, |incarnation| incarnation.0);
         owner.node.journal.note(
@@ -353,7 +353,7 @@
 fn note_missed(owner: &Owner, id: &MinionId, reason: &dyn std::fmt::Display) {
     owner.node.metrics.count(Counter::HoldsMissed);
     owner.node.journal.warn("minion_missed", &[("minion", id), ("reason", reason)]);
-    owner.with(|cell| cell.missed(id, clock::now()));
+    owner.with(|cell| cell.record_missed_answer(id, clock::now()));
     owner.plan_wake.wake();
 }
 
@@ -367,7 +367,7 @@
     owner.node.journal.warn("minion_over", &[("minion", id)]);
     let incarnation = owner.with(|cell| cell.minion(id).map(Minion::known_incarnation)).flatten();
     owner.buried.lock().insert(id.clone(), incarnation.flatten());
-    owner.with(|cell| cell.bury(id, clock::now()));
+    owner.with(|cell| cell.remove_terminated_minion(id, clock::now()));
     owner.plan_wake.wake();
 }
 
@@ -391,13 +391,13 @@
                     );
                 }
                 let id = &attendant.target.id;
-                owner.with(|cell| cell.start_result(id, &task, run, result, clock::now()));
+                owner.with(|cell| cell.process_start_result(id, &task, run, result, clock::now()));
                 if result == StartResult::Unknown {
                     look_at_once(&owner, &attendant).await;
                 }
                 if result == StartResult::Started && suspected {
                     // What may not run beside it waits for a look that shows it to have outlived its trial.
-                    async_std::task::sleep(TRIAL).await;
+                    async_std::task::sleep(TRIAL_PERIOD).await;
                     look_at_once(&owner, &attendant).await;
                 }
                 if result != StartResult::Started {
@@ -409,7 +409,7 @@
                 let token = owner.token;
                 let paced = client.pace(to, &task, run, percent, token, ORDER_LIMIT).await;
                 if !matches!(paced, Ok(Reply::Done(..))) {
-                    owner.with(|cell| cell.pace_missed(&to.id, &task, run));
+                    owner.with(|cell| cell.record_pace_failure(&to.id, &task, run));
                 }
             }
             Order::Stop { task, run, .. } => {
@@ -418,7 +418,7 @@
                 match answer {
                     Ok(Reply::Done(..)) => {
                         let now = clock::now();
-                        owner.with(|cell| cell.stop_confirmed(&to.id, &task, run, now));
+                        owner.with(|cell| cell.confirm_stop(&to.id, &task, run, now));
                         look_at_once(&owner, &attendant).await;
                     }
                     Ok(Reply::OtherLife) => bury(&owner, &attendant),
@@ -447,7 +447,7 @@
     // What is queued may have waited; which jobs it is for was decided when it was planned.
     let allowed = match owner.node.permit() {
         Permit::All => true,
-        Permit::Fresh { .. } => matches!(order, Order::Start { first: true, .. }),
+        Permit::NeverStarted { .. } => matches!(order, Order::Start { first: true, .. }),
         Permit::Nothing => false,
     };
     if !allowed {
@@ -480,7 +480,7 @@
         Err(Failure::NotSent { .. } | Failure::Unanswered { .. }) => {
             // Silence at an address that the minion has left says nothing of it.
             if attendant.is_current(owner) {
-                owner.with(|cell| cell.missed(&to.id, clock::now()));
+                owner.with(|cell| cell.record_missed_answer(&to.id, clock::now()));
             }
             StartResult::Refused(Refusal::Unhealthy)
         }
--- a/crates/scheduler/src/owner/keep.rs
+++ b/crates/scheduler/src/owner/keep.rs
@@ -32,7 +32,7 @@
     let mut expired = clock::now();
     while !owner.is_stopped() {
         owner.keep_wake.wait(Duration::from_millis(500)).await;
-        let Some(unkept) = owner.with(|cell| cell.has_unkept()) else { continue };
+        let Some(unkept) = owner.with(|cell| cell.has_unpersisted()) else { continue };
         if unkept {
             gather(&owner).await;
             keep_all(&owner).await;
@@ -48,7 +48,7 @@
     let began = clock::now();
     while clock::now().since(began) < GATHER {
         owner.pause(GATHER_URGENT).await;
-        let urgent = owner.with(|cell| cell.is_keeping_urgent()).unwrap_or(false);
+        let urgent = owner.with(|cell| cell.is_persisting_urgent()).unwrap_or(false);
         if urgent || owner.is_stopped() {
             return;
         }
@@ -64,7 +64,9 @@
     loop {
         {
             let mut ledger = owner.ledger.lock().await;
-            let Some(Some(batch)) = owner.with(|cell| cell.unkept(MAX_ROWS)) else { return true };
+            let Some(Some(batch)) = owner.with(|cell| cell.unpersisted_batch(MAX_ROWS)) else {
+                return true;
+            };
             if owner.is_stopped() {
                 return false;
             }
@@ -122,10 +124,11 @@
 }
 
 fn finish(owner: &Owner, batch: &Batch) {
-    owner.with(|cell| cell.kept(batch));
+    owner.with(|cell| cell.record_persisted(batch));
     for (id, change, progress) in &batch.rows {
         if let Some(outcome) = progress.outcome {
-            let age = owner.with(|cell| cell.job(id).map(|job| clock::now().since(job.since)));
+            let age =
+                owner.with(|cell| cell.job(id).map(|job| clock::now().since(job.accepted_at)));
             owner.node.metrics.time(Timing::Job, age.flatten().unwrap_or_default());
             let service = &owner.service;
             owner.node.journal.note(
@@ -143,7 +146,7 @@
 }
 
 async fn drop_expired(owner: &Owner) {
-    let expired = owner.with(|cell| cell.expire(clock::now())).unwrap_or_default();
+    let expired = owner.with(|cell| cell.remove_expired_jobs(clock::now())).unwrap_or_default();
     for chunk in expired.chunks(MAX_ROWS / 3) {
         let drops = chunk
             .iter()
--- a/crates/scheduler/src/owner/load.rs
+++ b/crates/scheduler/src/owner/load.rs
@@ -136,7 +136,7 @@
     let roster: rows::Roster = roster.and_then(|row| decode(&row.value).ok()).unwrap_or_default();
     for minion in roster.minions {
         let id: Arc<str> = minion.into();
-        cell.inherit(&id);
+        cell.inherit_minion(&id);
         owner.roster.lock().insert(id);
     }
     bury(&mut cell, replaced(owner).await.0);
@@ -174,7 +174,7 @@
 pub(crate) async fn bury_until_settled(owner: Arc<Owner>) {
     let mut interval = BURY_INTERVAL;
     while owner.pause(interval).await {
-        if owner.with(|cell| cell.is_settled(clock::now())).unwrap_or(true) {
+        if owner.with(|cell| cell.is_takeover_complete(clock::now())).unwrap_or(true) {
             return;
         }
         let (over, machines) = replaced(&owner).await;
@@ -188,7 +188,7 @@
 
 fn bury(cell: &mut Cell, minions: Vec<Arc<str>>) {
     for id in minions {
-        cell.bury(&id, clock::now());
+        cell.remove_terminated_minion(&id, clock::now());
     }
 }
 
--- a/crates/scheduler/src/owner/notes.rs
+++ b/crates/scheduler/src/owner/notes.rs
@@ -3,24 +3,24 @@
 use crate::clock;
 use crate::metrics::Counter;
 use crate::owner::Owner;
-use celerythread_engine::cell::Note;
+use celerythread_engine::cell::Event;
 
 /// Writes a line for each decision that the cell has noted since.
 pub(crate) fn write(owner: &Owner) {
     let (journal, now) = (&owner.node.journal, clock::now());
-    for note in owner.with(|cell| cell.take_notes()).unwrap_or_default() {
+    for note in owner.with(|cell| cell.take_events()).unwrap_or_default() {
         match &note {
-            Note::Ended { minion, end } => journal.note(
+            Event::Ended { minion, end } => journal.note(
                 "run_ended",
                 &[
                     ("job", &end.task.job),
                     ("task", &end.task),
                     ("run", &end.run),
-                    ("how", &end.how),
+                    ("how", &end.reason),
                     ("minion", minion),
                 ],
             ),
-            Note::Lapsed { minion, task, run, at } => journal.warn(
+            Event::Lapsed { minion, task, run, at } => journal.warn(
                 "run_lapsed",
                 &[
                     ("job", &task.job),
@@ -30,7 +30,7 @@
                     ("since_ms", &now.since(*at).as_millis()),
                 ],
             ),
-            Note::Lost { minion, task, run, age, listed, beside } => {
+            Event::Lost { minion, task, run, age, listed, other_runs } => {
                 owner.node.metrics.count(Counter::RunsLost);
                 journal.warn(
                     "run_lost",
@@ -41,11 +41,11 @@
                         ("minion", minion),
                         ("age_ms", &age.as_millis()),
                         ("listed", listed),
-                        ("beside", beside),
+                        ("beside", other_runs),
                     ],
                 );
             }
-            Note::Suspected { minion, task, points, given_up } => journal.warn(
+            Event::Suspected { minion, task, points, given_up } => journal.warn(
                 "task_suspected",
                 &[
                     ("job", &task.job),
@@ -55,7 +55,7 @@
                     ("given_up", given_up),
                 ],
             ),
-            Note::Vanished { minion, task, run, seen, acknowledged } => journal.warn(
+            Event::Vanished { minion, task, run, seen, acknowledged } => journal.warn(
                 "run_vanished",
                 &[
                     ("job", &task.job),
@@ -66,7 +66,7 @@
                     ("acknowledged", acknowledged),
                 ],
             ),
-            Note::Restarted { minion, former, current, runs, seen, acknowledged } => {
+            Event::Restarted { minion, former, current, runs, seen, acknowledged } => {
                 owner.node.metrics.count(Counter::MinionsRestarted);
                 journal.warn(
                     "minion_restarted",
@@ -80,17 +80,17 @@
                     ],
                 );
             }
-            Note::Adopted { minion, task, run } => journal.note(
+            Event::Adopted { minion, task, run } => journal.note(
                 "run_adopted",
                 &[("job", &task.job), ("task", task), ("run", run), ("minion", minion)],
             ),
-            Note::Stalled { minion, task, percent } => journal.warn(
+            Event::Stalled { minion, task, percent } => journal.warn(
                 "run_stalled",
                 &[("job", &task.job), ("task", task), ("percent", percent), ("minion", minion)],
             ),
-            Note::Evacuated { minion, task } => journal
+            Event::Evacuated { minion, task } => journal
                 .note("run_evacuated", &[("job", &task.job), ("task", task), ("minion", minion)]),
-            Note::Idle { task, placed, guards } => {
+            Event::Idle { task, placed, blockers: guards } => {
                 let said: Vec<String> =
                     guards.iter().map(|(minion, guard)| format!("{minion}:{guard}")).collect();
                 let placed = placed.as_deref().unwrap_or("nowhere");
@@ -104,7 +104,7 @@
                     ],
                 );
             }
-            Note::Held { task, workspace, need, is_larger, summary } => journal.note(
+            Event::Held { task, workspace, need, is_larger, summary } => journal.note(
                 "job_held",
                 &[
                     ("job", &task.job),
@@ -118,7 +118,7 @@
                     ("age_ms", &summary.age.unwrap_or_default().as_millis()),
                 ],
             ),
-            Note::Quarantined { minion, until } => journal.warn(
+            Event::Quarantined { minion, until } => journal.warn(
                 "minion_quarantined",
                 &[("minion", minion), ("ms", &until.since(now).as_millis())],
             ),
--- a/crates/scheduler/src/owner/quota.rs
+++ b/crates/scheduler/src/owner/quota.rs
@@ -63,7 +63,7 @@
 fn take(owner: &Owner, rows: &[Row]) {
     let splits: Vec<(Box<str>, u64, Split)> =
         rows.iter().filter_map(|row| read(owner, row)).collect();
-    owner.with(|cell| cell.take_splits(splits, clock::now()));
+    owner.with(|cell| cell.record_splits(splits, clock::now()));
     owner.plan_wake.wake();
 }
 
@@ -114,15 +114,15 @@
     let now = clock::now();
     match &outcome {
         Ok(version) => {
-            owner.with(|cell| cell.splits_written(changes, *version, now));
+            owner.with(|cell| cell.record_split_changes(changes, *version, now));
         }
         Err(Error::Conflict { rows }) => {
             owner.node.metrics.count(Counter::ShareConflicts);
-            owner.with(|cell| cell.splits_refused(changes));
+            owner.with(|cell| cell.discard_split_changes(changes));
             take(owner, rows);
         }
         Err(Error::Refused { .. } | Error::HistoryGone) => {
-            owner.with(|cell| cell.splits_refused(changes));
+            owner.with(|cell| cell.discard_split_changes(changes));
         }
         // It may be carried out yet, and until the row has changed the smaller size counts.
         Err(Error::Unanswered { .. } | Error::Unreadable { .. }) => {}
--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -70,7 +70,7 @@
             ),
             (
                 "inherited tasks wait for every minion that may run them",
-                "engine::cell::Cell::is_settled",
+                "engine::cell::Cell::is_takeover_complete",
                 "inherited_tasks_wait_until_every_minion_has_answered",
             ),
             (
@@ -80,12 +80,12 @@
             ),
             (
                 "a silent minion's runs count until their lease must have lapsed",
-                "engine::cell::plan::lapse",
+                "engine::cell::plan::expire_leases",
                 "runs_of_a_silent_minion_are_given_up_when_their_lease_must_have_lapsed",
             ),
             (
                 "an unanswered start is stopped for certain first",
-                "engine::cell::Cell::start_result",
+                "engine::cell::Cell::process_start_result",
                 "an_unanswered_start_is_stopped_for_sure_before_the_task_goes_elsewhere",
             ),
             (
@@ -100,12 +100,12 @@
             ),
             (
                 "owners' run numbers don't overlap",
-                "engine::cell::Cell::next_run",
+                "engine::cell::Cell::next_run_number",
                 "a_new_owner_numbers_its_runs_above_all_of_its_predecessors",
             ),
             (
                 "a second run of a task is stopped",
-                "engine::cell::report::running",
+                "engine::cell::report::process_running",
                 "a_second_run_of_a_task_is_stopped",
             ),
         ],
@@ -150,7 +150,7 @@
         guards: &[
             (
                 "each unplanned end counts against what it ended",
-                "engine::cell::crash::note_loss",
+                "engine::cell::crash::record_loss",
                 "a_task_that_crashes_its_minions_is_given_up",
             ),
             (
@@ -160,22 +160,22 @@
             ),
             (
                 "likely causes are tried apart",
-                "engine::cell::crash::can_try",
+                "engine::cell::crash::can_host_suspect",
                 "likely_causes_are_tried_apart",
             ),
             (
                 "nothing is started beside a task on trial",
-                "engine::cell::crash::is_proving_ground",
+                "engine::cell::crash::runs_isolated_trial",
                 "nothing_is_started_beside_a_task_on_trial",
             ),
             (
                 "what is on trial when its minion falls silent is kept as doubted",
-                "engine::cell::crash::doubt",
+                "engine::cell::crash::mark_possible_crash",
                 "a_crash_that_the_owner_did_not_live_to_know_is_doubted",
             ),
             (
                 "a suspected task is tried only after that is kept",
-                "engine::cell::crash::may_try",
+                "engine::cell::crash::may_start_suspect",
                 "a_suspected_task_waits_until_that_is_kept",
             ),
             (
@@ -190,7 +190,7 @@
             ),
             (
                 "what is at work for long is acquitted",
-                "engine::cell::crash::note_life",
+                "engine::cell::crash::record_run_time",
                 "a_task_that_was_at_work_for_long_is_acquitted",
             ),
         ],
@@ -251,7 +251,7 @@
             ),
             (
                 "a stop that is repeated stays confirmed",
-                "engine::cell::plan::stop",
+                "engine::cell::plan::stop_run",
                 "a_confirmed_stop_stays_confirmed_until_the_next_look",
             ),
             (
@@ -281,12 +281,12 @@
             ),
             (
                 "a failure that is listed again counts once",
-                "engine::cell::report::end",
+                "engine::cell::report::process_end",
                 "a_failure_that_is_listed_again_counts_once",
             ),
             (
                 "a minion that fails whatever it starts is left out",
-                "engine::cell::report::judge_minion",
+                "engine::cell::report::update_quarantine",
                 "a_minion_that_fails_two_jobs_in_a_row_is_left_out_for_a_while",
             ),
             (
@@ -296,12 +296,12 @@
             ),
             (
                 "a task without room reserves a minion",
-                "engine::cell::plan::reserve",
+                "engine::cell::plan::reserve_minion",
                 "a_lasting_task_gets_room_although_smaller_tasks_wait_for_it",
             ),
             (
                 "a lasting task finds room on a minion that is being emptied and isn't empty",
-                "engine::cell::place::find_refuge",
+                "engine::cell::place::find_fallback",
                 "a_lasting_task_returns_to_a_minion_that_is_being_emptied_if_nothing_else_has_room",
             ),
             (
@@ -388,7 +388,7 @@
         guards: &[
             (
                 "lasting tasks leave within what may be away",
-                "engine::cell::plan::can_miss",
+                "engine::cell::plan::can_evacuate",
                 "lasting_tasks_leave_one_after_the_other_within_what_may_be_away",
             ),
             (
