--- a/crates/engine/src/cell.rs
+++ b/crates/engine/src/cell.rs
@@ -1,20 +1,30 @@
-//! One service's jobs and minions, as their owner sees them.
+//! State of one service's jobs and minions, as held by the owner of its cell.
 //!
-//! The owner feeds in what it learns and carries out the [`Order`]s that [`Cell::plan`]
-//! returns.  [`job`](self::work) holds the jobs, [`minion`] the minions with what runs there,
-//! [`report`] takes in what minions say, [`restart`] detects a new incarnation of a minion,
-//! [`plan`] decides what starts and stops, [`place`]
-//! finds a minion for a task, [`sequence`] orders the waiting jobs, [`keep`] says what must be
-//! written before an end may be acknowledged, [`advice`] holds tickets, [`pace`] slows down what
-//! disturbs serving tasks, [`straggler`] finds slow minions, [`crash`] tasks that crash theirs,
-//! [`idle`] notes jobs that could run and don't, [`quota`] bounds what a workspace has running, [`permit`] says what may be started while the store is away.
+//! The owner passes in what it learns and carries out the [`Order`]s that [`Cell::plan`] returns.
 //!
-//! Three rules carry the promise that no task runs twice:
-//! - a run counts as over only when its minion listed its end, answered a stop and no longer
-//!   lists it, ended as a whole, or its lease must have lapsed on any clock;
-//! - a new owner starts nothing of the jobs it took over before each minion of its predecessor
-//!   has answered with both its lists, or its lease must have lapsed;
-//! - an end is acknowledged only after it is kept.
+//! - [`work`]: the jobs and their tasks
+//! - [`minion`]: the minions and the runs on each
+//! - [`report`]: processes the answers of minions
+//! - [`restart`]: detects a new incarnation of a minion
+//! - [`plan`]: decides which runs to start and stop
+//! - [`place`]: selects a minion for a task
+//! - [`sequence`]: ranks the waiting jobs
+//! - [`keep`]: tracks what must be persisted before a run end may be acknowledged
+//! - [`advice`]: holds tickets
+//! - [`pace`]: throttles tasks that disturb serving tasks
+//! - [`straggler`]: finds slow minions
+//! - [`crash`]: finds tasks that crash their minions
+//! - [`idle`]: reports jobs that could run and do not
+//! - [`quota`]: limits what a workspace has running
+//! - [`permit`]: limits what may be started while the store is unavailable
+//!
+//! Three rules ensure that no task runs twice:
+//!
+//! - A run counts as ended only when its minion listed its end, confirmed a stop and no longer
+//!   lists it, terminated, or the run's lease must have expired on any clock.
+//! - A new owner starts nothing of the jobs it took over until each minion of its predecessor has
+//!   answered with both its lists, or its lease must have expired.
+//! - A run end is acknowledged only after it is persisted.
 
 pub mod advice;
 pub mod crash;
@@ -48,29 +58,30 @@
 use std::time::Duration;
 pub use work::Job;
 
-/// Run numbers left to each owner of a cell.  A new owner doesn't know the highest number that
-/// its predecessor used for a task whose minion doesn't answer; with a range of its own it
-/// never needs to.
+/// Run numbers reserved for each owner of a cell.  A new owner does not know the highest number
+/// that its predecessor used for a task whose minion does not answer, so each owner uses a range of
+/// its own.
 const RUNS_PER_GENERATION: u32 = 10_000;
 
 /// Time limits and weights of a cell.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The cell's name: its service's.
+    /// Name of the cell, which is that of its service.
     pub name: Box<str>,
-    /// Its owner's fencing token.
+    /// Fencing token of its owner.
     pub token: u64,
     /// Longest time that a minion takes to stop a run.
     pub stop_timeout: Duration,
-    /// How long an ended job is kept for its caller to ask for.
+    /// How long an ended job is retained for queries by its caller.
     pub retention: Duration,
-    /// A run without progress for this many times its estimate, and at least
-    /// [`Settings::min_stall`], is taken for hanging.  Declared times are off by a fifth and
-    /// slow minions take six times as long while progressing, so only a standstill counts.
+    /// A run without progress for this multiple of its estimate, and at least
+    /// [`Settings::min_stall`], is stalled.  Declared times are off by a fifth, and slow minions
+    /// take six times as long while still progressing, so only a run that makes no progress at all
+    /// counts.
     pub stall_factor: f64,
     /// See [`Settings::stall_factor`].
     pub min_stall: Duration,
-    /// How long a minion that failed tasks of two jobs in a row is left out; doubled each time.
+    /// First quarantine of a minion that failed tasks of two jobs in a row; doubles each time.
     pub quarantine: Duration,
 }
 
@@ -88,20 +99,20 @@
     }
 }
 
-/// How a queue's jobs are to be treated, from the configuration in force.
+/// How the jobs of a queue are treated, from the configuration in force.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queue {
     /// 0 is the most urgent.
     pub priority: u32,
-    /// Runs of a task that may fail before the job fails.
+    /// Runs of a task that may fail before its job fails.
     pub attempts: u32,
-    /// The objective is this many times the longest chain ...
+    /// The objective of a job is this multiple of its critical path ...
     pub stretch: f64,
-    /// ... and this many milliseconds more.
+    /// ... plus this many milliseconds.
     pub target_ms: u64,
-    /// Whether starts need a ticket.
+    /// Whether starting a task requires a ticket.
     pub needs_ticket: bool,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub public: bool,
 }
 
@@ -118,56 +129,56 @@
     }
 }
 
-/// The state of one service.
+/// State of one service.
 #[derive(Debug)]
 pub struct Cell {
     pub(crate) settings: Settings,
-    /// How many owners the cell had before this one.
+    /// Number of owners that the cell had before this one.
     pub(crate) generation: u32,
     pub(crate) queues: BTreeMap<Box<str>, Queue>,
     pub(crate) jobs: BTreeMap<Id, Job>,
     /// Jobs that have not ended.
     pub(crate) active_jobs: BTreeSet<Id>,
-    /// Jobs of which something is to be kept.
+    /// Jobs with changes that are not persisted.
     pub(crate) changed_jobs: BTreeSet<Id>,
     pub(crate) minions: BTreeMap<MinionId, Minion>,
-    /// When all runs were last looked at for what must stop; none while that can't wait.
+    /// When all runs were last checked for what must stop; `None` if the next plan must check.
     pub(crate) last_sweep: Option<Time>,
-    /// When it was last looked for jobs that could run and don't.
+    /// When jobs were last checked for being idle.
     pub(crate) last_idle_check: Option<Time>,
-    /// Needs for which no minion has room, in the plan being made.
+    /// Resource needs that no minion has capacity for, in the current plan.
     pub(crate) unmet_needs: place::UnmetNeeds,
-    /// When runs that the former owner started must have lapsed on minions that don't answer;
-    /// none for the first owner.
+    /// When the leases of runs that the former owner started must have expired on minions that do
+    /// not answer; `None` for the first owner.
     pub(crate) former_lease_expiry: Option<Time>,
-    /// Mean work of a queue's jobs, in core-milliseconds, learnt from those seen.
+    /// Mean work of a queue's jobs, in core-milliseconds, over the recent ones.
     pub(crate) mean_core_ms: BTreeMap<Box<str>, f64>,
-    /// What is known of steps that need tickets.
+    /// Advice on steps that need tickets.
     pub(crate) advice: BTreeMap<TaskName, advice::Advice>,
-    /// Questions to ask about them.
+    /// Advice queries to send.
     pub(crate) queries: Vec<Query>,
-    /// What was decided since the notes were last taken.
+    /// Events since they were last taken.
     pub(crate) events: Vec<Event>,
-    /// What its workspaces may have running.
+    /// Accounts of the workspaces, which limit what they have running.
     pub(crate) accounts: quota::Accounts,
-    /// Minions lost lately, to tell which losses came together.
+    /// Recently lost minions, used to detect losses with a common cause.
     pub(crate) recent_losses: Vec<crash::Loss>,
 }
 
-/// Notes held until they are taken; more are left out, as they are only for the log.
+/// Events held until they are taken.  Further ones are dropped, since they are only for the log.
 const MAX_PENDING_EVENTS: usize = 256;
 
-/// A decision that gives up or takes away something, for the log.
+/// Something that the cell decided or detected, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A run's end was taken in.
+    /// The end of a run was processed.
     Ended {
         /// The minion.
         minion: MinionId,
         /// The end.
         end: End,
     },
-    /// A run's lease must have lapsed, so it counts as over.
+    /// The lease of a run must have expired, so the run counts as ended.
     Lapsed {
         /// The minion.
         minion: MinionId,
@@ -175,10 +186,10 @@
         task: TaskName,
         /// The run's number.
         run: u32,
-        /// When the lease must have lapsed.
+        /// When the lease must have expired.
         at: Time,
     },
-    /// A run ended with its minion's life.
+    /// A run was lost with its minion's incarnation.
     Lost {
         /// The minion.
         minion: MinionId,
@@ -186,25 +197,25 @@
         task: TaskName,
         /// The run's number.
         run: u32,
-        /// Time since it was ordered.
+        /// Time since the run was ordered.
         age: Duration,
-        /// Whether its minion was ever seen to run it.
+        /// Whether its minion ever listed the run.
         listed: bool,
-        /// How many other runs ended with it.
+        /// Number of other runs lost with it.
         other_runs: usize,
     },
-    /// A minion's unplanned end, or one that may be, counts against a task that ran there.
+    /// An unplanned end of a minion, or a possible one, counts against a task that ran there.
     Suspected {
         /// The minion.
         minion: MinionId,
         /// The task.
         task: TaskName,
-        /// All points that its task has now.
+        /// The task's total points.
         points: u8,
-        /// Whether they are enough to give its job up.
+        /// Whether the points are enough to fail its job.
         given_up: bool,
     },
-    /// Its minion no longer lists a run that it had.
+    /// A minion no longer lists a run that it had.
     Vanished {
         /// The minion.
         minion: MinionId,
@@ -232,7 +243,7 @@
         /// Number of the last run end that could be acknowledged before this answer.
         acknowledged: u64,
     },
-    /// A run was found on a minion and taken over.
+    /// A run was found on a minion and adopted.
     Adopted {
         /// The minion.
         minion: MinionId,
@@ -241,58 +252,58 @@
         /// The run's number.
         run: u32,
     },
-    /// A run has stood still.
+    /// A run was stopped because it makes no progress or is far behind on a slow minion.
     Stalled {
         /// The minion.
         minion: MinionId,
         /// The task.
         task: TaskName,
-        /// Percent at which it stands.
+        /// Its progress in percent.
         percent: u8,
     },
-    /// A lasting task is moved off a leaving minion.
+    /// A long-running task is moved off a leaving minion.
     Evacuated {
         /// The minion.
         minion: MinionId,
         /// The task.
         task: TaskName,
     },
-    /// Nothing of a job runs although some minion has room for it.
+    /// No task of a job runs although some minion has capacity for one.
     Idle {
         /// The task that could run.
         task: TaskName,
-        /// Where it counts as placed.
+        /// The minion on which it counts as placed.
         placed: Option<MinionId>,
-        /// What keeps it from each minion.
+        /// What prevents a start on each minion.
         blockers: Vec<(MinionId, Blocker)>,
     },
-    /// A task waits for its workspace's limit; told once a job.
+    /// A task waits for its workspace's limit; recorded once for each job.
     Held {
         /// The task.
         task: TaskName,
         /// Its workspace.
         workspace: Box<str>,
-        /// What it needs; a gang, all that its members need.
+        /// Resources that the task needs; for a gang, the sum over its members.
         need: Resources,
-        /// Whether that is more than the whole limit.
+        /// Whether the need exceeds the whole limit.
         is_larger: bool,
-        /// What is known of the workspace.
+        /// Limit, share and usage of the workspace.
         summary: Summary,
     },
-    /// A minion gets no tasks for a while.
+    /// A minion gets no tasks for some time.
     Quarantined {
         /// The minion.
         minion: MinionId,
-        /// Until when.
+        /// When the quarantine ends.
         until: Time,
     },
 }
 
 impl Cell {
-    /// An empty cell for an owner with this many predecessors.
+    /// Creates an empty cell for an owner with `generation` predecessors.
     ///
-    /// `former_lapse` is when everything that a predecessor started must have lapsed on
-    /// minions that never answer.
+    /// `former_lease_expiry` is when the leases of everything that a predecessor started must have
+    /// expired on minions that never answer.
     pub fn new(settings: Settings, generation: u32, former_lease_expiry: Option<Time>) -> Self {
         Self {
             settings,
@@ -315,8 +326,8 @@
         }
     }
 
-    /// Takes the queues of the configuration in force.  A queue that was dropped keeps its last
-    /// policy, for the jobs accepted before.
+    /// Applies the queues of the configuration in force.  A queue that was removed keeps its last
+    /// policy for the jobs accepted before.
     pub fn configure(&mut self, queues: impl IntoIterator<Item = (Box<str>, Queue)>) {
         self.queues.extend(queues);
     }
@@ -326,9 +337,9 @@
         self.queues.get(name).cloned().unwrap_or_default()
     }
 
-    /// Takes in an accepted job; true if it was not known.
+    /// Adds an accepted job.  Returns false if it is already known.
     ///
-    /// `inherited` says that a former owner may have started tasks of it.
+    /// `inherited` tells whether a former owner may have started tasks of it.
     pub fn add_job(
         &mut self,
         id: Id,
@@ -343,7 +354,7 @@
         }
         let work = accepted.definition.work() as f64;
         let mean = self.mean_core_ms.entry(accepted.queue.clone()).or_insert(work);
-        // A twentieth of each new job: some twenty jobs are remembered, which at ten a second
+        // A weight of a twentieth averages over some twenty jobs.  At ten jobs a second this
         // follows a change of the mix within a few seconds.
         *mean += (work - *mean) * 0.05;
         let account = self.open_account(&accepted.origin, now);
@@ -353,7 +364,7 @@
         if let Some(progress) = progress {
             job.restore(progress);
         }
-        // Its last owner was lost before it knew of the crash that proves it.
+        // The last owner was lost before it learned of the crash that reached the threshold.
         if !job.state().is_final() && job.crashes_minions() {
             job.fail(now);
             self.changed_jobs.insert(id);
@@ -367,7 +378,7 @@
         true
     }
 
-    /// Takes note of a cancellation; its runs are stopped by the next plan.
+    /// Cancels a job.  The next plan stops its runs.
     pub fn cancel(&mut self, id: &Id, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if !job.state().is_final() {
@@ -378,10 +389,11 @@
         }
     }
 
-    /// What to tell a caller; none for an unknown job.
+    /// The state to report to callers; `None` for an unknown job.
     ///
-    /// An outcome is told only once it is kept: a later owner must never start again what a
-    /// caller was told to be completed.  A cancellation was kept before it came here.
+    /// An outcome is reported only once it is persisted, because a later owner must never restart a
+    /// job that a caller knows to be completed.  A cancellation is persisted before
+    /// [`Cell::cancel`] is called.
     pub fn state(&self, id: &Id) -> Option<State> {
         let job = self.jobs.get(id)?;
         let reported = match job.outcome {
@@ -391,13 +403,13 @@
         Some(reported)
     }
 
-    /// The same for a caller; none also for a job that isn't its to see.
+    /// Like [`Cell::state`], but also `None` for a job that the caller may not access.
     pub fn state_for(&self, id: &Id, caller: &Origin) -> Option<State> {
         let job = self.jobs.get(id)?;
         if caller.may_access(&job.accepted.origin) { self.state(id) } else { None }
     }
 
-    /// How many jobs of a queue wait for their first task.
+    /// Number of a queue's active jobs of which no task has been started.
     pub fn queued_jobs(&self, queue: &str) -> usize {
         let waits = |id: &&Id| {
             let job = &self.jobs[*id];
@@ -406,7 +418,7 @@
         self.active_jobs.iter().filter(waits).count()
     }
 
-    /// Takes the notes.
+    /// Takes the recorded events.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
@@ -432,8 +444,8 @@
         self.jobs.get(id)
     }
 
-    /// Whether tasks of inherited jobs may be started: nothing of them can still be running
-    /// where this owner doesn't see it.
+    /// Whether tasks of inherited jobs may be started, because no run of them can exist that this
+    /// owner does not know.
     pub fn is_takeover_complete(&self, now: Time) -> bool {
         match self.former_lease_expiry {
             None => true,
@@ -444,7 +456,7 @@
         }
     }
 
-    /// Drops jobs whose retention is over and returns them, so that their rows can go too.
+    /// Removes jobs whose retention has passed and returns them, so that their rows can be deleted.
     pub fn remove_expired_jobs(&mut self, now: Time) -> Vec<Id> {
         let retention = self.settings.retention;
         let is_expired = |job: &Job| job.ended_at.is_some_and(|at| now.since(at) > retention);
@@ -458,12 +470,12 @@
         ids
     }
 
-    /// The first number for a run of a task under this owner that is above `last`.
+    /// The lowest run number of this owner that is above `last`.
     pub(crate) fn next_run_number(&self, last: u32) -> u32 {
         (last + 1).max(self.generation * RUNS_PER_GENERATION + 1)
     }
 
-    /// Whether a task's end is still of interest.
+    /// Whether the task belongs to a known job.
     pub(crate) fn task_exists(&self, name: &TaskName) -> bool {
         self.jobs.get(&name.job).is_some_and(|job| job.flat_index(name).is_some())
     }
--- a/crates/engine/src/cell/advice.rs
+++ b/crates/engine/src/cell/advice.rs
@@ -1,8 +1,8 @@
-//! Tickets: on queues with advice, a policy outside decides which minions may run a step.
+//! Tickets, by which an external policy decides which minions may run a step of a queue with
+//! advice.
 //!
-//! The service takes a while for each minion asked about and answers one call at a time, so it is
-//! asked about as many minions as the step can use now and not about all; what it said is kept
-//! for as long as it is valid.
+//! The advice service takes time for each minion in a query and answers one query at a time, so a
+//! query names only as many minions as the step can use now.  Its answers are cached while valid.
 
 use crate::cell::Cell;
 use crate::cell::minion::MinionId;
@@ -11,32 +11,33 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Most minions in one question.  The objective of a job reckons with one call for thirty.
+/// The objective of a job allows for one advice query on thirty minions.
 const MAX_MINIONS_PER_QUERY: usize = 30;
 
-/// Minions asked about for each that is needed: about half of them are expected to do.
+/// Minions queried for each one that is needed, because about half of them are expected to be
+/// allowed.
 const QUERIED_PER_NEEDED_MINION: usize = 2;
 
-/// A ticket isn't used in the last part of its validity: the start has to arrive, too.
+/// A ticket is not used in this last part of its validity, since the start still has to arrive.
 const TICKET_EXPIRY_MARGIN: Duration = Duration::from_millis(150);
 
-/// Pause before a question that was not answered is asked again.
+/// Delay before a query that was not answered is sent again.
 const QUERY_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// What is known of a step.
+/// Advice on one step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Advice {
     /// Tickets by minion, with the end of their validity.
     tickets: BTreeMap<MinionId, (Box<str>, Time)>,
-    /// Minions that may not run it; that doesn't change.
+    /// Minions that may not run the step, which is final.
     denied: BTreeSet<MinionId>,
-    /// Whether a question is under way.
+    /// Whether a query is in progress.
     is_query_pending: bool,
-    /// It isn't asked again before.
+    /// Earliest time of the next query.
     not_before: Time,
 }
 
-/// A question to the service.
+/// A query to the advice service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
     /// The step, as the name of its first task.
@@ -61,8 +62,8 @@
         (now + TICKET_EXPIRY_MARGIN < *until).then(|| ticket.clone())
     }
 
-    /// Notes that a step has waiting tasks and no minion with a ticket and room; the next
-    /// questions ask for some.
+    /// Queues a query for tickets, for a step with waiting tasks and no minion that has both a
+    /// ticket and capacity.
     pub(crate) fn request_advice(&mut self, name: &TaskName, needed: usize, now: Time) {
         let advice = self.advice.entry(step_key(name)).or_default();
         if advice.is_query_pending || now < advice.not_before {
@@ -88,13 +89,13 @@
         }
     }
 
-    /// Takes the questions to ask.
+    /// Takes the queries to send.
     pub fn take_queries(&mut self) -> Vec<Query> {
         std::mem::take(&mut self.queries)
     }
 
-    /// Takes in an answer: those of the minions asked about that may run the step, with their
-    /// tickets, valid until `until`.
+    /// Records an answer: the queried minions that may run the step, with their tickets, valid
+    /// until `until`.
     pub fn record_advice(
         &mut self,
         query: &Query,
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Takes in that a question was not answered.
+    /// Records that a query was not answered.
     pub fn record_advice_failure(&mut self, query: &Query, now: Time) {
         if let Some(advice) = self.advice.get_mut(&query.step) {
             advice.is_query_pending = false;
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Forgets what is known of steps of jobs that are over.
+    /// Drops the advice on steps of jobs that have ended.
     pub(crate) fn remove_ended_advice(&mut self) {
         let active = &self.active_jobs;
         self.advice.retain(|step, _| active.contains(&step.job));
--- a/crates/engine/src/cell/crash.rs
+++ b/crates/engine/src/cell/crash.rs
@@ -1,16 +1,17 @@
 //! Tasks that crash the minions that start them.
 //!
-//! Such a task can't be told from its neighbours by one crash: all of them end with the minion.  Put back to wait
-//! like any other, it takes down a minion each time it is started, and the callers of all that runs there wait for
-//! their work to be begun anew.  So each unplanned end of a minion's life leaves points with the tasks that it
-//! ended, by how likely each was the cause; they are kept with the job's progress, so that a later owner
-//! goes on from them.
+//! One crash does not tell such a task from the others on its minion, since all of them end with
+//! it.  If it were simply restarted, it would take down a minion each time, and all other work
+//! there would be restarted too.  So each unplanned end of a minion adds points to the tasks that
+//! it ended, by how likely each was the cause.  The points are persisted with the job's progress,
+//! so that a later owner continues from them.
 //!
-//! Tasks with [`LIKELY_CAUSE_POINTS`] points are started apart from each other.  From [`ISOLATION_THRESHOLD`] points on a task is started with
-//! nothing else to blame beside it: on a minion where nothing was started just before, which starts nothing else
-//! until the run has outlived its [`TRIAL_PERIOD`].  At [`FAILURE_THRESHOLD`] points its job fails.  Two crashes with nothing else
-//! to blame are enough; a task that was only beside such a one, or on minions that went down together, is started
-//! again until it is done.
+//! Tasks with [`LIKELY_CAUSE_POINTS`] are started apart from each other.  From
+//! [`ISOLATION_THRESHOLD`] points a task is started in isolation: on a minion where nothing was
+//! started just before, and which starts nothing else until the run has passed its
+//! [`TRIAL_PERIOD`].  At [`FAILURE_THRESHOLD`] points its job fails.  Two crashes of which it is
+//! the sole likely cause are enough.  A task that only ran beside such a task, or on minions that
+//! failed together, is restarted until it is done.
 
 use crate::cell::minion::{Minion, MinionId, Run, RunPhase};
 use crate::cell::work::{Job, Phase, Task};
@@ -20,81 +21,82 @@
 use smallvec::{SmallVec, smallvec};
 use std::time::Duration;
 
-/// Points for a task that had outlived its trial while others, likelier causes, had not.
+/// Points for a task that had passed its trial while more likely causes had not.
 const UNLIKELY_CAUSE_POINTS: u8 = 1;
 
-/// Points for one of several likely causes, or for the only one where it isn't certain that the minion crashed or
-/// that the run had begun.
+/// Points for one of several likely causes, or for a sole one if it is uncertain whether the minion
+/// crashed or the run had started.
 const LIKELY_CAUSE_POINTS: u8 = 2;
 
-/// Points for the only likely cause of a crash.
+/// Points for the sole likely cause of a crash.
 const SOLE_CAUSE_POINTS: u8 = 4;
 
-/// Points from which on a task is started with nothing else to blame beside it.
+/// Points from which a task is started in isolation.
 const ISOLATION_THRESHOLD: u8 = 3;
 
-/// Points at which a task is given up: twice the only likely cause, or four times a likely one.  The platform's
-/// operators allow two more starts after the third crash.
+/// Points at which a task's job fails: twice the sole likely cause, or four times a likely one.
+/// The platform's operators allow two more starts after the third crash.
 const FAILURE_THRESHOLD: u8 = 8;
 
-/// How long a start may be what crashes its minion.  Minions go down some 10 ms after such a start; the rest is
-/// for orders that wait in an entry under load.
+/// How long after a start it may still be what crashes its minion.  Minions go down some 10 ms
+/// after such a start; the rest is for orders that wait in an entry under load.
 pub const TRIAL_PERIOD: Duration = Duration::from_millis(250);
 
-/// Percent done from which on a run counts as having outlived its trial: what crashes minions has hardly begun.
+/// Progress from which a run counts as past its trial, because a task that crashes minions has
+/// hardly begun when it does.
 const TRIAL_END_PERCENT: u8 = 10;
 
-/// A run that was at work for this long didn't crash the minion that started it: what was held against its
-/// task is dropped.  Lasting tasks would else collect points over weeks.
+/// A run that has been active for this long did not crash the minion that started it, so its task's
+/// points are cleared.  Otherwise long-running tasks would accumulate points over weeks.
 const SUSPICION_RESET_AFTER: Duration = Duration::from_secs(5);
 
-/// Minions that fall silent within this time of each other may have one cause.  One that idles is looked at
-/// every second and a half, and a look without an answer takes up to half a second more.
+/// Minions that become silent within this time of each other may have one cause.  An idle minion is
+/// polled every 1.5 s, and a poll without an answer takes up to 0.5 s more.
 const COMMON_CAUSE_WINDOW: Duration = Duration::from_secs(2);
 
-/// How long losses of minions are remembered: one that fell silent at the same time is judged only when its lease
-/// must have lapsed.
+/// How long losses of minions are remembered.  A minion that became silent at the same time is
+/// judged only when its lease must have expired.
 const LOSS_RETENTION: Duration = Duration::from_secs(10);
 
-/// How many of them at most.
 const MAX_RECENT_LOSSES: usize = 64;
 
-/// What is held against a task.
+/// How strongly a task is suspected of crashing its minions.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Suspicion {
     points: u8,
-    /// Whether a run of it is tried again, or was on trial when its minion fell silent, and it isn't known yet
-    /// whether that crashed.  Kept as if it had: the owner may be lost before it learns.
+    /// Whether a suspected task is about to start or on trial, or its minion became silent during a
+    /// trial, so that a crash is possible and not known yet.  Persisted as if it had crashed,
+    /// because the owner may be lost before it learns the result.
     is_crash_possible: bool,
 }
 
 impl Suspicion {
-    /// As it was kept.
+    /// The suspicion with the points that were persisted.
     pub(crate) fn from_persisted(points: u8) -> Self {
         Self { points, is_crash_possible: false }
     }
 
-    /// What is to be kept of it.
+    /// The points to persist.
     pub(crate) fn persisted_points(self) -> u8 {
         self.points.saturating_add(if self.is_crash_possible { LIKELY_CAUSE_POINTS } else { 0 })
     }
 
-    /// Whether the task is started with nothing else to blame beside it.
+    /// Whether the task must be started in isolation.
     pub(crate) fn needs_isolation(self) -> bool {
         self.points >= ISOLATION_THRESHOLD
     }
 
-    /// Whether the task is started apart from others of which that holds.
+    /// Whether the task must be started apart from other likely causes.
     pub(crate) fn is_likely_cause(self) -> bool {
         self.points >= LIKELY_CAUSE_POINTS
     }
 
-    /// Whether it is kept that a crash under it is possible.
+    /// Whether a possible crash is recorded.
     pub(crate) fn has_possible_crash(self) -> bool {
         self.is_crash_possible
     }
 
-    /// Whether its job is to be given up.
+    /// Whether the task's job must fail.
     pub(crate) fn is_conclusive(self) -> bool {
         self.points >= FAILURE_THRESHOLD
     }
@@ -104,7 +106,7 @@
     }
 }
 
-/// A minion that is gone, or silent and may be.
+/// A minion that has terminated, or is silent and may have.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Loss {
     /// Since when it doesn't answer.
@@ -113,39 +115,39 @@
     has_suspect: bool,
 }
 
-/// How sure it is that a minion crashed.
+/// How certain it is that a minion crashed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Certainty {
-    /// Another life of it is there, or its machine is known to be without it.
+    /// It has a new incarnation, or its machine is known to run without it.
     Certain,
-    /// It is silent, and may be cut off.
+    /// It is silent, and may only be disconnected.
     Possible,
 }
 
 impl Running {
-    /// How long the run has lived at least, by its age and by how far it has come.
+    /// Least time that the run has lasted, by its age and its progress.
     pub(crate) fn min_run_time(&self, age: Duration) -> Duration {
         if self.percent >= TRIAL_END_PERCENT { age.max(TRIAL_PERIOD) } else { age }
     }
 }
 
 impl Run {
-    /// Whether it may have been carried out before its minion was known to be over.
+    /// Whether it may have started before its minion was known to have terminated.
     ///
-    /// A call that is still under way then went to the minion's next life: the next life begins seconds after a
-    /// crash, and a call has failed long before.
+    /// A call that is still in progress then went to the minion's next incarnation, which begins
+    /// seconds after a crash, when a call to the former one has long failed.
     fn may_have_started(&self) -> bool {
         self.phase != RunPhase::Ordered
     }
 
-    /// Whether it has not been seen to outlive its trial.
+    /// Whether it has not been seen to pass its trial.
     pub(crate) fn is_on_trial(&self) -> bool {
         self.listed_for.is_none_or(|time| time < TRIAL_PERIOD)
     }
 }
 
 impl Minion {
-    /// Whether its end is planned: it is to be emptied, or said itself that it leaves.
+    /// Whether its end is planned: it is to be emptied, or is draining.
     fn has_planned_end(&self) -> bool {
         self.leaving || self.listing.draining
     }
@@ -155,14 +157,14 @@
         self.runs.values().any(|run| run.may_have_started() && run.is_on_trial())
     }
 
-    /// Whether a task that may crash it was started there and has not outlived its trial.
+    /// Whether a task that needs isolation is on trial there.
     pub(crate) fn runs_isolated_trial(&self) -> bool {
         self.isolated_runs > 0
             && self.runs.values().any(|run| run.suspicion.needs_isolation() && run.is_on_trial())
     }
 
-    /// Whether a likely cause of a crash may be started there: what was started just before would
-    /// be as likely a cause if the minion crashed.
+    /// Whether a likely cause of crashes may be started there.  If the minion crashed, a task that
+    /// was started just before would be as likely a cause.
     pub(crate) fn can_host_suspect(&self, suspicion: Suspicion, now: Time) -> bool {
         let is_recent = |run: &Run| now.since(run.ordered_at) < TRIAL_PERIOD;
         let is_likely = |run: &Run| run.suspicion.is_likely_cause() && run.is_on_trial();
@@ -173,7 +175,8 @@
 }
 
 impl Cell {
-    /// Takes note of what runs on a minion whose life ended, or may have: an unplanned end counts against it.
+    /// Records the runs on a minion that terminated, or may have.  An unplanned end counts against
+    /// them.
     pub(crate) fn record_loss(&mut self, minion: &Minion, certainty: Certainty, now: Time) {
         if minion.has_planned_end() || !minion.answered {
             return;
@@ -184,7 +187,7 @@
         };
         self.store_loss(loss, now);
         let suspects = self.suspects(minion);
-        // What has outlived its trial is never the only cause: minions crash for other causes, too.
+        // A run past its trial is never the sole cause, since minions crash for other reasons too.
         let is_sole = suspects.len() == 1
             && certainty == Certainty::Certain
             && loss.has_suspect
@@ -199,8 +202,8 @@
         }
     }
 
-    /// The likely causes among a minion's runs: those on trial that had crashed others before; if there is none, all
-    /// on trial and all that had.
+    /// The likely causes among a minion's runs: those on trial whose tasks already have points or,
+    /// if there are none, all on trial and all whose tasks have points.
     fn suspects(&self, minion: &Minion) -> SmallVec<[TaskName; 4]> {
         let has_record =
             |name: &TaskName| self.task(name).is_some_and(|task| task.suspicion.points > 0);
@@ -216,8 +219,9 @@
         chosen(&|name, run| run.is_on_trial() || has_record(name))
     }
 
-    /// Whether another minion fell silent at the same time that nothing started there can explain: a rack or an
-    /// availability zone may be down, and what was just started on its minions is not the cause.
+    /// Whether another minion became silent at the same time and no start there can explain it.
+    /// Then a rack or an availability zone may be down, and the latest starts on its minions are
+    /// not the cause.
     fn has_common_cause(&self, silent: Time, id: &MinionId) -> bool {
         let together = |other: Time| {
             silent.since(other) < COMMON_CAUSE_WINDOW && other.since(silent) < COMMON_CAUSE_WINDOW
@@ -239,7 +243,7 @@
         }
     }
 
-    /// Holds a crash against a task, and gives its job up when that is enough.
+    /// Adds points to a task, and fails its job when they are enough.
     fn add_suspicion(&mut self, minion: &MinionId, name: &TaskName, points: u8, now: Time) {
         let Some(job) = self.jobs.get_mut(&name.job) else { return };
         if job.state().is_final() {
@@ -253,7 +257,7 @@
         if suspicion.is_conclusive() {
             job.fail(now);
             self.active_jobs.remove(&name.job);
-            // Its other runs are stopped by the next plan.
+            // The next plan stops the job's other runs.
             self.last_sweep = None;
         }
         self.changed_jobs.insert(name.job);
@@ -265,10 +269,10 @@
         });
     }
 
-    /// Has what is on trial on a minion that fell silent kept as doubted.
+    /// Records a possible crash for the runs on trial on a minion that became silent.
     ///
-    /// Whether it crashed is known only seconds later.  An owner that is lost until then would leave no trace of the
-    /// crash, and its successor would start the task as if nothing had happened.
+    /// Whether it crashed is known only seconds later.  If the owner were lost before that, the
+    /// crash would leave no trace, and its successor would start the task like any other.
     pub(crate) fn mark_possible_crash(&mut self, id: &str) {
         let Some(minion) = self.minions.get(id).filter(|minion| !minion.has_planned_end()) else {
             return;
@@ -277,13 +281,13 @@
         self.set_possible_crash(on_trial.map(|(name, _)| *name).collect(), true);
     }
 
-    /// Drops the doubts about what runs on a minion: it answers.
+    /// Clears the possible crashes of the runs on a minion that answers.
     pub(crate) fn clear_possible_crash(&mut self, id: &str) {
         let Some(minion) = self.minions.get(id) else { return };
         self.set_possible_crash(minion.runs.keys().copied().collect(), false);
     }
 
-    /// Notes whether a crash under these tasks is possible and not yet known.
+    /// Sets whether a crash under these tasks is possible and not known yet.
     pub(crate) fn set_possible_crash(
         &mut self,
         names: SmallVec<[TaskName; 4]>,
@@ -301,8 +305,8 @@
         }
     }
 
-    /// Takes note of how long a run has lived: after its trial the doubt is over, after long all that was held
-    /// against its task.
+    /// Records how long a run has lasted.  After the trial a crash is no longer possible, and after
+    /// [`SUSPICION_RESET_AFTER`] its task's points are cleared.
     pub(crate) fn record_run_time(&mut self, id: &str, name: &TaskName) {
         let run = self.minions.get(id).and_then(|minion| minion.runs.get(name));
         let Some(time) = run.and_then(|run| run.listed_for) else { return };
@@ -320,8 +324,9 @@
         }
     }
 
-    /// Whether a likely cause of a crash may be tried: what is held against it is kept, and it is its job's next one.
-    /// A lasting task doesn't wait for others, as its users are without it.
+    /// Whether a likely cause of crashes may be started: its points are persisted, and it is the
+    /// next suspect of its job.  A long-running task does not wait for others, because its users
+    /// are without it.
     pub(crate) fn may_start_suspect(&self, job: &Job, name: &TaskName) -> bool {
         let lasting = job.accepted.definition.steps[name.step as usize].lasting;
         let guarded = job.task(name).is_some_and(|task| task.suspicion.needs_isolation());
@@ -329,11 +334,11 @@
         is_kept && (lasting || self.is_next_suspect(job, name))
     }
 
-    /// Whether a likely cause is the one of its job to be tried next: none is on trial, and none of its step that
-    /// waits is likelier.
+    /// Whether a likely cause is the next of its job to start: none is on trial, and no waiting
+    /// task of its step has more points.
     ///
-    /// A job whose tasks all crash their minions is given up with the first of them; started side by side, each would
-    /// take a minion with it once more.
+    /// A job whose tasks all crash their minions fails with the first of them.  If they were
+    /// started together, each would take down one more minion.
     fn is_next_suspect(&self, job: &Job, name: &TaskName) -> bool {
         let mut runs = self.minions.values().flat_map(|minion| &minion.runs);
         let is_tried = |run: &Run| run.suspicion.is_likely_cause() && run.is_on_trial();
--- a/crates/engine/src/cell/idle.rs
+++ b/crates/engine/src/cell/idle.rs
@@ -1,9 +1,9 @@
-//! A look at the cell itself: jobs that could run and don't.
+//! Detection of jobs that could run and do not.
 //!
-//! Every guard against starting a task where it must not start can also keep it from starting for ever.
-//! Callers then wait for a job while minions idle, and nothing else in the log tells why.  So about once
-//! a second the cell looks for a job whose turn has come, of which nothing runs, with room for its task on
-//! some minion, and notes what each guard says of each minion.
+//! Each condition that prevents an unsafe start could also prevent a start forever.  Callers would
+//! then wait for a job while minions idle, and nothing else in the log would tell why.  So about
+//! once a second the cell looks for a job that is due and has no runs although some minion has
+//! capacity for its task, and records what prevents the start on each minion.
 
 use crate::cell::minion::Minion;
 use crate::cell::work::{Job, Phase};
@@ -14,41 +14,41 @@
 use std::time::Duration;
 use strum::Display;
 
-/// Time between two looks, and for how long nothing of a job must have run.
+/// Time between two checks, and how long a job must have been without runs.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What keeps a task from a minion.
+/// What prevents a task from starting on a minion.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Blocker {
-    /// The platform's list doesn't have the minion.
+    /// The platform does not list the minion.
     Unlisted,
     /// It has not answered this owner.
     Unanswered,
-    /// It didn't answer last.
+    /// Its last call was not answered.
     Unreachable,
-    /// It restarted, and either its entry predates the restart or it hasn't answered since.
+    /// It restarted, and its entry predates the restart or it has not answered since.
     Restarted,
-    /// It says that it leaves.
+    /// It reports that it is draining.
     Draining,
     /// It is to be emptied.
     Leaving,
-    /// Its room is kept for another task.
+    /// Its capacity is reserved for another task.
     Reserved,
-    /// It gets nothing for a while, after failures.
+    /// It gets no tasks for some time, after failures.
     Quarantined,
-    /// It lacks the label, or has as many of the step's tasks as may be.
+    /// It lacks the required label, or runs the maximum number of the step's tasks.
     Unsuitable,
-    /// A task that may crash it was just started there.
+    /// A task that may crash it is on trial there.
     OnTrial,
-    /// It has no room.
+    /// It has not enough free capacity.
     Full,
-    /// None: the task could start there.
+    /// Nothing: the task could start there.
     Nothing,
 }
 
 impl Cell {
-    /// Notes one job that could run and doesn't, if there is one.
+    /// Records one idle job, if there is one.
     pub(crate) fn record_idle_job(&mut self, now: Time, wall_ms: u64) {
         if self.last_idle_check.is_some_and(|looked| now.since(looked) < IDLE_CHECK_INTERVAL)
             || !self.is_takeover_complete(now)
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The first task of a job that isn't done although its turn came some time ago.
+    /// The first unfinished task of a job that has been due for some time.
     fn idle_task(&self, id: Id, job: &Job, now: Time, wall_ms: u64) -> Option<TaskName> {
         let definition = &job.accepted.definition;
         let due = |occurrence| definition.due_ms(occurrence).is_none_or(|at| wall_ms >= at);
@@ -93,7 +93,7 @@
         None
     }
 
-    /// What keeps a task from each minion; none if no minion has room for it.
+    /// What prevents a task from starting on each minion; `None` if no minion has capacity for it.
     fn blockers(&self, name: &TaskName, now: Time) -> Option<Vec<(MinionId, Blocker)>> {
         let step = &self.jobs.get(&name.job)?.accepted.definition.steps[name.step as usize];
         let has_room = |minion: &Minion| minion.listed && minion.free().holds(&step.counted_need());
--- a/crates/engine/src/cell/keep.rs
+++ b/crates/engine/src/cell/keep.rs
@@ -1,4 +1,4 @@
-//! What is to be kept before ends may be acknowledged.
+//! Tracks what must be persisted before run ends may be acknowledged.
 
 use crate::cell::{Cell, Incarnation, Minion, MinionId};
 use crate::job::{Id, Progress};
@@ -14,24 +14,24 @@
     pub number: u64,
 }
 
-/// Progress to write in one transaction, and what may be acknowledged after it.
+/// Progress to write in one transaction, and the ends that may be acknowledged after it.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
-    /// Jobs with their progress and the number of the change that it covers.
+    /// Jobs with their progress and the number of the last change that it covers.
     pub rows: Vec<(Id, u64, Progress)>,
     /// The ends that may be acknowledged once the rows are written, one cursor per minion.
     pub ends: Vec<EndCursor>,
 }
 
 impl Minion {
-    /// Returns the position of the last end taken in.
+    /// Returns the position of the last end processed.
     fn end_cursor(&self) -> EndCursor {
         EndCursor { minion: self.id.clone(), incarnation: self.incarnation, number: self.seen }
     }
 }
 
 impl Cell {
-    /// What is to be kept now, at most `limit` jobs; none if all is kept.
+    /// The progress to persist now, of at most `limit` jobs; `None` if everything is persisted.
     pub fn unpersisted_batch(&self, limit: usize) -> Option<Batch> {
         let mut batch = Batch::default();
         let mut complete = true;
@@ -50,18 +50,18 @@
         (!batch.rows.is_empty() || !batch.ends.is_empty()).then_some(batch)
     }
 
-    /// Whether anything is to be kept.
+    /// Whether anything has to be persisted.
     pub fn has_unpersisted(&self) -> bool {
         !self.changed_jobs.is_empty() || self.minions.values().any(Minion::has_unpersisted)
     }
 
-    /// Whether a caller waits for something to be kept: a job has ended.
+    /// Whether a caller waits for the write, because a job has ended.
     pub fn is_persisting_urgent(&self) -> bool {
         let mut changed = self.changed_jobs.iter().filter_map(|id| self.jobs.get(id));
         changed.any(|job| job.outcome.is_some())
     }
 
-    /// Notes that a batch is kept.
+    /// Records that a batch is persisted.
     pub fn record_persisted(&mut self, batch: &Batch) {
         for (id, change, _) in &batch.rows {
             if let Some(job) = self.jobs.get_mut(id) {
--- a/crates/engine/src/cell/load.rs
+++ b/crates/engine/src/cell/load.rs
@@ -1,4 +1,4 @@
-//! What a cell's demand is, for deciding where machines go.
+//! The demand of a cell, used to assign machines to pools.
 
 use crate::cell::Cell;
 use crate::cell::minion::Minion;
@@ -8,20 +8,20 @@
 use crate::time::Time;
 use smallvec::SmallVec;
 
-/// Times longer that a late job's work may take than that of one that can meet its objective: late
-/// by a little or by more, its caller has lost most of its worth, and machines that come for it are
-/// taken from those whose callers have not.
+/// The work of late jobs is divided by this.  A late caller has lost most of the job's value
+/// whether the job is a little or very late, and machines for it are taken from callers that can
+/// still meet their objective.
 const LATE_WORK_DIVISOR: u64 = 4;
 
 /// [`HORIZON`] in milliseconds.
 const HORIZON_MS: u64 = HORIZON.as_millis() as u64;
 
 impl Cell {
-    /// The demand and what could be given away.
+    /// The demand, and the minions that could be released.
     ///
-    /// Tasks that may still run where this owner doesn't see it can't be started, so they ask for
-    /// nothing yet: counted, they kept 28 machines idle for the four seconds until they might,
-    /// while the pool whose turn it was had ten.
+    /// Tasks that may still run unknown to this owner cannot be started yet, so they add no demand.
+    /// When they did, 28 machines idled for the four seconds until the tasks could start, while the
+    /// pool whose turn it was had ten.
     pub fn load(&self, now: Time) -> Load {
         let mut load = Load::default();
         let takeover_complete = self.is_takeover_complete(now);
@@ -60,7 +60,7 @@
     }
 }
 
-/// A minion of average size.
+/// A minion of average capacity.
 struct AverageMinion {
     capacity: Resources,
 }
@@ -79,9 +79,9 @@
         Self { capacity }
     }
 
-    /// The cores that a task keeps from others, in thousandths: its own, or those beside the memory
-    /// or the accelerators that it takes.  By cores alone, a pool whose tasks fill the memory of its
-    /// minions with half of their cores in use asked for half of the machines that it needs.
+    /// The millicores that a task takes from others: its own, or those in proportion to the memory
+    /// or the accelerators that it takes.  With its own alone, a pool whose tasks fill the memory
+    /// of its minions and use half of their cores asked for half of the machines that it needs.
     fn equivalent_cores(&self, need: &Resources) -> u64 {
         let cpu_share = |part: u64, whole: u64| (part * self.capacity.cpu).checked_div(whole);
         let memory = cpu_share(need.memory_mb, self.capacity.memory_mb).unwrap_or(0);
@@ -90,7 +90,7 @@
     }
 }
 
-/// Minions that a job's lasting tasks need at least.
+/// Minimum number of minions that a job's long-running tasks need.
 fn min_minions(job: &Job) -> usize {
     let steps = job.accepted.definition.steps.iter().filter(|step| step.lasting);
     let needed = |step: &crate::job::Step| {
@@ -101,10 +101,11 @@
 
 /// Core-milliseconds of a job's waiting tasks that more machines could work on within the horizon.
 ///
-/// A task uses no more than its own cores however much work it is, and steps that wait for others run
-/// where those ran: only the widest of them asks for more than its job has already.  With all that
-/// waits counted in full, a queue of long tasks in two steps asked for 1,400 machines where 500 of its
-/// 950 idled, and the callers of the next turn had 46 machines of the 740 that they needed.
+/// A task uses no more than its own cores however much work it is, and steps that wait for others
+/// run where those ran, so only the widest of them adds to what its job already has.  When all
+/// waiting work counted in full, a queue of long tasks in two steps asked for 1,400 machines where
+/// 500 of its 950 idled, and the callers of the next turn had 46 machines of the 740 that they
+/// needed.
 fn waiting_work(job: &Job, average: &AverageMinion) -> u64 {
     let definition = &job.accepted.definition;
     let mut running = 0;
@@ -116,7 +117,8 @@
         }
         let (occurrence, number, _) = job.position_of(flat as u32);
         let step = &definition.steps[number as usize];
-        // A lasting task needs its cores for good: as if it had work for the horizon.
+        // A long-running task needs its cores permanently, so it counts with work for the whole
+        // horizon.
         let ms = if step.lasting { HORIZON_MS } else { step.estimate_ms.min(HORIZON_MS) };
         let work = average.equivalent_cores(&step.need) * ms / 1000;
         if task.phase != Phase::Waiting {
--- a/crates/engine/src/cell/minion.rs
+++ b/crates/engine/src/cell/minion.rs
@@ -1,4 +1,4 @@
-//! A minion and what runs on it.
+//! A minion and the runs on it.
 
 use crate::cell::crash::Suspicion;
 use crate::cell::quota::Charge;
@@ -37,38 +37,38 @@
     }
 }
 
-/// A minion as the platform's list has it.
+/// A minion as listed by the platform.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Listing {
     /// Incarnation that wrote the entry, if the entry contains one.
     pub incarnation: Option<Incarnation>,
-    /// What it can hold.
+    /// Its resources.
     pub capacity: Resources,
     /// Its kind and its rack.
     pub labels: SmallVec<[Box<str>; 2]>,
-    /// Whether it will leave by itself.
+    /// Whether it is about to leave by itself.
     pub draining: bool,
-    /// While draining, the least time that is left.
+    /// While draining, the least time until it leaves.
     pub remaining_ms: Option<u64>,
 }
 
-/// How far a run has come, as its owner knows.
+/// State of a run as known to its owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunPhase {
-    /// Its start was ordered and is being waited for.
+    /// Its start was ordered and has not been answered.
     Ordered,
-    /// Its start was not answered in time: it may run, or begin later.
+    /// Its start was not answered in time: it may run, or start later.
     Unanswered {
-        /// When the wait was given up.
+        /// When the start timed out.
         since: Time,
     },
-    /// Its minion has it.
+    /// Its minion runs it.
     Active,
-    /// It is to be stopped; `confirmed` is when the minion answered the stop.
+    /// It is to be stopped.
     Stopping {
         /// When the stop was last ordered.
         ordered: Time,
-        /// When the minion answered it.
+        /// When the minion confirmed the stop.
         confirmed: Option<Time>,
     },
 }
@@ -76,41 +76,42 @@
 /// A run of a task on a minion.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Its number.
+    /// Its run number.
     pub number: u32,
-    /// How far it has come.
+    /// Its state.
     pub phase: RunPhase,
-    /// What it takes of the capacity.
+    /// What it takes of the minion's capacity.
     pub need: Resources,
-    /// What it takes of its workspace's limit; none where nothing limits it.
+    /// What it takes of its workspace's limit; `None` if nothing limits it.
     pub charge: Option<Charge>,
-    /// Whether its task is a lasting one.
+    /// Whether its task is a long-running one.
     pub long_running: bool,
     /// When it was ordered.
     pub ordered_at: Time,
-    /// Whether its task only fills.
+    /// Whether its task is a best-effort one.
     pub best_effort: bool,
-    /// For a serving task the tail of its response times in milliseconds, as last reported; for
-    /// others the processor time in use.
+    /// For a serving task the last reported tail latency in milliseconds; for others the processor
+    /// time in use.
     pub load: Option<u64>,
-    /// Percent at which it is let work, and since when.
+    /// Percentage of its full speed at which it may run.
     pub pace_percent: u8,
-    /// See [`Run::pace_percent`].
+    /// When [`Run::pace_percent`] was last changed.
     pub pace_changed_at: Time,
-    /// Percent of its work that is done; for lasting tasks, 100 means at work.
+    /// Progress in percent; for long-running tasks, 100 means active.
     pub percent: u8,
-    /// When the percentage last changed.
+    /// When the progress last changed.
     pub progressed_at: Time,
-    /// Whether its minion ever said that it has it.  A start without an answer may have come to one that was gone.
+    /// Whether its minion ever confirmed the start or listed the run.  A start without an answer
+    /// may have reached a minion that had already terminated.
     pub is_start_confirmed: bool,
-    /// How long after its order its minion last listed it as running; none if it never did.
+    /// How long after its order its minion last listed it as running; `None` if it never did.
     pub listed_for: Option<Duration>,
-    /// What was held against its task when it was ordered.
+    /// The suspicion of its task when it was ordered.
     pub suspicion: Suspicion,
 }
 
 impl Run {
-    /// A run that is just ordered, of a task of this step.
+    /// Creates a run of a task of `step` that was just ordered.
     pub(crate) fn new(number: u32, phase: RunPhase, step: Option<&Step>, now: Time) -> Self {
         Self {
             number,
@@ -137,13 +138,13 @@
 pub struct Minion {
     /// Its id.
     pub id: MinionId,
-    /// As listed last.
+    /// Its latest listing.
     pub listing: Listing,
-    /// Whether the platform's list still has it.
+    /// Whether the platform still lists it.
     pub listed: bool,
     /// Whether its machine is due for maintenance or a move, so that it is to be emptied.
     pub leaving: bool,
-    /// Whether a former owner may have started something there.
+    /// Whether a former owner may have started tasks there.
     pub inherited: bool,
     /// Whether it has answered this owner.
     pub answered: bool,
@@ -151,31 +152,31 @@
     pub incarnation: Option<Incarnation>,
     /// Previous incarnations, oldest first.
     pub(crate) former_incarnations: SmallVec<[Incarnation; restart::MAX_FORMER_INCARNATIONS]>,
-    /// When it last told what runs there.
+    /// When it last reported what runs there.
     pub reported_at: Time,
-    /// Since when calls go unanswered; none while it answers.
+    /// Since when calls go unanswered; `None` while it answers.
     pub(crate) silent_since: Option<Time>,
-    /// When all leases that it may have been given must have lapsed, on any clock.
+    /// When all leases that it may have been given must have expired, on any clock.
     pub lease_expiry: Time,
     pub(crate) runs: BTreeMap<TaskName, Run>,
     pub(crate) used: Resources,
-    /// How many of the runs are of lasting tasks.
+    /// Number of runs of long-running tasks.
     pub(crate) long_running_count: usize,
-    /// How many of the runs are of tasks that may crash it.
+    /// Number of runs of tasks that need isolation.
     pub(crate) isolated_runs: usize,
-    /// Whether its room is kept for a task that found none, in the plan being made.
+    /// Whether its capacity is reserved for a task that found none, in the current plan.
     pub(crate) reserved: bool,
-    /// Number of the last end taken in.
+    /// Number of the last run end processed.
     pub(crate) seen: u64,
-    /// Number of the last end that may be acknowledged.
+    /// Number of the last run end that may be acknowledged.
     pub(crate) acknowledged: u64,
     /// Jobs whose tasks failed here since the last success.
     pub(crate) failing_jobs: BTreeSet<crate::job::Id>,
-    /// Jobs whose tasks were slow here since one was swift.
+    /// Jobs whose tasks were slow here since one was fast.
     pub(crate) slow_jobs: BTreeSet<crate::job::Id>,
-    /// Quarantines in a row.
+    /// Number of quarantines in a row.
     pub(crate) quarantine_count: u32,
-    /// No tasks are started before.
+    /// No tasks are started before this time.
     pub(crate) quarantined_until: Time,
 }
 
@@ -212,12 +213,12 @@
         self.answered && self.silent_since.is_none()
     }
 
-    /// What is free, as far as known.
+    /// Its free capacity, as far as known.
     pub fn free(&self) -> Resources {
         self.listing.capacity.less(&self.used)
     }
 
-    /// What is free once all that ends by itself has ended.
+    /// Its free capacity once all runs that end by themselves have ended.
     pub(crate) fn free_after_ending_runs(&self) -> Resources {
         let lasting = self.runs.values().filter(|run| run.long_running);
         let used = lasting.fold(Resources::default(), |sum, run| sum.plus(&run.need));
@@ -229,17 +230,17 @@
         self.runs.is_empty()
     }
 
-    /// Up to which end it may forget.
+    /// Number of the last run end that may be acknowledged, so that the minion can forget it.
     pub fn acknowledged(&self) -> u64 {
         self.acknowledged
     }
 
-    /// Whether some ends were taken in and may not be acknowledged yet.
+    /// Whether some processed ends may not be acknowledged yet.
     pub fn has_unpersisted(&self) -> bool {
         self.seen > self.acknowledged
     }
 
-    /// The rack, by the listing's second label.
+    /// Its rack, which is the second label of its listing.
     pub fn rack(&self) -> Option<&str> {
         self.listing.labels.get(1).map(|label| &**label)
     }
@@ -249,11 +250,11 @@
         !self.leaving && self.is_usable(now)
     }
 
-    /// Whether it can be given a lasting task that finds no room elsewhere, although it is to be
+    /// Whether it can be given a long-running task that fits nowhere else, although it is to be
     /// emptied.
     ///
-    /// One that is empty may be ordered down at any moment, and is never filled again.  One that
-    /// isn't can't be before this owner has said that it is.
+    /// An empty one may be ordered to shut down at any moment, so it never gets tasks again.  One
+    /// with runs is not shut down before this owner has reported it as empty.
     pub(crate) fn is_fallback(&self, now: Time) -> bool {
         self.leaving && !self.is_empty() && self.is_usable(now)
     }
@@ -285,7 +286,7 @@
         Some(run)
     }
 
-    /// Takes all runs out.
+    /// Takes all runs.
     pub(crate) fn take_runs(&mut self) -> BTreeMap<TaskName, Run> {
         self.used = Resources::default();
         self.long_running_count = 0;
--- a/crates/engine/src/cell/pace.rs
+++ b/crates/engine/src/cell/pace.rs
@@ -1,46 +1,47 @@
-//! Keeping tasks that fill out of the way of tasks that serve.
+//! Throttling of best-effort tasks that disturb serving tasks.
 //!
-//! The pattern it answers: tasks of one minion share more than its room indicates, and those that
-//! fill lengthen the response times of those that serve by amounts that differ by image and
-//! change within seconds.  So nothing is computed ahead: the tail that a serving task reports is
-//! compared with its target, the tasks beside it are slowed down at once, and let go on slowly.
+//! Tasks on one minion share more than its capacity shows.  Best-effort tasks lengthen the response
+//! times of serving tasks by amounts that differ by image and change within seconds, so nothing is
+//! computed in advance.  Instead, the tail latency that a serving task reports is compared with its
+//! target; the best-effort tasks on its minion are slowed down at once and sped up gradually.
 
 use crate::cell::minion::{Minion, RunPhase};
 use crate::cell::{Cell, Order};
 use crate::time::Time;
 use std::time::Duration;
 
-/// Share of the target, in percent, from which on the tasks beside are slowed down.  The report
-/// is a rough figure for the last half second, so some room to the target is kept.
+/// Share of the target, in percent, from which best-effort tasks are slowed down.  The report is a
+/// rough figure for the last half second, so some margin to the target is kept.
 const SLOW_DOWN_FROM_PERCENT: u64 = 80;
 
-/// Share of the target below which they are let go on.
+/// Share of the target, in percent, below which best-effort tasks are sped up.
 const SPEED_UP_BELOW_PERCENT: u64 = 55;
 
-/// Time between two steps down: the report's half second and the time until a pace holds.
+/// Time between two slowdowns: the half second covered by a report, and the time until a pace takes
+/// effect.
 const SLOW_DOWN_INTERVAL: Duration = Duration::from_millis(600);
 
-/// Time between two steps up; slower, as a target that is missed costs more than a task that
-/// fills gains.
+/// Time between two increases.  It is longer than [`SLOW_DOWN_INTERVAL`], since missing a target
+/// costs more than a best-effort task gains.
 const SPEED_UP_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Percent gained with a step up.
+/// Percentage points added by one increase.
 const SPEED_UP_STEP_PERCENT: u8 = 15;
 
-/// What a minion's serving tasks say of the tasks beside them.
+/// How to change the pace of best-effort tasks on a minion.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Adjustment {
-    /// Over the target: stop them.
+    /// Over the target: pause them.
     Pause,
     /// Close to the target: slow them down.
     SlowDown,
-    /// Far below: let them go on.
+    /// Far below the target: speed them up.
     SpeedUp,
-    /// Leave them.
+    /// Keep their pace.
     Keep,
 }
 
-/// Judges the worst tail against its target, in percent of it.
+/// The adjustment for the worst tail latency, in percent of its target.
 fn adjustment(worst: u64) -> Adjustment {
     match worst {
         worst if worst >= 100 => Adjustment::Pause,
@@ -50,7 +51,7 @@
     }
 }
 
-/// The next pace of a task that fills.
+/// The next pace of a best-effort task, in percent.
 fn next_pace(pace: u8, verdict: Adjustment) -> u8 {
     match verdict {
         Adjustment::Pause => 0,
@@ -60,7 +61,8 @@
     }
 }
 
-/// The worst tail of a minion's serving tasks, in percent of its target; none without any.
+/// The worst tail latency of a minion's serving tasks, in percent of its target; `None` if it runs
+/// none with a target.
 fn worst_tail_percent(cell: &Cell, minion: &Minion) -> Option<u64> {
     let share = |(task, run): (&crate::job::TaskName, &crate::cell::minion::Run)| {
         let job = cell.jobs.get(&task.job)?;
@@ -72,14 +74,14 @@
 }
 
 impl Cell {
-    /// Decides the pace of the tasks that fill.
+    /// Adjusts the pace of best-effort tasks.
     pub(crate) fn adjust_paces(&mut self, now: Time, orders: &mut Vec<Order>) {
         let verdicts: Vec<_> = self
             .minions
             .values()
             .filter(|minion| minion.runs.values().any(|run| run.best_effort))
             .map(|minion| {
-                // Without a serving task nobody is disturbed.
+                // Without a serving task, nothing is disturbed.
                 let verdict =
                     worst_tail_percent(self, minion).map_or(Adjustment::SpeedUp, adjustment);
                 (minion.id.clone(), verdict)
@@ -104,11 +106,11 @@
         }
     }
 
-    /// Takes in that a pace was not taken over, so that it is ordered again.
+    /// Records that a pace was not applied, so that it is ordered again.
     pub fn record_pace_failure(&mut self, id: &str, task: &crate::job::TaskName, number: u32) {
         let Some(minion) = self.minions.get_mut(id) else { return };
         if let Some(run) = minion.runs.get_mut(task).filter(|run| run.number == number) {
-            // Whatever it is, it isn't known to be slowed down.
+            // The actual pace is unknown, so it is assumed not to be slowed down.
             run.pace_percent = 100;
             run.pace_changed_at = Time(0);
             self.last_sweep = None;
--- a/crates/engine/src/cell/permit.rs
+++ b/crates/engine/src/cell/permit.rs
@@ -1,16 +1,18 @@
-//! What an owner may start, by how long ago it last proved that the cell is its own.
+//! What an owner may start, by how long ago it last proved that it owns the cell.
 //!
-//! The pattern it answers: the store is away for some seconds.  Nobody can prove anything then, so nobody
-//! may take the cell over either, but the owner can't know whether the store is away for all or for it alone.
-//! Starting nothing from 1 s on, it left accepted jobs standing between two of their steps, for two of the
-//! three seconds of an outage and longer in longer ones.
+//! While the store is unavailable, no entry can prove ownership or take the cell over, but the
+//! owner cannot tell whether the store is unavailable to all or only to itself.  When an owner
+//! started nothing from 1 s without proof, accepted jobs stood still between two of their steps for
+//! two of the three seconds of an outage, and for longer in longer ones.
 //!
-//! A successor can take the cell over from some silence on, and then starts nothing of what was accepted
-//! before until every minion of its predecessor has answered it or its leases must have lapsed.  So
-//! a task that was never started may be started for as long as leases may be extended: the successor finds
-//! it where it runs, or waits for its lapse.  A task that was started before may not: its earlier run may have been
-//! adopted by the successor while this owner sees it lapse.  Nor may one of a job that came to
-//! be known later: it may have been accepted after the takeover, and the successor doesn't wait for it.
+//! A successor can take the cell over after a certain silence.  It then starts nothing of the jobs
+//! accepted before until every minion of its predecessor has answered it or the minion's leases
+//! must have expired.  So a task that was never started may be started for as long as leases may be
+//! extended: the successor finds it where it runs, or waits until its lease has expired.  A task
+//! that was started before may not, because the successor may have adopted its earlier run while
+//! this owner considers the run's lease expired.  Nor may a task of a job that became known later,
+//! because the job may have been accepted after the takeover, and the successor does not wait for
+//! it.
 
 use crate::cell::Job;
 use crate::cell::work::Task;
@@ -19,11 +21,11 @@
 /// What may be started.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Permit {
-    /// Everything: nobody can have taken the cell over.
+    /// Everything, since no other entry can have taken the cell over.
     All,
-    /// Tasks that were never started, of jobs known by then.
+    /// Tasks that were never started, of jobs known by `known_by`.
     NeverStarted {
-        /// The last moment at which the cell was certainly this owner's.
+        /// The last time at which this owner certainly owned the cell.
         known_by: Time,
     },
     /// Nothing.
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Whether a task of such a job may be started.
+    /// Whether a task of a job that [`Permit::covers`] may be started.
     pub(crate) fn covers_task(&self, task: &Task) -> bool {
         match self {
             Permit::All => true,
--- a/crates/engine/src/cell/place.rs
+++ b/crates/engine/src/cell/place.rs
@@ -1,4 +1,4 @@
-//! Finding a minion for a task.
+//! Selection of minions for tasks.
 
 use crate::cell::minion::{Minion, MinionId};
 use crate::cell::work::{Phase, Task};
@@ -9,49 +9,50 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Penalties of a placement, in thousandths of a core of free room that would outweigh them.
-/// First not where the task failed, then near its data, then on a minion that didn't fail others
-/// lately, then where the least room is left over: of these only the order matters.  The two for
-/// lasting tasks are weighed against each other.
+/// Penalties of a placement, in millicores of free capacity that would outweigh them.  Placement
+/// avoids first the minion where the task failed, then racks without its data, then minions that
+/// failed other tasks recently, then minions with more free capacity; for these only the order
+/// matters.  The two penalties for long-running tasks are weighed against each other.
 mod penalty {
-    /// Where the task's last run failed.
+    /// The task's last run failed there.
     pub(super) const FAILED_TASK: u64 = 1_000_000_000;
-    /// Away from the rack with its data.
+    /// The minion is not in the rack with the task's data.
     pub(super) const REMOTE_DATA: u64 = 10_000_000;
-    /// Lasting: each task of the same step that is there.  Two of them go together before a
-    /// further minion is kept from moving, a third doesn't: with a minion lost, its users lose a
-    /// part of their service, and tasks that have to leave one after the other can go.
+    /// For long-running tasks: each task of the same step on the minion.  Two of them may share a
+    /// minion to leave another one free to be moved, a third may not: when a minion is lost, the
+    /// users lose only a part of the service, and tasks that have to leave one after the other can
+    /// do so.
     pub(super) const SAME_STEP: u64 = 250_000;
-    /// Most tasks of the same step that count, so that they weigh less than a failure.
+    /// Maximum number of tasks of the same step that count, so that they weigh less than a failure.
     pub(super) const MAX_SAME_STEP_TASKS: u32 = 3;
-    /// Lasting: where no other lasting task is.
+    /// For long-running tasks: no other long-running task runs there.
     pub(super) const NO_LONG_RUNNING_TASK: u64 = 400_000;
-    /// A failure there since its last success, or slowness.
+    /// The minion is slow, or failed a task since its last success.
     pub(super) const UNRELIABLE_MINION: u64 = 1_000_000;
 }
 
-/// How long a lasting task waits for room before it goes to a minion that is being emptied.
-/// Most ending tasks take about a second, so most room that is to come has come by then; its
-/// users notice its absence after some 3 s, of which a start takes up to one.
+/// How long a long-running task waits for capacity before it may be placed on a minion that is
+/// being emptied.  Most other tasks take about a second, so most capacity that becomes free has
+/// done so by then.  Its users notice its absence after some 3 s, of which a start takes up to one.
 const FALLBACK_DELAY: Duration = Duration::from_millis(1500);
 
-/// Needs for which no minion has room, in one plan.
+/// Resource needs that no minion has capacity for, in one plan.
 ///
-/// At a turn's peak hundreds of jobs wait for a pool that is full, and the owner plans after each end.
-/// Room only shrinks while a plan is made, so what found none leaves none for anything as large; without
-/// this every plan looked for each waiting job at every minion.  A plan for 85 minions and 400 jobs takes
-/// three quarters of the time with it (0.75 ms of a core for 1.0 ms, `cargo bench --bench owner`), on
-/// instances with an eighth to half of a core.
+/// At peak load hundreds of jobs wait for a pool that is full, and the owner plans after each run
+/// end.  Capacity only shrinks while a plan is made, so a need that found none rules out every need
+/// at least as large.  Without this, every plan checked all minions for each waiting job.  It
+/// reduces a plan for 85 minions and 400 jobs from 1.0 ms to 0.75 ms of a core (`cargo bench
+/// --bench owner`), on instances with an eighth to half of a core.
 #[derive(Debug, Default)]
 pub(crate) struct UnmetNeeds(SmallVec<[Resources; 8]>);
 
 impl UnmetNeeds {
-    /// Forgets all, for the next plan.
+    /// Removes all needs, for the next plan.
     pub(crate) fn clear(&mut self) {
         self.0.clear();
     }
 
-    /// Notes that no minion has room for a need.
+    /// Records that no minion has capacity for a need.
     pub(crate) fn add(&mut self, need: Resources) {
         if !self.covers(&need) {
             self.0.retain(|known| !known.holds(&need));
@@ -59,17 +60,19 @@
         }
     }
 
-    /// Whether it is known that no minion has room for a need.
+    /// Whether a need is known to exceed the free capacity of every minion.
     pub(crate) fn covers(&self, need: &Resources) -> bool {
         self.0.iter().any(|known| need.holds(known))
     }
 }
 
-/// Tasks of a step on each minion, for steps with a limit per minion and lasting ones.
+/// Number of tasks of a step on each minion, for long-running steps and those with a limit per
+/// minion.
 pub(crate) type Spread = BTreeMap<MinionId, u32>;
 
 impl Cell {
-    /// Tasks of a step of one occurrence by minion, those included that are being stopped.
+    /// Counts the tasks of a step of one occurrence by minion, including those that are being
+    /// stopped.
     pub(crate) fn spread(&self, name: &TaskName) -> Spread {
         let mut spread = Spread::new();
         for minion in self.minions.values() {
@@ -83,7 +86,7 @@
         spread
     }
 
-    /// The best minion with room for a task; none if there is none now.
+    /// The best minion with capacity for a task; `None` if there is none now.
     pub(crate) fn find_minion(
         &self,
         step: &Step,
@@ -96,11 +99,11 @@
         self.find_among(step, task, spread, may_run)
     }
 
-    /// A minion that is being emptied, for a lasting task that has waited in vain.
+    /// A minion that is being emptied, for a long-running task that found no other.
     ///
-    /// While a wave empties most minions of a pool, the rest may have no room for long: the task
-    /// would stay away although its former minion has room, and while it is away no other task of
-    /// its step may leave, so that the wave would stand still, too.
+    /// While a wave empties most minions of a pool, the others may be full for a long time.  The
+    /// task would stay stopped although its former minion has capacity, and until it runs again no
+    /// other task of its step may be moved, so that the wave would be blocked too.
     pub(crate) fn find_fallback(
         &self,
         step: &Step,
@@ -131,8 +134,8 @@
             .map(|minion| minion.id.clone())
     }
 
-    /// The minion on which a task without room fits soonest: the one with most room among those
-    /// where it fits once all that ends by itself has ended.
+    /// The minion on which a task without capacity fits soonest: among those where it fits once all
+    /// runs that end by themselves have ended, the one with the most free capacity.
     pub(crate) fn find_reservation(
         &self,
         step: &Step,
@@ -149,7 +152,8 @@
             .map(|minion| minion.id.clone())
     }
 
-    /// Minions for all members of a gang, by index; none if not all have room now.
+    /// Minions for all members of a gang, by index; `None` if there is no capacity for all of them
+    /// now.
     pub(crate) fn find_gang(
         &self,
         job: &Job,
@@ -162,7 +166,7 @@
             let mut racks: Vec<&str> = self.minions.values().filter_map(Minion::rack).collect();
             racks.sort_unstable();
             racks.dedup();
-            // The rack with the data first, then by name.
+            // The rack with the data comes first, then order by name.
             racks.sort_by_key(|rack| step.near.as_deref() != Some(*rack));
             let in_rack = racks
                 .into_iter()
@@ -214,7 +218,7 @@
         Some(places)
     }
 
-    /// Whether every task of a step waits, as a gang must before it starts.
+    /// Whether every task of a step waits, as required to start a gang.
     pub(crate) fn all_wait(&self, job: &Job, name: &TaskName, step: &Step) -> bool {
         (0..step.count).all(|index| {
             job.task(&TaskName { index, ..*name }).is_some_and(|task| task.phase == Phase::Waiting)
@@ -226,7 +230,7 @@
     is_suitable(minion, step, spread) && minion.free().holds(need)
 }
 
-/// Whether a step's tasks may run on a minion, room apart.
+/// Whether a step's tasks may run on a minion, regardless of free capacity.
 pub(crate) fn is_suitable(minion: &Minion, step: &Step, spread: &Spread) -> bool {
     let labelled = step
         .requires
@@ -246,8 +250,8 @@
 ) -> u64 {
     let mut cost = minion.free().cpu - need.cpu.min(minion.free().cpu);
     if step.lasting {
-        // Lasting tasks of different jobs go together: their minions can't be given to another
-        // pool and have to be evacuated for maintenance, so they should be few.
+        // Long-running tasks of different jobs share minions: these cannot be given to another pool
+        // and have to be evacuated for maintenance, so there should be few of them.
         let same_step =
             spread.get(&minion.id).copied().unwrap_or(0).min(penalty::MAX_SAME_STEP_TASKS);
         cost = minion.free().cpu
@@ -255,11 +259,11 @@
             + penalty::SAME_STEP * u64::from(same_step);
     }
     if step.fills {
-        // What fills goes where most is unused, and not beside serving tasks.
+        // Best-effort tasks go where most capacity is unused, away from serving tasks.
         cost = minion.used.cpu + penalty::NO_LONG_RUNNING_TASK * minion.long_running_count as u64;
     }
     if task.suspicion.needs_isolation() {
-        // Where the least would be lost with it.
+        // Where the fewest other tasks would be lost with it.
         cost = minion.used.cpu + penalty::NO_LONG_RUNNING_TASK * minion.long_running_count as u64;
     }
     if task.avoid.as_ref() == Some(&minion.id) {
--- a/crates/engine/src/cell/plan.rs
+++ b/crates/engine/src/cell/plan.rs
@@ -1,4 +1,4 @@
-//! What is started and stopped now.
+//! Decides which runs to start and stop.
 
 use crate::cell::crash::Certainty;
 use crate::cell::minion::{Minion, MinionId, Run, RunPhase};
@@ -10,26 +10,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after which an unanswered stop is ordered again: two round trips of the slowest link
-/// and a slow answer.
+/// Time after which an unanswered stop is sent again: two round trips of the slowest link and a
+/// slow answer.
 const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How long a look is waited for that tells what became of an unanswered start, before it is stopped
-/// unseen: the look is sent at once and repeated once.
+/// How long to wait for a poll that shows the result of an unanswered start, before the run is
+/// stopped without it.  The poll is sent at once and repeated once.
 ///
-/// Most starts without an answer were carried out, and only the answer was lost or late.  Stopped at
-/// once, the work was thrown away, and where a lasting task was at work by then, its users lost it while
-/// others of its step were away: on an entry with a thin link 117 times in a minute.
+/// Most unanswered starts were carried out, and only the answer was lost or late.  Stopping them at
+/// once lost their work.  Where a long-running task was already active, its users lost it while
+/// other tasks of its step were unavailable: 117 times in a minute on an entry with a slow link.
 const UNANSWERED_START_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Time between two looks at all runs for what must stop or slow down, where nothing says that something
-/// must at once.  At a turn's peak plans follow each other by milliseconds, and a cell has a thousand
-/// runs; the shortest of the waits that are looked for is ten times this.  It saves two fifths of a plan's
-/// time at 85 minions and 400 jobs (0.46 ms for 0.75 ms, the owner bench).
+/// Time between two checks of all runs for what must stop or slow down, unless an event requires
+/// one at once.  At peak load plans follow each other within milliseconds and a cell has a thousand
+/// runs, while the shortest timeout checked is ten times this.  It saves two fifths of a plan's
+/// time at 85 minions and 400 jobs (0.46 ms instead of 0.75 ms, `cargo bench --bench owner`).
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// With less than this left, a leaving minion's lasting tasks go whatever their step may miss:
-/// they end with it in any case.
+/// With less time than this left, a draining minion's long-running tasks are moved whatever their
+/// step's allowance, since they end with it in any case.
 const FORCED_EVACUATION_MS: u64 = 1200;
 
 /// An order to a minion.
@@ -45,16 +45,17 @@
         run: u32,
         /// Whether no run of the task was started before.
         first: bool,
-        /// Whether its task may crash its minion, so that it is to be looked at when its trial is over.
+        /// Whether the task may crash its minion, so that the minion is to be polled when the trial
+        /// ends.
         suspected: bool,
-        /// Passed on from the definition.
+        /// The task's specification, passed on from the definition.
         spec: Arc<str>,
-        /// Where to resume.
+        /// Checkpoint to resume from.
         checkpoint: Option<Box<str>>,
-        /// The leave to run it there, where the queue needs one.
+        /// Permission to run the task there, if the queue needs one.
         ticket: Option<Box<str>>,
     },
-    /// Let a run work only at a share of its pace.
+    /// Limit the speed of a run.
     Pace {
         /// The minion.
         minion: MinionId,
@@ -62,10 +63,10 @@
         task: TaskName,
         /// The run's number.
         run: u32,
-        /// The share in percent.
+        /// Percentage of full speed.
         percent: u8,
     },
-    /// Stop a run, or make sure that it never starts.
+    /// Stop a run, or ensure that it never starts.
     Stop {
         /// The minion.
         minion: MinionId,
@@ -77,8 +78,8 @@
 }
 
 impl Cell {
-    /// Decides what to order now.  `wall_ms` is the time of day in milliseconds since 1970, for
-    /// scheduled occurrences.  Nothing is moved unless everything may be started.
+    /// Returns the orders to send now.  `wall_ms` is the wall-clock time in milliseconds since the
+    /// Unix epoch, for scheduled occurrences.  Tasks are moved only with [`Permit::All`].
     pub fn plan(&mut self, now: Time, wall_ms: u64, permit: Permit) -> Vec<Order> {
         let mut orders = Vec::new();
         self.expire_leases(now);
@@ -100,8 +101,8 @@
         orders
     }
 
-    /// Gives up all runs of minions whose leases must have lapsed, and forgets such minions
-    /// once they are no longer listed.
+    /// Requeues the tasks of all runs on minions whose leases must have expired, and removes such
+    /// minions once they are unlisted.
     fn expire_leases(&mut self, now: Time) {
         let is_expired = |minion: &&crate::cell::Minion| {
             let may_expire = minion.answered
@@ -129,7 +130,8 @@
         }
     }
 
-    /// Stops runs of jobs that have ended, and repeats stops that were not answered.
+    /// Stops runs of jobs that have ended and of starts that stayed unanswered, and repeats stops
+    /// that had no effect.
     fn stop_unwanted(&mut self, now: Time, orders: &mut Vec<Order>) {
         let jobs = &self.jobs;
         for minion in self.minions.values_mut() {
@@ -141,7 +143,8 @@
                         ended || now.since(since) >= UNANSWERED_START_TIMEOUT
                     }
                     RunPhase::Stopping { ordered, confirmed } => {
-                        // A confirmed stop that its minion still lists long after is repeated.
+                        // A confirmed stop is repeated if the minion still lists the run long
+                        // after.
                         let retry_after = confirmed
                             .map_or(STOP_RETRY_INTERVAL, |_| self.settings.stop_timeout * 2);
                         now.since(ordered) >= retry_after.max(STOP_RETRY_INTERVAL)
@@ -154,12 +157,12 @@
         }
     }
 
-    /// Stops the members of gangs of which others are not there.
+    /// Stops the members of gangs that have other members without a run.
     ///
-    /// A member whose start was refused or not answered leaves the others waiting for it: they
-    /// would hold their cores until they give up, seconds later, and the gang is tried again only
-    /// then.  A new owner may still find the missing ones, so nothing is judged before it has
-    /// asked everywhere.
+    /// If a member's start was refused or not answered, the others would wait for it and hold their
+    /// cores until they time out, seconds later, and only then would the gang be tried again.  A
+    /// new owner may still find the missing members, so it stops none before every minion has
+    /// answered.
     fn stop_broken_gangs(&mut self, now: Time, orders: &mut Vec<Order>) {
         if !self.is_takeover_complete(now) {
             return;
@@ -190,16 +193,17 @@
         }
     }
 
-    /// Stops runs that stand still, and leaves their minion out for a while.
+    /// Stops runs that make no progress, and quarantines their minions.
     ///
-    /// A hanging minion keeps answering, so nothing else would show it: its tasks would hold
-    /// their jobs until their callers gave up.  A task that stood still on another minion before is the cause
-    /// itself: left out for it, one minion after the other would idle while others wait for room.
+    /// A hanging minion keeps answering, so nothing else would detect it, and its tasks would hold
+    /// their jobs until the callers gave up.  A task that stalled on another minion before is
+    /// itself the cause.  Quarantining minions for it would idle one after the other while other
+    /// tasks wait for capacity.
     fn stop_stalled(&mut self, now: Time, orders: &mut Vec<Order>) {
         let (factor, min_stall) = (self.settings.stall_factor, self.settings.min_stall);
         let quarantine = self.settings.quarantine;
         for minion in self.minions.values_mut() {
-            // Without an answer there is no news of progress either.
+            // Without answers, there is no news of progress either.
             if !minion.is_reachable() {
                 continue;
             }
@@ -209,8 +213,8 @@
                 let step = &job.accepted.definition.steps[task.step as usize];
                 let estimate = Duration::from_millis(step.estimate_ms).mul_f64(factor);
                 let bound = estimate.max(min_stall);
-                // Judged by what the minion told: an owner that is late with its looks has no news of
-                // progress, and would stop whatever it looks at next.
+                // Measured up to the minion's last report.  An owner whose polls are late has no
+                // news of progress, and would stop the runs on whatever minion it polls next.
                 let has_stalled = minion.reported_at.since(run.progressed_at) > bound;
                 if run.phase == RunPhase::Active
                     && has_stalled
@@ -233,7 +237,7 @@
         }
     }
 
-    /// Moves lasting tasks off minions that are leaving, within what their steps may miss.
+    /// Moves long-running tasks off minions that are leaving, within the allowance of their steps.
     fn evacuate(&mut self, now: Time, orders: &mut Vec<Order>) {
         let leaving = |minion: &&crate::cell::Minion| minion.leaving || minion.listing.draining;
         let candidates: Vec<(MinionId, TaskName)> = self
@@ -255,7 +259,7 @@
             if !step.lasting || !(is_forced || self.can_evacuate(job, &task, step)) {
                 continue;
             }
-            // Only when another place is free: otherwise the stop gains nothing.
+            // Only if another minion has capacity; otherwise the stop gains nothing.
             let mut moved = job.task(&task).cloned().unwrap_or_default();
             moved.avoid = Some(id.clone());
             let spread = self.spread(&task);
@@ -270,8 +274,8 @@
         }
     }
 
-    /// Whether one more task of a lasting step may be taken away on purpose: all others of it
-    /// but fewer than its allowance must be at work.
+    /// Whether one more task of a long-running step may be stopped on purpose: fewer of its other
+    /// tasks than its allowance may be inactive.
     fn can_evacuate(&self, job: &Job, name: &TaskName, step: &Step) -> bool {
         let allowance = step.may_be_away.unwrap_or(0);
         let at_work = |index: u32| {
@@ -320,11 +324,11 @@
         }
     }
 
-    /// Keeps a minion free of further tasks until one that found no room fits on it.
+    /// Reserves a minion for a task that found no capacity, until it fits there.
     ///
-    /// The room that comes free bit by bit would otherwise go to smaller tasks each time, and a
-    /// task that needs several cores would wait for as long as there are any: for a lasting task
-    /// its users are without it all the while, and a large job is late for certain.
+    /// Otherwise capacity that becomes free bit by bit would go to smaller tasks each time, and a
+    /// task that needs several cores would wait for as long as there are any.  For a long-running
+    /// task its users would be without it all that time, and a large job would certainly be late.
     fn reserve_minion(&mut self, name: &TaskName, now: Time) {
         let Some(job) = self.jobs.get(&name.job) else { return };
         let step = &job.accepted.definition.steps[name.step as usize];
@@ -335,7 +339,7 @@
         }
     }
 
-    /// Starts what can be started of a job; returns the first task that found no room.
+    /// Starts the tasks of a job that can be started; returns the first one that found no capacity.
     fn start_job(
         &mut self,
         id: Id,
@@ -365,7 +369,8 @@
         unplaced_task
     }
 
-    /// Starts what can be started of a step; returns the first task that found no room.
+    /// Starts the tasks of a step that can be started; returns the first one that found no
+    /// capacity.
     fn start_step(
         &mut self,
         first: TaskName,
@@ -382,7 +387,8 @@
         }
         let step = step.clone();
         if step.gang {
-            // Its members could be started by two owners in part, and wait for each other.
+            // Otherwise two owners could each start a part of the gang, and its members would wait
+            // for each other.
             if permit == Permit::All {
                 self.start_gang(first, &step, now, orders);
             }
@@ -424,20 +430,20 @@
                     self.request_advice(&name, (step.count - index) as usize, now);
                     return None;
                 }
-                // There may be room, and others need not wait.
+                // There may be capacity, so other tasks need not wait.
                 if suspected {
                     self.set_possible_crash(smallvec![name], false);
                     continue;
                 }
-                // A label or a limit for each minion may be what it lacks.
+                // Otherwise a label or a limit per minion may be the reason.
                 if step.requires.is_none() && step.per_minion.is_none() {
                     self.unmet_needs.add(need);
                 }
                 return Some(name);
             };
             if suspicion.needs_isolation() && !suspicion.has_possible_crash() {
-                // Kept before it is started: an owner lost during the trial would leave a successor that knows
-                // nothing of it.
+                // Persisted before the start: if the owner were lost during the trial, its
+                // successor would not know of the possible crash.
                 self.set_possible_crash(smallvec![name], true);
                 continue;
             }
@@ -464,7 +470,7 @@
             (0..step.count).map(|index| TaskName { index, ..first }).collect();
         let tasks = || members.iter().filter_map(|name| job.task(name));
         let last = tasks().map(|task| task.last_run).max().unwrap_or(0);
-        // A checkpoint of any member holds for all, and all must resume from the same one.
+        // A checkpoint of any member is valid for all, and all must resume from the same one.
         let checkpoint = tasks().filter_map(|task| task.checkpoint.clone()).max();
         let needs_ticket = self.needs_ticket(&job.accepted.queue);
         let may_run = |id: &str| !needs_ticket || self.ticket(&first, id, now).is_some();
@@ -479,7 +485,8 @@
         }
     }
 
-    /// Places a task, whose highest run so far is `last`, on a minion; returns the order to start it.
+    /// Places a task on a minion and returns the order to start it.  `last` is its highest run
+    /// number so far.
     fn place_task(
         &mut self,
         name: TaskName,
@@ -519,10 +526,10 @@
 
 /// Marks a run as being stopped and returns the order.
 ///
-/// A stop that is ordered again stays confirmed: from then on the run can't begin, and the next look that
-/// doesn't list it settles it.  Where minions stop runs within 0.2 s the stop was repeated before that look,
-/// its confirmation was forgotten each time, and the task of a start that wasn't answered was never
-/// started again.
+/// A stop that is sent again stays confirmed: once it is confirmed the run cannot start, and the
+/// next poll that does not list the run proves that it has ended.  Where minions stop runs within
+/// 0.2 s, the stop was repeated before that poll and its confirmation was lost each time, so that a
+/// task whose start was not answered was never restarted.
 pub(crate) fn stop_run(id: &MinionId, task: &TaskName, run: &mut Run, now: Time) -> Order {
     let confirmed = match run.phase {
         RunPhase::Stopping { confirmed, .. } => confirmed,
--- a/crates/engine/src/cell/quota.rs
+++ b/crates/engine/src/cell/quota.rs
@@ -1,4 +1,5 @@
-//! What a cell's workspaces may have running: the accounts, and what the cell's runs take of them.
+//! Limits on what the workspaces of a cell may have running: their accounts, and what each run is
+//! charged.
 
 use crate::cell::{Cell, Event, Job};
 use crate::job::{Origin, Resources, TaskName};
@@ -7,22 +8,22 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time between two changes of a cell's shares.
+/// Minimum time between two changes of a cell's shares.
 const SHARE_CHANGE_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Most splits changed in one transaction: each is a condition and a write, and a transaction has a hundred
-/// entries.
+/// Each split takes a condition and a write, and a transaction is limited to a hundred entries.
 const MAX_CHANGES_PER_TRANSACTION: usize = 45;
 
-/// The account of jobs of which nobody knows the workspace.  No configuration gives it a limit, so one task of
-/// theirs runs at a time; no workspace has such a name, since one's begin with a letter.
+/// The account for jobs whose workspace is unknown.  No configuration gives it a limit, so one of
+/// their tasks runs at a time.  No workspace has this name, since workspace names begin with a
+/// letter.
 const UNKNOWN_WORKSPACE: &str = "~unknown";
 
-/// A workspace's place among the accounts.
+/// Index of a workspace's account.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct AccountId(u16);
 
-/// What a run takes of its workspace's limit.
+/// What a run is charged to its workspace's account.
 #[derive(Clone, Copy, Debug)]
 pub struct Charge {
     pub(crate) account: AccountId,
@@ -34,16 +35,16 @@
 pub(crate) struct Accounts {
     list: Vec<Account>,
     ids: BTreeMap<Box<str>, AccountId>,
-    /// When the splits were last known to be as read.
+    /// When the splits were last confirmed to be as read.
     confirmed_at: Option<Time>,
-    /// Whether nothing can run here any more that this owner doesn't see.
+    /// Whether no run can exist any more that this owner does not know.
     is_takeover_complete: bool,
-    /// When shares were last to be changed.
+    /// When changes of shares were last proposed.
     changed_at: Option<Time>,
 }
 
 impl Accounts {
-    /// For an owner; `settled` if it is the cell's first.
+    /// Creates the accounts of an owner; `is_takeover_complete` if it is the cell's first.
     pub(crate) fn new(is_takeover_complete: bool) -> Self {
         Self { is_takeover_complete, ..Self::default() }
     }
@@ -66,7 +67,7 @@
         &self.list[id.0 as usize]
     }
 
-    /// Counts a run that is ordered.
+    /// Charges a run that is being started.
     pub(crate) fn charge_run(&mut self, charge: Option<Charge>) {
         if let Some(Charge { account, need }) = charge {
             self.get_mut(account).start(&need);
@@ -83,8 +84,8 @@
         Holder { cell: self.settings.name.clone(), token: self.settings.token }
     }
 
-    /// Takes the limits of a configuration's workspaces.  A workspace that was dropped keeps its last limit, for
-    /// the jobs accepted before.
+    /// Applies the workspace limits of a configuration.  A workspace that was removed keeps its
+    /// last limit for the jobs accepted before.
     pub fn configure_limits(
         &mut self,
         limits: impl IntoIterator<Item = (Box<str>, Limit)>,
@@ -102,7 +103,7 @@
         self.accounts.list.iter().any(|account| !account.limit().is_unlimited())
     }
 
-    /// Takes in splits that were read, each with its row's version.
+    /// Records splits that were read, each with its row's version.
     pub fn record_splits(
         &mut self,
         splits: impl IntoIterator<Item = (Box<str>, u64, Split)>,
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Notes that all splits were certain to be as known at `now`.
+    /// Records that all splits were certainly as known at `now`.
     pub fn confirm_splits(&mut self, now: Time) {
         self.accounts.confirmed_at = Some(now);
         self.accounts.list.iter_mut().for_each(|account| account.confirm(now));
@@ -142,12 +143,12 @@
         changes
     }
 
-    /// Notes that changes were carried out and gave their rows this version.
+    /// Records that changes were written and gave their rows this version.
     pub fn record_split_changes(&mut self, changes: &[Change], version: u64, now: Time) {
         self.for_each_change(changes, |account, change| account.written(change, version, now));
     }
 
-    /// Notes that changes were certainly not carried out.
+    /// Records that changes were certainly not written.
     pub fn discard_split_changes(&mut self, changes: &[Change]) {
         self.for_each_change(changes, Account::refused);
     }
@@ -160,7 +161,7 @@
         }
     }
 
-    /// The account on which a job's tasks run; none where nothing limits them.
+    /// The account that a job's tasks are charged to; `None` if nothing limits them.
     pub(crate) fn open_account(&mut self, origin: &Origin, now: Time) -> Option<AccountId> {
         let workspace = match origin {
             Origin::Public => return None,
@@ -170,7 +171,7 @@
         Some(self.accounts.get_or_open(workspace, self.holder(), now))
     }
 
-    /// Counts what runs anew.
+    /// Counts all runs again.
     pub(crate) fn count_runs(&mut self, now: Time) {
         if self.accounts.list.is_empty() {
             return;
@@ -185,8 +186,8 @@
         }
     }
 
-    /// A run of a job that isn't known yet may be of any workspace, so the former owner's shares stay in use until
-    /// it is gone.
+    /// Ends the accounting for the former owner.  A run of a job that is not known yet may belong
+    /// to any workspace, so the former owner's shares stay in use until no such run is left.
     fn settle_accounts(&mut self, now: Time) {
         if self.accounts.is_takeover_complete || !self.is_takeover_complete(now) {
             return;
@@ -198,13 +199,13 @@
         }
     }
 
-    /// Whether the job's workspace is limited here.
+    /// The account that limits a job's tasks; `None` if nothing limits them.
     fn limited_account(&self, job: &Job) -> Option<AccountId> {
         let is_open = || self.queues.get(&job.accepted.queue).is_some_and(|queue| queue.public);
         job.account.filter(|_| job.accepted.origin != Origin::Unknown || !is_open())
     }
 
-    /// Whether so many tasks of a job may be started together within its workspace's limit.
+    /// Whether `count` tasks of a job may be started together within its workspace's limit.
     pub(crate) fn is_within_limit(
         &self,
         job: &Job,
@@ -215,7 +216,8 @@
         self.limited_account(job).is_none_or(|id| self.accounts.get(id).may_start(need, count, now))
     }
 
-    /// Notes that tasks of a job wait for their workspace's limit: `count` of them one by one, or a gang.
+    /// Records that tasks of a job wait for their workspace's limit: `count` single tasks, or a
+    /// gang.
     pub(crate) fn record_held_back(
         &mut self,
         name: &TaskName,
@@ -229,7 +231,7 @@
         let is_first = !job.held_back;
         let account = self.accounts.get_mut(id);
         let is_larger = account.is_larger(unit);
-        // A gang beyond the whole limit would take all of it and still not start.
+        // A gang larger than the whole limit would take all of it and still not start.
         if !(is_gang && is_larger) {
             account.want(unit, count);
         }
--- a/crates/engine/src/cell/report.rs
+++ b/crates/engine/src/cell/report.rs
@@ -1,4 +1,4 @@
-//! Taking in what minions say, and what becomes of orders.
+//! Processing of minions' answers and of the results of orders.
 
 use crate::cell::crash::Certainty;
 use crate::cell::minion::{Incarnation, Listing, Minion, MinionId, Run, RunPhase};
@@ -10,37 +10,37 @@
 use std::time::Duration;
 use strum::Display;
 
-/// Failures of this many different jobs in a row, without a success between them, put a minion
-/// in quarantine: one job may be hopeless by itself.
+/// Failures of this many different jobs without a success between them quarantine a minion.  A
+/// single job may fail through its own fault.
 const MIN_FAILING_JOBS: usize = 2;
 
-/// Longest quarantine, as a power of two of the first.
+/// Maximum number of times that the first quarantine is doubled.
 const MAX_QUARANTINE_DOUBLINGS: u32 = 3;
 
-/// Pause before a lasting task that failed is started again, so that one that fails at once
-/// doesn't fill its minion's calls.
+/// Delay before a failed long-running task is restarted, so that one that fails at once does not
+/// take up all calls to its minion.
 const LONG_RUNNING_RESTART_DELAY: Duration = Duration::from_millis(100);
 
-/// Pause for a task that its minion had no room for: the books differ, and the next report
-/// sets them right.
+/// Quarantine of a minion that had no capacity for a task.  Its accounting differs from this
+/// owner's, which the next report corrects.
 const NO_ROOM_QUARANTINE: Duration = Duration::from_millis(150);
 
-/// Pause for a minion that says it is unhealthy.
+/// Quarantine of a minion that reports to be unhealthy.
 const UNHEALTHY_QUARANTINE: Duration = Duration::from_millis(700);
 
 /// Maximum number of ends in one answer.
 const MAX_ENDS_PER_ANSWER: usize = 500;
 
-/// To be stopped, and ordered so long ago that the next plan sends the stop.
+/// State of a run to be stopped, due for the next plan to send the stop.
 pub(crate) const STOP_DUE: RunPhase = RunPhase::Stopping { ordered: Time(0), confirmed: None };
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum EndReason {
-    /// Its work is done.
+    /// It completed its work.
     Done,
-    /// It failed, by its own fault or the minion's.
+    /// It failed, through its own fault or the minion's.
     Failed,
     /// It was stopped by an order.
     Stopped,
@@ -48,7 +48,7 @@
     Expired,
     /// Another member of its gang ended.
     PeerEnded,
-    /// The other members of its gang did not come in time.
+    /// The other members of its gang did not start in time.
     PeersMissing,
 }
 
@@ -59,16 +59,16 @@
     pub task: TaskName,
     /// The run's number.
     pub run: u32,
-    /// Its newest checkpoint.
+    /// Its latest checkpoint.
     pub checkpoint: Option<Box<str>>,
-    /// Percent done; for lasting tasks, 100 means at work.
+    /// Progress in percent; for long-running tasks, 100 means active.
     pub percent: u8,
-    /// A rough figure for the last half second: for a serving task the tail of its response
-    /// times in milliseconds, for others the thousandths of a core in use.
+    /// A rough figure for the last half second: for a serving task its tail latency in
+    /// milliseconds, for others the millicores in use.
     pub load: Option<u64>,
 }
 
-/// An end that a minion lists.
+/// The end of a run that a minion lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct End {
     /// Its number in the minion's list of ends.
@@ -83,14 +83,14 @@
     pub checkpoint: Option<Box<str>>,
 }
 
-/// What a minion answered to a hold.
+/// A minion's answer to a hold request.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
     /// Incarnation of the minion, if the answer contains one.
     pub incarnation: Option<Incarnation>,
-    /// All that runs there.
+    /// All runs on the minion.
     pub running: Vec<Running>,
-    /// Ends that are not acknowledged, 500 at most.
+    /// Ends that are not acknowledged, at most 500.
     pub finished: Vec<End>,
 }
 
@@ -102,26 +102,26 @@
     Fenced,
     /// A run with this number or a higher one was stopped or ended there.
     StaleRun,
-    /// The order came after its deadline.
+    /// The order arrived after its deadline.
     TooLate,
-    /// There is no room.
+    /// It has not enough free capacity.
     NoRoom,
-    /// The ticket is missing or out of date.
+    /// The ticket is missing or has expired.
     NoTicket,
-    /// The order can't be read.
+    /// The order could not be decoded.
     Malformed,
-    /// It is unhealthy and has done nothing.
+    /// It is unhealthy, and did nothing.
     Unhealthy,
 }
 
-/// What became of a start.
+/// Result of a start order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StartResult {
-    /// It runs, or ran.
+    /// The run started; it may have ended since.
     Started,
-    /// It was refused and won't run.
+    /// It was refused and will not run.
     Refused(Refusal),
-    /// Nobody knows: it may run now or later.
+    /// Unknown: it may run now or start later.
     Unknown,
 }
 
@@ -149,7 +149,7 @@
 }
 
 impl Cell {
-    /// Takes in a minion as the platform lists it.
+    /// Records a minion as listed by the platform.
     pub fn update_listing(&mut self, id: &MinionId, listing: Listing) {
         match self.minions.get_mut(id) {
             Some(minion) => {
@@ -162,45 +162,46 @@
         }
     }
 
-    /// Takes in a minion that a former owner used, whether it is still listed or not.
+    /// Adds a minion that a former owner used, whether it is still listed or not.
     pub fn inherit_minion(&mut self, id: &MinionId) {
         let absent = || Minion::new(id.clone(), Listing::default(), false);
         self.minions.entry(id.clone()).or_insert_with(absent).inherited = true;
     }
 
-    /// Notes that the platform's list no longer has a minion.  It may be cut off and still run
-    /// what it has, so its runs are given up only when their lease must have lapsed.
+    /// Records that the platform no longer lists a minion.  It may be disconnected and still
+    /// execute its runs, so their tasks are requeued only when their leases must have expired.
     pub fn mark_unlisted(&mut self, id: &str) {
         if let Some(minion) = self.minions.get_mut(id) {
             minion.listed = false;
         }
     }
 
-    /// Notes that a minion is to be emptied, or no longer.
+    /// Sets whether a minion is to be emptied.
     ///
-    /// One that is silent stays so: its machine was ordered down, and what says that it is to be emptied is
-    /// dropped before its life is known to be over.  Its end would be taken for a crash.
+    /// For a silent minion this is not cleared: its machine was ordered to shut down, and the mark
+    /// for emptying is removed before the minion is known to have terminated.  Its end would be
+    /// taken for a crash.
     pub fn set_leaving(&mut self, id: &str, leaving: bool) {
         if let Some(minion) = self.minions.get_mut(id) {
             minion.leaving = leaving || (minion.leaving && minion.silent_since.is_some());
         }
     }
 
-    /// Notes that a call about to be sent may extend leases up to `until`.
+    /// Records that a call about to be sent may extend leases up to `until`.
     pub fn extend_lease_expiry(&mut self, id: &str, until: Time) {
         if let Some(minion) = self.minions.get_mut(id) {
             minion.lease_expiry = minion.lease_expiry.max(until);
         }
     }
 
-    /// Notes that a minion's life is over for certain: all that it ran is gone.
+    /// Removes a minion that has certainly terminated, and requeues the tasks of its runs.
     pub fn remove_terminated_minion(&mut self, id: &str, now: Time) {
         let Some(minion) = self.minions.remove(id) else { return };
         self.record_loss(&minion, Certainty::Certain, now);
         self.requeue_lost_runs(&minion.id, minion.runs, now);
     }
 
-    /// Notes that a minion didn't answer.
+    /// Records that a minion did not answer.
     pub fn record_missed_answer(&mut self, id: &str, now: Time) {
         if let Some(minion) = self.minions.get_mut(id) {
             minion.silent_since.get_or_insert(now);
@@ -208,8 +209,7 @@
         }
     }
 
-    /// Takes in a minion's answer to a hold that was sent at `sent`; returns stops of runs that
-    /// nobody wants.
+    /// Processes a minion's answer to a hold sent at `sent`; returns stops of unwanted runs.
     pub fn process_report(
         &mut self,
         id: &MinionId,
@@ -243,8 +243,8 @@
         orders
     }
 
-    /// Has runs stopped whose start wasn't answered and that a look from after that doesn't list: they
-    /// may still begin.
+    /// Stops runs with an unanswered start that are missing from an answer to a later hold, because
+    /// they may still start.
     fn stop_unanswered(&mut self, id: &MinionId, sent: Time) {
         let Some(minion) = self.minions.get_mut(id) else { return };
         for run in minion.runs.values_mut() {
@@ -255,8 +255,8 @@
         }
     }
 
-    /// Gives up runs that the minion no longer lists although it had them when the hold was
-    /// sent, and unanswered starts of which a stop has made sure that they never run.
+    /// Requeues the tasks of runs that the minion no longer lists although it had them when the
+    /// hold was sent, and of unanswered starts that a confirmed stop keeps from running.
     fn drop_vanished_runs(&mut self, id: &MinionId, report: &Report, sent: Time, now: Time) {
         let Some(minion) = self.minions.get(id) else { return };
         let (seen, acknowledged) = (minion.seen, minion.acknowledged);
@@ -275,8 +275,8 @@
         }
     }
 
-    /// Gives up runs lost with their minion, or with its former incarnation, and emits a
-    /// [`Event::Lost`] for each.
+    /// Requeues the tasks of runs lost with their minion, or with its former incarnation, and
+    /// records an [`Event::Lost`] for each.
     pub(crate) fn requeue_lost_runs(
         &mut self,
         id: &MinionId,
@@ -338,8 +338,9 @@
             return;
         }
         let Some(job) = self.jobs.get_mut(&running.task.job) else {
-            // A former owner's, and not known here yet or any more.  What it takes isn't known either, so nothing
-            // is started beside it: a minion that doesn't guard its capacity would be overloaded.
+            // A former owner's run, of a job not known here yet or any more.  What it uses is
+            // unknown too, so nothing is started beside it: a minion that does not enforce its
+            // capacity would be overloaded.
             let phase = RunPhase::Stopping { ordered: now, confirmed: None };
             let need = minion.free();
             let run = Run { need, ..Run::new(running.run, phase, None, now) };
@@ -357,7 +358,7 @@
         };
         let number = running.run;
         if !wanted || task.phase != Phase::Waiting {
-            // Unwanted here, but it takes room until its end is listed.
+            // Unwanted, but it uses capacity until its end is listed.
             let phase = RunPhase::Stopping { ordered: now, confirmed: None };
             let run = Run { charge, ..Run::new(number, phase, step.as_ref(), now) };
             minion.insert_run(running.task, run);
@@ -417,7 +418,7 @@
             EndReason::Done if !lasting => {
                 job.finish_task(&end.task);
                 if gang {
-                    // Its members end done together, so one such end stands for all.
+                    // The members of a gang complete together, so one such end counts for all.
                     job.finish_step(&end.task);
                 }
                 if job.is_done() && !job.state().is_final() {
@@ -438,7 +439,7 @@
                 }
                 task.avoid = Some(id.clone());
                 let failed = task.failed.len();
-                // A gang is tried as a whole: each of its runs that failed counts once.
+                // A gang is retried as a whole, so each of its failed runs counts once.
                 let failed = if gang { job.failed_runs(&end.task) } else { failed };
                 let is_exhausted = failed >= attempts as usize;
                 job.mark_changed();
@@ -462,7 +463,7 @@
         self.requeue_task(id, &end.task, end.run, now);
     }
 
-    /// Puts a task back to wait if its run on `minion` was the current one.
+    /// Requeues a task if its run on `minion` was the current one.
     pub(crate) fn requeue_task(&mut self, minion: &MinionId, name: &TaskName, run: u32, now: Time) {
         let Some(job) = self.jobs.get_mut(&name.job) else { return };
         let Some(task) = job.task_mut(name) else { return };
@@ -471,16 +472,16 @@
             task.phase = Phase::Waiting;
             task.waiting_since = now;
         }
-        // What may have crashed its minion was counted before.
+        // A possible crash of its minion has been counted before.
         self.set_possible_crash(smallvec![*name], false);
-        // The rest of its gang must stop, or all of its job.
+        // The other members of its gang must stop, or all runs of its job.
         self.last_sweep = None;
     }
 
-    /// Quarantines a minion that fails whatever it starts.
+    /// Quarantines a minion that fails every run.
     ///
-    /// Such a minion is always free, so without this it would draw task after task and use up
-    /// their attempts: callers would see job after job fail.
+    /// Such a minion always has free capacity.  Without a quarantine it would be given task after
+    /// task and use up their attempts, and callers would see one job after the other fail.
     fn update_quarantine(&mut self, id: &MinionId, end: &End, now: Time) {
         let quarantine = self.settings.quarantine;
         let Some(minion) = self.minions.get_mut(id) else { return };
@@ -504,7 +505,7 @@
         }
     }
 
-    /// Takes in what became of a start.
+    /// Processes the result of a start order.
     pub fn process_start_result(
         &mut self,
         id: &MinionId,
@@ -549,7 +550,7 @@
         }
     }
 
-    /// Takes in that a minion answered a stop at `now`.
+    /// Records that a minion confirmed a stop at `now`.
     pub fn confirm_stop(&mut self, id: &MinionId, task: &TaskName, run: u32, now: Time) {
         let Some(minion) = self.minions.get_mut(id) else { return };
         let Some(entry) = minion.runs.get_mut(task).filter(|entry| entry.number == run) else {
--- a/crates/engine/src/cell/restart.rs
+++ b/crates/engine/src/cell/restart.rs
@@ -92,7 +92,8 @@
 }
 
 impl Cell {
-    /// Gives up the runs lost in a restart, counts it as a crash, and drops the minion's tickets.
+    /// Requeues the tasks of runs lost in a restart, counts it as a crash, and drops the minion's
+    /// tickets.
     ///
     /// Unanswered starts are retained: they may still reach the new incarnation and must be stopped
     /// there.
--- a/crates/engine/src/cell/sequence.rs
+++ b/crates/engine/src/cell/sequence.rs
@@ -1,34 +1,34 @@
-//! The order in which waiting jobs get room.
+//! The order in which waiting jobs get capacity.
 //!
-//! The pattern it answers: a burst asks several times what the pool holds for some seconds, so
-//! most of the value lies in whom the room goes to.  A job is worth most until its objective
-//! has passed and then hardly anything, and a job's worth has a part that doesn't grow with its
-//! size.  So jobs that can still meet their objective come before those that can't, and among
-//! them the most worth for the work that is left.
+//! A burst asks for several times a pool's capacity for some seconds, so most of the value depends
+//! on who gets the capacity.  A job has most of its value until its objective has passed and hardly
+//! any after that, and a part of the value does not grow with the job's size.  So jobs that can
+//! still meet their objective come before those that cannot, and among them those with the most
+//! value for the remaining work.
 
 use crate::cell::work::Job;
 use crate::cell::{Cell, Queue};
 use crate::time::Time;
 use std::cmp::Ordering;
 
-/// Share of a job's worth that doesn't depend on its size; the rest grows with its work
-/// against the mean of its queue.  The users' own weights.
+/// Share of a job's value that does not depend on its size; the rest grows with its work relative
+/// to the mean of its queue.  The weights were given by the users.
 const FIXED_VALUE_SHARE: f64 = 0.3;
 
-/// A job that has waited this many times its objective is no longer put behind all that can
-/// meet theirs: without it, late jobs would wait for as long as a pool is busy.
+/// A job that has waited for this multiple of its objective is no longer ranked behind all that can
+/// meet theirs.  Otherwise late jobs would wait for as long as a pool is busy.
 const AGING_FACTOR: f64 = 6.0;
 
-/// A job's place in the order; the smallest comes first.
+/// Rank of a job; the smallest comes first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rank {
-    /// 0 for lasting jobs, 1 for jobs that can meet their objective, 2 for the rest.
+    /// 0 for long-running jobs, 1 for jobs that can meet their objective, 2 for the others.
     pub class: u8,
     /// The queue's priority.
     pub priority: u32,
-    /// Worth for each core-millisecond left; more comes first.
+    /// Value per core-millisecond of remaining work; the highest comes first.
     pub value_density: f64,
-    /// The longer known comes first.
+    /// When the job was accepted; the earliest comes first.
     pub accepted_at: Time,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Ranks a job.
+/// Returns the rank of a job.
 pub fn rank(job: &Job, queue: &Queue, mean_core_ms: f64, now: Time) -> Rank {
     let definition = &job.accepted.definition;
     let base = Rank {
@@ -77,7 +77,7 @@
 }
 
 impl Cell {
-    /// The rank of a job of this cell.
+    /// Returns the rank of a job of this cell.
     pub(crate) fn rank(&self, job: &Job, now: Time) -> Rank {
         let queue = self.queue(&job.accepted.queue);
         let mean = self.mean_core_ms.get(&job.accepted.queue).copied().unwrap_or(1.0);
--- a/crates/engine/src/cell/straggler.rs
+++ b/crates/engine/src/cell/straggler.rs
@@ -1,13 +1,13 @@
-//! Slow minions, and tasks that are late on them.
+//! Slow minions, and stragglers among their tasks.
 //!
-//! The pattern it answers: a few minions work six times as slowly as their siblings for some
-//! seconds, and look well otherwise.  A job is as late as its last task, so every job with a task
-//! there misses its objective.  Progress against the estimate tells it within the first report.
+//! A few minions run six times as slowly as the others for some seconds and look healthy otherwise.
+//! A job is as late as its last task, so every job with a task there misses its objective.
+//! Progress against the estimate shows it with the first report.
 //!
-//! But estimates can be far off, too, and then all tasks of one job look slow wherever they run.
-//! So a minion counts as slow only when different jobs were slow there and none was swift since,
-//! and a task is begun anew once at most: without both, a job with a wrong estimate was begun anew
-//! again and again on one minion after the other and never done.
+//! Estimates can be far off too, and then all tasks of one job look slow wherever they run.  So a
+//! minion counts as slow only when different jobs were slow there and none was fast since, and a
+//! task is restarted for this at most once.  Without both rules, a job with a wrong estimate was
+//! restarted on one minion after the other and never completed.
 
 use crate::cell::minion::RunPhase;
 use crate::cell::plan::stop_run;
@@ -17,37 +17,37 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// Below this, an elapsed time says nothing: starting up is part of it.
+/// A shorter elapsed time says nothing about the speed, since startup is part of it.
 const MIN_ELAPSED: Duration = Duration::from_millis(300);
 
-/// Times its estimate from which on a task is slow.  Most estimates are off by a fifth, and work
-/// away from its data takes half as long again.
+/// Multiple of its estimate from which a task is slow.  Most estimates are off by a fifth, and a
+/// task away from its data takes half as long again.
 const SLOW_RATIO: f64 = 2.5;
 
-/// Times its estimate up to which a task is swift.
+/// Multiple of its estimate below which a task is fast.
 const FAST_RATIO: f64 = 1.6;
 
-/// Different jobs that make a minion slow.
+/// Number of different jobs with slow tasks that make a minion slow.
 const MIN_SLOW_JOBS: usize = 2;
 
-/// A run is given up if it would take longer than this many times its estimate from now on, and
-/// [`MIN_RESTART_GAIN`] more: stopping it, and its work done again, take about one estimate and a second.
+/// A run is stopped if it would take longer than this multiple of its estimate from now on, plus
+/// [`MIN_RESTART_GAIN`].  Stopping it and repeating its work take about one estimate and a second.
 const MIN_RESTART_GAIN_FACTOR: f64 = 2.0;
 
 /// See [`MIN_RESTART_GAIN_FACTOR`].
 const MIN_RESTART_GAIN: Duration = Duration::from_millis(1200);
 
-/// Runs given up by one plan, so that their tasks find room.
+/// Limits the stops of one plan, so that the tasks find capacity elsewhere.
 const MAX_STRAGGLERS_PER_PLAN: usize = 4;
 
-/// How long a run will take in all, by its progress; none while that can't be told.
+/// The total duration of a run, projected from its progress; `None` if that is too early to tell.
 fn projected_duration(elapsed: Duration, percent: u8) -> Option<Duration> {
     let known = elapsed >= MIN_ELAPSED && (1..100).contains(&percent);
     known.then(|| elapsed.mul_f64(100.0 / f64::from(percent)))
 }
 
 impl Cell {
-    /// Learns a minion's speed from a run's progress, or from its whole time.
+    /// Records a minion's speed from a run's progress, or from its total duration.
     pub(crate) fn record_speed(&mut self, id: &MinionId, name: &TaskName, percent: u8, now: Time) {
         let Some(job) = self.jobs.get(&name.job) else { return };
         let step = &job.accepted.definition.steps[name.step as usize];
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Stops runs that are far behind on slow minions, where another minion has room: begun anew
-    /// there they are done sooner.
+    /// Stops runs that are far behind on slow minions if another minion has capacity, where they
+    /// are done sooner although they start again.
     pub(crate) fn stop_stragglers(&mut self, now: Time, orders: &mut Vec<Order>) {
         let mut stragglers: Vec<(MinionId, TaskName)> = Vec::new();
         for minion in
@@ -115,7 +115,7 @@
         remaining > estimate.mul_f64(MIN_RESTART_GAIN_FACTOR) + MIN_RESTART_GAIN
     }
 
-    /// A minion with room that isn't slow itself.
+    /// A minion with capacity that is not slow itself.
     fn find_fast_minion(
         &self,
         step: &crate::job::Step,
@@ -129,7 +129,7 @@
 }
 
 impl crate::cell::Minion {
-    /// Whether it works much more slowly than estimated.
+    /// Whether it is much slower than estimates.
     pub(crate) fn is_slow(&self) -> bool {
         self.slow_jobs.len() >= MIN_SLOW_JOBS
     }
--- a/crates/engine/src/cell/work.rs
+++ b/crates/engine/src/cell/work.rs
@@ -1,4 +1,4 @@
-//! A job in the hands of its cell's owner.
+//! A job and its tasks, as held by the cell's owner.
 
 use crate::cell::crash::Suspicion;
 use crate::cell::minion::MinionId;
@@ -8,52 +8,52 @@
 use smallvec::SmallVec;
 use std::collections::BTreeSet;
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Phase {
-    /// It waits for its turn or for room.
+    /// It waits for its turn or for capacity.
     #[default]
     Waiting,
     /// A run of it is on a minion, or may be.
     Placed {
-        /// Where.
+        /// The minion.
         minion: MinionId,
-        /// The run's number.  It isn't always the highest one: a run whose start was carried out late is
-        /// older than those that failed meanwhile.  Compared with the highest, its end was taken for that
-        /// of an older run, and the task counted as placed for ever.
+        /// The run's number.  It is not always the highest one: a run whose start was carried out
+        /// late is older than those that failed meanwhile.  When it was compared with the highest,
+        /// its end was taken for that of an older run, and the task counted as placed forever.
         run: u32,
     },
-    /// It has ended as done.
+    /// It is done.
     Done,
 }
 
 /// A task.
 #[derive(Clone, Debug, Default)]
 pub struct Task {
-    /// Where it stands.
+    /// Its state.
     pub phase: Phase,
-    /// The highest number of a run known; the next one is higher.
+    /// The highest known run number; the next run gets a higher one.
     pub last_run: u32,
-    /// Runs that failed.
+    /// Numbers of the runs that failed.
     pub failed: SmallVec<[u32; 2]>,
-    /// The newest checkpoint.
+    /// Its latest checkpoint.
     pub checkpoint: Option<Box<str>>,
-    /// It isn't started before.
+    /// Earliest time of its next start.
     pub not_before: Time,
-    /// When its last run was given up, or its job was accepted.
+    /// When its last run was lost or ended, or its job was accepted.
     pub waiting_since: Time,
-    /// Where it failed last, to try another minion next.
+    /// Minion where it failed last, so that another one is tried next.
     pub avoid: Option<MinionId>,
-    /// Whether it was stopped once on a slow minion, to be begun anew elsewhere.
+    /// Whether it was stopped once on a slow minion, to be restarted elsewhere.
     pub was_straggler: bool,
-    /// Where it stood still last.
+    /// Minion where it stalled last.
     pub stalled_on: Option<MinionId>,
-    /// What crashes of its minions hold against it.
+    /// Suspicion of crashing its minions.
     pub suspicion: Suspicion,
 }
 
 impl Task {
-    /// Whether a crash of a minion is held against it, or may be.
+    /// Whether it is suspected of crashing a minion, or a crash is possible.
     pub(crate) fn is_suspected(&self) -> bool {
         self.suspicion != Suspicion::default()
     }
@@ -62,48 +62,48 @@
 /// A job.
 #[derive(Debug)]
 pub struct Job {
-    /// What was accepted.
+    /// The accepted submission.
     pub accepted: Accepted,
-    /// Whether a former owner may have started some of it.
+    /// Whether a former owner may have started tasks of it.
     pub inherited: bool,
     /// When it was accepted, on this process's clock.
     pub accepted_at: Time,
-    /// When this owner came to know it.
+    /// When this owner learned of it.
     pub known_since: Time,
-    /// What its workspace may have running; none where nothing limits it.
+    /// The account that its tasks are charged to; `None` if nothing limits them.
     pub(crate) account: Option<AccountId>,
-    /// Whether tasks of it have waited for that.
+    /// Whether a task of it has waited for its workspace's limit.
     pub(crate) held_back: bool,
     /// Whether its caller has cancelled it.
     pub cancelled: bool,
-    /// Completed or failed.
+    /// Its outcome, once it has completed or failed.
     pub outcome: Option<State>,
     /// Whether any task has been started.
     pub started: bool,
     /// When it ended.
     pub ended_at: Option<Time>,
-    /// Counts changes that must be kept, and the last of them that is.
+    /// Number of changes to persist so far; `persisted_changes` is how many of them are persisted.
     pub changes: u64,
     pub(crate) persisted_changes: u64,
     pub(crate) tasks: Vec<Task>,
-    /// Flat number of each step's first task within an occurrence.
+    /// Flat index of each step's first task within an occurrence.
     offsets: SmallVec<[u32; 8]>,
-    /// Tasks of each occurrence and step that are not done.
+    /// Number of tasks that are not done, by occurrence and step.
     pub(crate) open_counts: Vec<u32>,
-    /// All of its estimated work, and what is left of it.
+    /// Estimate of all of its work.
     pub(crate) total: Estimate,
-    /// See [`Job::total`].
+    /// Estimate of its remaining work.
     pub(crate) remaining: Estimate,
 }
 
-/// What a job's steps, or those that are left, take as estimated.
+/// Estimated work of a job's steps, or of those that are not done.
 ///
-/// Kept, since every plan ranks every job that waits, and it changes only when a task is done.
+/// Cached, since every plan ranks every waiting job, and it changes only when a task is done.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Estimate {
-    /// Milliseconds of the longest chain.
+    /// Length of the critical path.
     pub(crate) critical_path_ms: u64,
-    /// Core-milliseconds.
+    /// Work in core-milliseconds.
     pub(crate) core_ms: u64,
 }
 
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The state as far as it is known here.
+    /// Its state as known to this owner.
     pub fn state(&self) -> State {
         match self.outcome {
             Some(outcome) => outcome,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// What a task of a step takes of its workspace's limit; also the cores of one that only fills.
+    /// What a task of a step is charged; for a best-effort task this includes its cores.
     pub(crate) fn charge(&self, step: &Step) -> Option<Charge> {
         self.account.map(|account| Charge { account, need: step.need })
     }
@@ -185,7 +185,7 @@
         self.cancelled || (self.outcome.is_some() && self.is_persisted())
     }
 
-    /// Whether all that must outlive this owner is kept.
+    /// Whether everything that must outlive this owner is persisted.
     pub fn is_persisted(&self) -> bool {
         self.persisted_changes >= self.changes
     }
@@ -194,7 +194,8 @@
         self.changes += 1;
     }
 
-    /// Notes that a task stood still on a minion; whether the minion may be the cause, as far as is known.
+    /// Records that a task stalled on a minion.  Returns whether the minion may be the cause, as
+    /// far as is known.
     pub(crate) fn record_stall(&mut self, name: &TaskName, minion: MinionId) -> bool {
         let Some(task) = self.task_mut(name) else { return true };
         task.avoid = Some(minion.clone());
@@ -202,24 +203,24 @@
         previous.is_none_or(|previous| previous == minion)
     }
 
-    /// Whether a task of it has crashed so many minions that it is to be given up.
+    /// Whether a task of it has crashed so many minions that the job must fail.
     pub(crate) fn crashes_minions(&self) -> bool {
         self.tasks.iter().any(|task| task.suspicion.is_conclusive())
     }
 
-    /// Ends it as failed.
+    /// Marks it as failed.
     pub(crate) fn fail(&mut self, now: Time) {
         self.outcome = Some(State::Failed);
         self.ended_at = Some(now);
         self.mark_changed();
     }
 
-    /// Tasks of one occurrence.
+    /// Number of tasks of one occurrence.
     fn tasks_per_occurrence(&self) -> u32 {
         self.accepted.definition.tasks_per_occurrence()
     }
 
-    /// The flat number of a task.
+    /// Flat index of a task.
     pub(crate) fn flat_index(&self, name: &TaskName) -> Option<usize> {
         let step = self.accepted.definition.steps.get(name.step as usize)?;
         let exists =
@@ -229,7 +230,7 @@
             .then(|| (name.occurrence * self.tasks_per_occurrence() + offset + name.index) as usize)
     }
 
-    /// Occurrence, step and index of a flat number.
+    /// Occurrence, step and index of the task at a flat index.
     pub(crate) fn position_of(&self, flat: u32) -> (u32, u32, u32) {
         let occurrence = flat / self.tasks_per_occurrence();
         let within = flat % self.tasks_per_occurrence();
@@ -246,12 +247,12 @@
         self.tasks.get_mut(flat)
     }
 
-    /// Tasks of a step that are not done.
+    /// Number of a step's tasks that are not done.
     pub(crate) fn open_tasks(&self, occurrence: u32, step: u32) -> u32 {
         self.open_counts[occurrence as usize * self.accepted.definition.steps.len() + step as usize]
     }
 
-    /// The first task of a step that could be started now, room apart.
+    /// The first task of a step that could be started now, regardless of capacity.
     pub(crate) fn first_waiting(&self, first: TaskName, now: Time) -> Option<TaskName> {
         let count = self.accepted.definition.steps[first.step as usize].count;
         let mut names = (0..count).map(|index| TaskName { index, ..first });
@@ -267,7 +268,7 @@
         after.iter().all(|earlier| self.open_tasks(occurrence, *earlier) == 0)
     }
 
-    /// The first tasks of all steps that are gangs and not done.
+    /// The first task of each gang step that is not done.
     pub(crate) fn open_gangs(&self, job: Id) -> Vec<TaskName> {
         let steps = &self.accepted.definition.steps;
         let gangs = (0..steps.len() as u32).filter(|step| steps[*step as usize].gang);
@@ -281,19 +282,19 @@
             .collect()
     }
 
-    /// Notes that a task is done; true if that was news.
+    /// Marks a task as done.  Returns whether it was not done before.
     pub(crate) fn finish_task(&mut self, name: &TaskName) -> bool {
         self.flat_index(name).is_some_and(|flat| self.finish_task_at(flat))
     }
 
-    /// Notes that all tasks of a step are done.
+    /// Marks all tasks of a step as done.
     pub(crate) fn finish_step(&mut self, name: &TaskName) {
         for index in 0..self.accepted.definition.steps[name.step as usize].count {
             self.finish_task(&TaskName { index, ..*name });
         }
     }
 
-    /// How many different runs of a step's tasks have failed.
+    /// Number of different runs of a step's tasks that have failed.
     pub(crate) fn failed_runs(&self, name: &TaskName) -> usize {
         let count = self.accepted.definition.steps[name.step as usize].count;
         let tasks = (0..count).filter_map(|index| self.task(&TaskName { index, ..*name }));
@@ -321,7 +322,7 @@
         self.open_counts.iter().all(|open| *open == 0)
     }
 
-    /// What is to be kept.
+    /// The progress to persist.
     pub(crate) fn progress(&self) -> Progress {
         let mut progress = Progress { outcome: self.outcome, ..Progress::default() };
         if self.outcome.is_some() {
@@ -345,7 +346,7 @@
         progress
     }
 
-    /// Takes over what was kept.
+    /// Restores persisted progress.
     pub(crate) fn restore(&mut self, progress: &Progress) {
         self.outcome = progress.outcome;
         for flat in &progress.done {
