--- a/crates/engine/src/cell.rs
+++ b/crates/engine/src/cell.rs
@@ -352,11 +352,11 @@
         if self.jobs.contains_key(&id) {
             return false;
         }
-        let work = accepted.definition.work() as f64;
-        let mean = self.mean_core_ms.entry(accepted.queue.clone()).or_insert(work);
+        let core_ms = accepted.definition.work() as f64;
+        let mean_core_ms = self.mean_core_ms.entry(accepted.queue.clone()).or_insert(core_ms);
         // A weight of a twentieth averages over some twenty jobs.  At ten jobs a second this
         // follows a change of the mix within a few seconds.
-        *mean += (work - *mean) * 0.05;
+        *mean_core_ms += (core_ms - *mean_core_ms) * 0.05;
         let account = self.open_account(&accepted.origin, now);
         let mut job = Job::new(accepted, inherited, now - age);
         job.account = account;
@@ -411,11 +411,11 @@
 
     /// Number of a queue's active jobs of which no task has been started.
     pub fn queued_jobs(&self, queue: &str) -> usize {
-        let waits = |id: &&Id| {
+        let is_queued = |id: &&Id| {
             let job = &self.jobs[*id];
             &*job.accepted.queue == queue && !job.started
         };
-        self.active_jobs.iter().filter(waits).count()
+        self.active_jobs.iter().filter(is_queued).count()
     }
 
     /// Takes the recorded events.
@@ -423,9 +423,9 @@
         std::mem::take(&mut self.events)
     }
 
-    pub(crate) fn record_event(&mut self, note: Event) {
+    pub(crate) fn record_event(&mut self, event: Event) {
         if self.events.len() < MAX_PENDING_EVENTS {
-            self.events.push(note);
+            self.events.push(event);
         }
     }
 
--- a/crates/engine/src/cell/crash.rs
+++ b/crates/engine/src/cell/crash.rs
@@ -118,7 +118,7 @@
 /// How certain it is that a minion crashed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Certainty {
-    /// It has a new incarnation, or its machine is known to run without it.
+    /// It has a new incarnation, or its machine is known not to run it any more.
     Certain,
     /// It is silent, and may only be disconnected.
     Possible,
@@ -222,18 +222,22 @@
     /// Whether another minion became silent at the same time and no start there can explain it.
     /// Then a rack or an availability zone may be down, and the latest starts on its minions are
     /// not the cause.
-    fn has_common_cause(&self, silent: Time, id: &MinionId) -> bool {
-        let together = |other: Time| {
-            silent.since(other) < COMMON_CAUSE_WINDOW && other.since(silent) < COMMON_CAUSE_WINDOW
+    fn has_common_cause(&self, silent_since: Time, id: &MinionId) -> bool {
+        let is_simultaneous = |other: Time| {
+            silent_since.since(other) < COMMON_CAUSE_WINDOW
+                && other.since(silent_since) < COMMON_CAUSE_WINDOW
         };
-        let gone =
-            self.recent_losses.iter().any(|loss| !loss.has_suspect && together(loss.silent_since));
+        let is_other_lost = self
+            .recent_losses
+            .iter()
+            .any(|loss| !loss.has_suspect && is_simultaneous(loss.silent_since));
         let mut others = self.minions.values().filter(|minion| minion.id != *id && minion.answered);
-        gone || others.any(|minion| {
-            !minion.has_planned_end()
-                && !minion.has_suspect()
-                && minion.silent_since.is_some_and(together)
-        })
+        is_other_lost
+            || others.any(|minion| {
+                !minion.has_planned_end()
+                    && !minion.has_suspect()
+                    && minion.silent_since.is_some_and(is_simultaneous)
+            })
     }
 
     fn store_loss(&mut self, loss: Loss, now: Time) {
@@ -328,10 +332,10 @@
     /// next suspect of its job.  A long-running task does not wait for others, because its users
     /// are without it.
     pub(crate) fn may_start_suspect(&self, job: &Job, name: &TaskName) -> bool {
-        let lasting = job.accepted.definition.steps[name.step as usize].lasting;
-        let guarded = job.task(name).is_some_and(|task| task.suspicion.needs_isolation());
-        let is_kept = job.is_persisted() || !guarded;
-        is_kept && (lasting || self.is_next_suspect(job, name))
+        let long_running = job.accepted.definition.steps[name.step as usize].lasting;
+        let needs_isolation = job.task(name).is_some_and(|task| task.suspicion.needs_isolation());
+        let is_persisted = job.is_persisted() || !needs_isolation;
+        is_persisted && (long_running || self.is_next_suspect(job, name))
     }
 
     /// Whether a likely cause is the next of its job to start: none is on trial, and no waiting
@@ -341,8 +345,8 @@
     /// started together, each would take down one more minion.
     fn is_next_suspect(&self, job: &Job, name: &TaskName) -> bool {
         let mut runs = self.minions.values().flat_map(|minion| &minion.runs);
-        let is_tried = |run: &Run| run.suspicion.is_likely_cause() && run.is_on_trial();
-        if runs.any(|(other, run)| other.job == name.job && is_tried(run)) {
+        let is_suspect_on_trial = |run: &Run| run.suspicion.is_likely_cause() && run.is_on_trial();
+        if runs.any(|(other, run)| other.job == name.job && is_suspect_on_trial(run)) {
             return false;
         }
         let points = |task: &Task| task.suspicion.points;
--- a/crates/engine/src/cell/idle.rs
+++ b/crates/engine/src/cell/idle.rs
@@ -71,13 +71,13 @@
     /// The first unfinished task of a job that has been due for some time.
     fn idle_task(&self, id: Id, job: &Job, now: Time, wall_ms: u64) -> Option<TaskName> {
         let definition = &job.accepted.definition;
-        let due = |occurrence| definition.due_ms(occurrence).is_none_or(|at| wall_ms >= at);
-        let waited =
+        let is_due = |occurrence| definition.due_ms(occurrence).is_none_or(|at| wall_ms >= at);
+        let waiting_time =
             |task: &crate::cell::work::Task| now.since(task.waiting_since.max(task.not_before));
-        for occurrence in (0..definition.occurrences()).filter(|occurrence| due(*occurrence)) {
+        for occurrence in (0..definition.occurrences()).filter(|occurrence| is_due(*occurrence)) {
             for step in 0..definition.steps.len() as u32 {
-                let open = job.open_tasks(occurrence, step) > 0;
-                if !open || !job.is_step_ready(occurrence, step) {
+                let is_open = job.open_tasks(occurrence, step) > 0;
+                if !is_open || !job.is_step_ready(occurrence, step) {
                     continue;
                 }
                 let count = definition.steps[step as usize].count;
@@ -85,7 +85,7 @@
                     (0..count).map(|index| TaskName { job: id, occurrence, step, index });
                 return names.find(|name| {
                     job.task(name).is_some_and(|task| {
-                        task.phase != Phase::Done && waited(task) >= IDLE_CHECK_INTERVAL
+                        task.phase != Phase::Done && waiting_time(task) >= IDLE_CHECK_INTERVAL
                     })
                 });
             }
--- a/crates/engine/src/cell/load.rs
+++ b/crates/engine/src/cell/load.rs
@@ -35,8 +35,8 @@
             }
         }
         for minion in self.minions.values().filter(|minion| minion.listed) {
-            let millicores = |lasting: bool| {
-                let runs = minion.runs.values().filter(|run| run.long_running == lasting);
+            let millicores = |long_running: bool| {
+                let runs = minion.runs.values().filter(|run| run.long_running == long_running);
                 runs.map(|run| average.equivalent_cores(&run.need)).sum::<u64>()
             };
             let (working, lasting) = (millicores(false), millicores(true));
--- a/crates/engine/src/cell/pace.rs
+++ b/crates/engine/src/cell/pace.rs
@@ -52,8 +52,8 @@
 }
 
 /// The next pace of a best-effort task, in percent.
-fn next_pace(pace: u8, verdict: Adjustment) -> u8 {
-    match verdict {
+fn next_pace(pace: u8, adjustment: Adjustment) -> u8 {
+    match adjustment {
         Adjustment::Pause => 0,
         Adjustment::SlowDown => pace / 2,
         Adjustment::SpeedUp => pace.saturating_add(SPEED_UP_STEP_PERCENT).min(100),
@@ -64,38 +64,41 @@
 /// The worst tail latency of a minion's serving tasks, in percent of its target; `None` if it runs
 /// none with a target.
 fn worst_tail_percent(cell: &Cell, minion: &Minion) -> Option<u64> {
-    let share = |(task, run): (&crate::job::TaskName, &crate::cell::minion::Run)| {
+    let tail_percent = |(task, run): (&crate::job::TaskName, &crate::cell::minion::Run)| {
         let job = cell.jobs.get(&task.job)?;
         let step = &job.accepted.definition.steps[task.step as usize];
         let target = step.tail_target_ms?;
         Some(run.load? * 100 / target.max(1))
     };
-    minion.runs.iter().filter_map(share).max()
+    minion.runs.iter().filter_map(tail_percent).max()
 }
 
 impl Cell {
     /// Adjusts the pace of best-effort tasks.
     pub(crate) fn adjust_paces(&mut self, now: Time, orders: &mut Vec<Order>) {
-        let verdicts: Vec<_> = self
+        let adjustments: Vec<_> = self
             .minions
             .values()
             .filter(|minion| minion.runs.values().any(|run| run.best_effort))
             .map(|minion| {
                 // Without a serving task, nothing is disturbed.
-                let verdict =
+                let adjustment =
                     worst_tail_percent(self, minion).map_or(Adjustment::SpeedUp, adjustment);
-                (minion.id.clone(), verdict)
+                (minion.id.clone(), adjustment)
             })
             .collect();
-        for (id, verdict) in verdicts {
-            let wait =
-                if verdict == Adjustment::SpeedUp { SPEED_UP_INTERVAL } else { SLOW_DOWN_INTERVAL };
+        for (id, adjustment) in adjustments {
+            let wait = if adjustment == Adjustment::SpeedUp {
+                SPEED_UP_INTERVAL
+            } else {
+                SLOW_DOWN_INTERVAL
+            };
             let Some(minion) = self.minions.get_mut(&id) else { continue };
             for (task, run) in &mut minion.runs {
                 let due = run.best_effort
                     && run.phase == RunPhase::Active
                     && now.since(run.pace_changed_at) >= wait;
-                let pace = next_pace(run.pace_percent, verdict);
+                let pace = next_pace(run.pace_percent, adjustment);
                 if due && pace != run.pace_percent {
                     run.pace_percent = pace;
                     run.pace_changed_at = now;
--- a/crates/engine/src/cell/place.rs
+++ b/crates/engine/src/cell/place.rs
@@ -232,13 +232,13 @@
 
 /// Whether a step's tasks may run on a minion, regardless of free capacity.
 pub(crate) fn is_suitable(minion: &Minion, step: &Step, spread: &Spread) -> bool {
-    let labelled = step
+    let has_label = step
         .requires
         .as_ref()
         .is_none_or(|label| minion.listing.labels.iter().any(|own| own == label));
-    let spaced =
+    let is_below_limit =
         step.per_minion.is_none_or(|limit| spread.get(&minion.id).copied().unwrap_or(0) < limit);
-    labelled && spaced
+    has_label && is_below_limit
 }
 
 fn placement_cost(
--- a/crates/engine/src/cell/plan.rs
+++ b/crates/engine/src/cell/plan.rs
@@ -278,7 +278,7 @@
     /// tasks than its allowance may be inactive.
     fn can_evacuate(&self, job: &Job, name: &TaskName, step: &Step) -> bool {
         let allowance = step.may_be_away.unwrap_or(0);
-        let at_work = |index: u32| {
+        let is_active = |index: u32| {
             let other = TaskName { index, ..*name };
             let Some(task) = job.task(&other) else { return false };
             let Phase::Placed { minion, run } = &task.phase else { return false };
@@ -287,8 +287,9 @@
             minion.is_reachable()
                 && run.is_some_and(|run| run.phase == RunPhase::Active && run.percent >= 100)
         };
-        let away = (0..step.count).filter(|index| *index != name.index && !at_work(*index)).count();
-        (away as u32) < allowance
+        let inactive =
+            (0..step.count).filter(|index| *index != name.index && !is_active(*index)).count();
+        (inactive as u32) < allowance
     }
 
     fn start_waiting_jobs(
--- a/crates/engine/src/cell/report.rs
+++ b/crates/engine/src/cell/report.rs
@@ -351,13 +351,13 @@
         let steps = &job.accepted.definition.steps;
         let step = steps.get(running.task.step as usize).cloned();
         let charge = step.as_ref().and_then(|step| job.charge(step));
-        let wanted = !job.is_end_persisted();
+        let is_wanted = !job.is_end_persisted();
         let Some(task) = job.task_mut(&running.task) else {
             orders.push(stop);
             return;
         };
         let number = running.run;
-        if !wanted || task.phase != Phase::Waiting {
+        if !is_wanted || task.phase != Phase::Waiting {
             // Unwanted, but it uses capacity until its end is listed.
             let phase = RunPhase::Stopping { ordered: now, confirmed: None };
             let run = Run { charge, ..Run::new(number, phase, step.as_ref(), now) };
--- a/crates/engine/src/cell/restart.rs
+++ b/crates/engine/src/cell/restart.rs
@@ -72,8 +72,8 @@
         Some(restart)
     }
 
-    /// Returns the minion as it was before the restart, with the runs that ended, or may have ended,
-    /// with the former incarnation.
+    /// Returns the minion as it was before the restart, with the runs that ended, or may have
+    /// ended, with the former incarnation.
     fn former_minion(&self, restart: &Restart, missing: &[(TaskName, u32)]) -> Self {
         let mut former = Self {
             answered: true,
--- a/crates/engine/src/cell/work.rs
+++ b/crates/engine/src/cell/work.rs
@@ -40,7 +40,7 @@
     pub checkpoint: Option<Box<str>>,
     /// Earliest time of its next start.
     pub not_before: Time,
-    /// When its last run was lost or ended, or its job was accepted.
+    /// When it was last requeued, or its job was accepted.
     pub waiting_since: Time,
     /// Minion where it failed last, so that another one is tried next.
     pub avoid: Option<MinionId>,
@@ -179,8 +179,8 @@
 
     /// Whether the job was cancelled or its outcome is persisted.
     ///
-    /// An outcome that is not persisted must not stop the job's runs, since a new owner would resume
-    /// the job.
+    /// An outcome that is not persisted must not stop the job's runs, since a new owner would
+    /// resume the job.
     pub(crate) fn is_end_persisted(&self) -> bool {
         self.cancelled || (self.outcome.is_some() && self.is_persisted())
     }
