--- a/crates/engine/src/cell/report.rs
+++ b/crates/engine/src/cell/report.rs
@@ -179,8 +179,8 @@
     /// Sets whether a minion is to be emptied.
     ///
     /// For a silent minion this is not cleared: its machine was ordered to shut down, and the mark
-    /// for emptying is removed before the minion is known to have terminated.  Its end would be
-    /// taken for a crash.
+    /// for emptying is removed before the minion is known to have terminated.  Otherwise its end
+    /// would be taken for a crash.
     pub fn set_leaving(&mut self, id: &str, leaving: bool) {
         if let Some(minion) = self.minions.get_mut(id) {
             minion.leaving = leaving || (minion.leaving && minion.silent_since.is_some());
