--- a/crates/engine/src/cell/restart.rs
+++ b/crates/engine/src/cell/restart.rs
@@ -5,7 +5,7 @@
 
 use crate::cell::crash::Certainty;
 use crate::cell::minion::{Incarnation, Minion, MinionId, Run, RunPhase};
-use crate::cell::{Cell, Note, Report};
+use crate::cell::{Cell, Event, Report};
 use crate::job::TaskName;
 use crate::time::Time;
 
@@ -65,15 +65,15 @@
         self.former_incarnations.push(former);
         self.seen = 0;
         self.acknowledged = 0;
-        self.failing.clear();
+        self.failing_jobs.clear();
         self.slow_jobs.clear();
-        self.strikes = 0;
-        self.quarantined = Time(0);
+        self.quarantine_count = 0;
+        self.quarantined_until = Time(0);
         Some(restart)
     }
 
-    /// Returns the minion as it was before the restart, with the runs that ended, or may have ended,
-    /// with the former incarnation.
+    /// Returns the minion as it was before the restart, with the runs that ended, or may have
+    /// ended, with the former incarnation.
     fn former_minion(&self, restart: &Restart, missing: &[(TaskName, u32)]) -> Self {
         let mut former = Self {
             answered: true,
@@ -92,7 +92,8 @@
 }
 
 impl Cell {
-    /// Gives up the runs lost in a restart, counts it as a crash, and drops the minion's tickets.
+    /// Requeues the tasks of runs lost in a restart, counts it as a crash, and drops the minion's
+    /// tickets.
     ///
     /// Unanswered starts are retained: they may still reach the new incarnation and must be stopped
     /// there.
@@ -107,9 +108,11 @@
         let Some(minion) = self.minions.get_mut(id) else { return };
         let missing = minion.missing_runs(report, sent);
         let former_minion = minion.former_minion(restart, &missing);
-        let runs: Vec<(TaskName, Run)> =
-            missing.iter().filter_map(|(task, _)| Some((*task, minion.remove(task)?))).collect();
-        self.note(Note::Restarted {
+        let runs: Vec<(TaskName, Run)> = missing
+            .iter()
+            .filter_map(|(task, _)| Some((*task, minion.remove_run(task)?)))
+            .collect();
+        self.record_event(Event::Restarted {
             minion: id.clone(),
             former: restart.former,
             current: restart.current,
@@ -118,7 +121,7 @@
             acknowledged: restart.acknowledged,
         });
         self.drop_tickets(id);
-        self.note_loss(&former_minion, Certainty::Certain, now);
-        self.give_up_lost_runs(id, runs, now);
+        self.record_loss(&former_minion, Certainty::Certain, now);
+        self.requeue_lost_runs(id, runs, now);
     }
 }
--- a/crates/engine/src/cell/work.rs
+++ b/crates/engine/src/cell/work.rs
@@ -1,4 +1,4 @@
-//! A job in the hands of its cell's owner.
+//! A job and its tasks, as held by the cell's owner.
 
 use crate::cell::crash::Suspicion;
 use crate::cell::minion::MinionId;
@@ -8,52 +8,52 @@
 use smallvec::SmallVec;
 use std::collections::BTreeSet;
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Phase {
-    /// It waits for its turn or for room.
+    /// It waits for its turn or for capacity.
     #[default]
     Waiting,
     /// A run of it is on a minion, or may be.
     Placed {
-        /// Where.
+        /// The minion.
         minion: MinionId,
-        /// The run's number.  It isn't always the highest one: a run whose start was carried out late is
-        /// older than those that failed meanwhile.  Compared with the highest, its end was taken for that
-        /// of an older run, and the task counted as placed for ever.
+        /// The run's number.  It is not always the highest one: a run whose start was carried out
+        /// late is older than those that failed meanwhile.  When it was compared with the highest,
+        /// its end was taken for that of an older run, and the task counted as placed forever.
         run: u32,
     },
-    /// It has ended as done.
+    /// It is done.
     Done,
 }
 
 /// A task.
 #[derive(Clone, Debug, Default)]
 pub struct Task {
-    /// Where it stands.
+    /// Its state.
     pub phase: Phase,
-    /// The highest number of a run known; the next one is higher.
+    /// The highest known run number; the next run gets a higher one.
     pub last_run: u32,
-    /// Runs that failed.
+    /// Numbers of the runs that failed.
     pub failed: SmallVec<[u32; 2]>,
-    /// The newest checkpoint.
+    /// Its latest checkpoint.
     pub checkpoint: Option<Box<str>>,
-    /// It isn't started before.
+    /// Earliest time of its next start.
     pub not_before: Time,
-    /// When its last run was given up, or its job was accepted.
-    pub waits_since: Time,
-    /// Where it failed last, to try another minion next.
+    /// When it was last requeued, or its job was accepted.
+    pub waiting_since: Time,
+    /// Minion where it failed last, so that another one is tried next.
     pub avoid: Option<MinionId>,
-    /// Whether it was stopped once on a slow minion, to be begun anew elsewhere.
-    pub begun_anew: bool,
-    /// Where it stood still last.
-    pub stood_on: Option<MinionId>,
-    /// What crashes of its minions hold against it.
+    /// Whether it was stopped once on a slow minion, to be restarted elsewhere.
+    pub was_straggler: bool,
+    /// Minion where it stalled last.
+    pub stalled_on: Option<MinionId>,
+    /// Suspicion of crashing its minions.
     pub suspicion: Suspicion,
 }
 
 impl Task {
-    /// Whether a crash of a minion is held against it, or may be.
+    /// Whether it is suspected of crashing a minion, or a crash is possible.
     pub(crate) fn is_suspected(&self) -> bool {
         self.suspicion != Suspicion::default()
     }
@@ -62,67 +62,68 @@
 /// A job.
 #[derive(Debug)]
 pub struct Job {
-    /// What was accepted.
+    /// The accepted submission.
     pub accepted: Accepted,
-    /// Whether a former owner may have started some of it.
+    /// Whether a former owner may have started tasks of it.
     pub inherited: bool,
     /// When it was accepted, on this process's clock.
-    pub since: Time,
-    /// When this owner came to know it.
-    pub known: Time,
-    /// What its workspace may have running; none where nothing limits it.
+    pub accepted_at: Time,
+    /// When this owner learned of it.
+    pub known_since: Time,
+    /// The account that its tasks are charged to; `None` if nothing limits them.
     pub(crate) account: Option<AccountId>,
-    /// Whether tasks of it have waited for that.
+    /// Whether a task of it has waited for its workspace's limit.
     pub(crate) held_back: bool,
     /// Whether its caller has cancelled it.
     pub cancelled: bool,
-    /// Completed or failed.
+    /// Its outcome, once it has completed or failed.
     pub outcome: Option<State>,
     /// Whether any task has been started.
     pub started: bool,
     /// When it ended.
-    pub ended: Option<Time>,
-    /// Counts changes that must be kept, and the last of them that is.
+    pub ended_at: Option<Time>,
+    /// Number of changes to persist so far; `persisted_changes` is how many of them are persisted.
     pub changes: u64,
-    pub(crate) kept: u64,
+    pub(crate) persisted_changes: u64,
     pub(crate) tasks: Vec<Task>,
-    /// Flat number of each step's first task within an occurrence.
+    /// Flat index of each step's first task within an occurrence.
     offsets: SmallVec<[u32; 8]>,
-    /// Tasks of each occurrence and step that are not done.
-    pub(crate) open: Vec<u32>,
-    /// All of its estimated work, and what is left of it.
-    pub(crate) whole: Estimate,
-    /// See [`Job::whole`].
-    pub(crate) left: Estimate,
+    /// Number of tasks that are not done, by occurrence and step.
+    pub(crate) open_counts: Vec<u32>,
+    /// Estimate of all of its work.
+    pub(crate) total: Estimate,
+    /// Estimate of its remaining work.
+    pub(crate) remaining: Estimate,
 }
 
-/// What a job's steps, or those that are left, take as estimated.
+/// Estimated work of a job's steps, or of those that are not done.
 ///
-/// Kept, since every plan ranks every job that waits, and it changes only when a task is done.
+/// Cached, since every plan ranks every waiting job, and it changes only when a task is done.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Estimate {
-    /// Milliseconds of the longest chain.
-    pub(crate) chain_ms: u64,
-    /// Core-milliseconds.
-    pub(crate) work: u64,
+    /// Length of the critical path.
+    pub(crate) critical_path_ms: u64,
+    /// Work in core-milliseconds.
+    pub(crate) core_ms: u64,
 }
 
 impl Estimate {
-    fn of(definition: &Definition, open: &[u32]) -> Self {
+    fn of(definition: &Definition, open_counts: &[u32]) -> Self {
         let steps = definition.steps.len();
-        let open_of = |step: usize| -> u32 { open.iter().skip(step).step_by(steps).sum() };
-        let work_of = |(number, step): (usize, &Step)| {
-            u64::from(open_of(number)) * step.need.cpu * step.estimate_ms / 1000
+        let count_open =
+            |step: usize| -> u32 { open_counts.iter().skip(step).step_by(steps).sum() };
+        let step_core_ms = |(number, step): (usize, &Step)| {
+            u64::from(count_open(number)) * step.need.cpu * step.estimate_ms / 1000
         };
         Self {
-            chain_ms: definition.chain_ms(|step| open_of(step) > 0),
-            work: definition.steps.iter().enumerate().map(work_of).sum(),
+            critical_path_ms: definition.chain_ms(|step| count_open(step) > 0),
+            core_ms: definition.steps.iter().enumerate().map(step_core_ms).sum(),
         }
     }
 }
 
 impl Job {
-    pub(crate) fn new(accepted: Accepted, inherited: bool, since: Time) -> Self {
+    pub(crate) fn new(accepted: Accepted, inherited: bool, accepted_at: Time) -> Self {
         let definition = &accepted.definition;
         let mut offsets = SmallVec::new();
         let mut next = 0;
@@ -132,33 +133,36 @@
         }
         let occurrences = definition.occurrences();
         let counts: Vec<u32> = definition.steps.iter().map(|step| step.count).collect();
-        let open = counts.repeat(occurrences as usize);
-        let task = Task { waits_since: since, ..Task::default() };
+        let open_counts = counts.repeat(occurrences as usize);
+        let task = Task { waiting_since: accepted_at, ..Task::default() };
         let tasks = vec![task; (next * occurrences) as usize];
-        let whole = Estimate { chain_ms: definition.chain_ms(|_| true), work: definition.work() };
-        let left = Estimate::of(definition, &open);
+        let total = Estimate {
+            critical_path_ms: definition.chain_ms(|_| true),
+            core_ms: definition.work(),
+        };
+        let remaining = Estimate::of(definition, &open_counts);
         Self {
             accepted,
             inherited,
-            since,
-            known: since,
+            accepted_at,
+            known_since: accepted_at,
             account: None,
             held_back: false,
             cancelled: false,
             outcome: None,
             started: false,
-            ended: None,
+            ended_at: None,
             changes: 0,
-            kept: 0,
+            persisted_changes: 0,
             tasks,
             offsets,
-            open,
-            whole,
-            left,
+            open_counts,
+            total,
+            remaining,
         }
     }
 
-    /// The state as far as it is known here.
+    /// Its state as known to this owner.
     pub fn state(&self) -> State {
         match self.outcome {
             Some(outcome) => outcome,
@@ -168,91 +172,93 @@
         }
     }
 
-    /// What a task of a step takes of its workspace's limit; also the cores of one that only fills.
+    /// What a task of a step is charged; for a best-effort task this includes its cores.
     pub(crate) fn charge(&self, step: &Step) -> Option<Charge> {
         self.account.map(|account| Charge { account, need: step.need })
     }
 
     /// Whether the job was cancelled or its outcome is persisted.
     ///
-    /// An outcome that is not persisted must not stop the job's runs, since a new owner would resume
-    /// the job.
-    pub(crate) fn is_end_kept(&self) -> bool {
-        self.cancelled || (self.outcome.is_some() && self.is_kept())
+    /// An outcome that is not persisted must not stop the job's runs, since a new owner would
+    /// resume the job.
+    pub(crate) fn is_end_persisted(&self) -> bool {
+        self.cancelled || (self.outcome.is_some() && self.is_persisted())
     }
 
-    /// Whether all that must outlive this owner is kept.
-    pub fn is_kept(&self) -> bool {
-        self.kept >= self.changes
+    /// Whether everything that must outlive this owner is persisted.
+    pub fn is_persisted(&self) -> bool {
+        self.persisted_changes >= self.changes
     }
 
-    pub(crate) fn change(&mut self) {
+    pub(crate) fn mark_changed(&mut self) {
         self.changes += 1;
     }
 
-    /// Notes that a task stood still on a minion; whether the minion may be the cause, as far as is known.
-    pub(crate) fn stood_still(&mut self, name: &TaskName, minion: MinionId) -> bool {
+    /// Records that a task stalled on a minion.  Returns whether the minion may be the cause, as
+    /// far as is known.
+    pub(crate) fn record_stall(&mut self, name: &TaskName, minion: MinionId) -> bool {
         let Some(task) = self.task_mut(name) else { return true };
         task.avoid = Some(minion.clone());
-        let before = task.stood_on.replace(minion.clone());
-        before.is_none_or(|before| before == minion)
+        let previous = task.stalled_on.replace(minion.clone());
+        previous.is_none_or(|previous| previous == minion)
     }
 
-    /// Whether a task of it has crashed so many minions that it is to be given up.
+    /// Whether a task of it has crashed so many minions that the job must fail.
     pub(crate) fn crashes_minions(&self) -> bool {
-        self.tasks.iter().any(|task| task.suspicion.is_proved())
+        self.tasks.iter().any(|task| task.suspicion.is_conclusive())
     }
 
-    /// Ends it as failed.
+    /// Marks it as failed.
     pub(crate) fn fail(&mut self, now: Time) {
         self.outcome = Some(State::Failed);
-        self.ended = Some(now);
-        self.change();
+        self.ended_at = Some(now);
+        self.mark_changed();
     }
 
-    /// Tasks of one occurrence.
-    fn width(&self) -> u32 {
+    /// Number of tasks of one occurrence.
+    fn tasks_per_occurrence(&self) -> u32 {
         self.accepted.definition.tasks_per_occurrence()
     }
 
-    /// The flat number of a task.
-    pub(crate) fn flat(&self, name: &TaskName) -> Option<usize> {
+    /// Flat index of a task.
+    pub(crate) fn flat_index(&self, name: &TaskName) -> Option<usize> {
         let step = self.accepted.definition.steps.get(name.step as usize)?;
         let exists =
             name.index < step.count && name.occurrence < self.accepted.definition.occurrences();
         let offset = self.offsets.get(name.step as usize)?;
-        exists.then(|| (name.occurrence * self.width() + offset + name.index) as usize)
+        exists
+            .then(|| (name.occurrence * self.tasks_per_occurrence() + offset + name.index) as usize)
     }
 
-    /// Occurrence, step and index of a flat number.
-    pub(crate) fn place_of(&self, flat: u32) -> (u32, u32, u32) {
-        let occurrence = flat / self.width();
-        let within = flat % self.width();
+    /// Occurrence, step and index of the task at a flat index.
+    pub(crate) fn position_of(&self, flat: u32) -> (u32, u32, u32) {
+        let occurrence = flat / self.tasks_per_occurrence();
+        let within = flat % self.tasks_per_occurrence();
         let step = self.offsets.iter().rposition(|offset| *offset <= within).unwrap_or(0);
         (occurrence, step as u32, within - self.offsets[step])
     }
 
     pub(crate) fn task(&self, name: &TaskName) -> Option<&Task> {
-        self.flat(name).map(|flat| &self.tasks[flat])
+        self.flat_index(name).map(|flat| &self.tasks[flat])
     }
 
     pub(crate) fn task_mut(&mut self, name: &TaskName) -> Option<&mut Task> {
-        let flat = self.flat(name)?;
+        let flat = self.flat_index(name)?;
         self.tasks.get_mut(flat)
     }
 
-    /// Tasks of a step that are not done.
+    /// Number of a step's tasks that are not done.
     pub(crate) fn open_tasks(&self, occurrence: u32, step: u32) -> u32 {
-        self.open[occurrence as usize * self.accepted.definition.steps.len() + step as usize]
+        self.open_counts[occurrence as usize * self.accepted.definition.steps.len() + step as usize]
     }
 
-    /// The first task of a step that could be started now, room apart.
+    /// The first task of a step that could be started now, regardless of capacity.
     pub(crate) fn first_waiting(&self, first: TaskName, now: Time) -> Option<TaskName> {
         let count = self.accepted.definition.steps[first.step as usize].count;
         let mut names = (0..count).map(|index| TaskName { index, ..first });
         names.find(|name| {
-            let waits = |task: &Task| task.phase == Phase::Waiting && now >= task.not_before;
-            self.task(name).is_some_and(waits)
+            let is_waiting = |task: &Task| task.phase == Phase::Waiting && now >= task.not_before;
+            self.task(name).is_some_and(is_waiting)
         })
     }
 
@@ -262,8 +268,8 @@
         after.iter().all(|earlier| self.open_tasks(occurrence, *earlier) == 0)
     }
 
-    /// The first tasks of all steps that are gangs and not done.
-    pub(crate) fn gangs(&self, job: Id) -> Vec<TaskName> {
+    /// The first task of each gang step that is not done.
+    pub(crate) fn open_gangs(&self, job: Id) -> Vec<TaskName> {
         let steps = &self.accepted.definition.steps;
         let gangs = (0..steps.len() as u32).filter(|step| steps[*step as usize].gang);
         let occurrences = 0..self.accepted.definition.occurrences();
@@ -276,19 +282,19 @@
             .collect()
     }
 
-    /// Notes that a task is done; true if that was news.
+    /// Marks a task as done.  Returns whether it was not done before.
     pub(crate) fn finish_task(&mut self, name: &TaskName) -> bool {
-        self.flat(name).is_some_and(|flat| self.finish_flat(flat))
+        self.flat_index(name).is_some_and(|flat| self.finish_task_at(flat))
     }
 
-    /// Notes that all tasks of a step are done.
+    /// Marks all tasks of a step as done.
     pub(crate) fn finish_step(&mut self, name: &TaskName) {
         for index in 0..self.accepted.definition.steps[name.step as usize].count {
             self.finish_task(&TaskName { index, ..*name });
         }
     }
 
-    /// How many different runs of a step's tasks have failed.
+    /// Number of different runs of a step's tasks that have failed.
     pub(crate) fn failed_runs(&self, name: &TaskName) -> usize {
         let count = self.accepted.definition.steps[name.step as usize].count;
         let tasks = (0..count).filter_map(|index| self.task(&TaskName { index, ..*name }));
@@ -296,27 +302,27 @@
         runs.len()
     }
 
-    fn finish_flat(&mut self, flat: usize) -> bool {
+    fn finish_task_at(&mut self, flat: usize) -> bool {
         let Some(task) = self.tasks.get_mut(flat) else { return false };
         if task.phase == Phase::Done {
             return false;
         }
         task.phase = Phase::Done;
         task.checkpoint = None;
-        let (occurrence, step, _) = self.place_of(flat as u32);
+        let (occurrence, step, _) = self.position_of(flat as u32);
         let steps = self.accepted.definition.steps.len();
-        self.open[occurrence as usize * steps + step as usize] -= 1;
-        self.left = Estimate::of(&self.accepted.definition, &self.open);
-        self.change();
+        self.open_counts[occurrence as usize * steps + step as usize] -= 1;
+        self.remaining = Estimate::of(&self.accepted.definition, &self.open_counts);
+        self.mark_changed();
         true
     }
 
     /// Whether all tasks are done.
     pub(crate) fn is_done(&self) -> bool {
-        self.open.iter().all(|open| *open == 0)
+        self.open_counts.iter().all(|open| *open == 0)
     }
 
-    /// What is to be kept.
+    /// The progress to persist.
     pub(crate) fn progress(&self) -> Progress {
         let mut progress = Progress { outcome: self.outcome, ..Progress::default() };
         if self.outcome.is_some() {
@@ -333,18 +339,18 @@
             if let Some(checkpoint) = &task.checkpoint {
                 progress.checkpoints.push((flat, checkpoint.clone()));
             }
-            if task.suspicion.kept() > 0 && task.phase != Phase::Done {
-                progress.suspicions.push((flat, task.suspicion.kept()));
+            if task.suspicion.persisted_points() > 0 && task.phase != Phase::Done {
+                progress.suspicions.push((flat, task.suspicion.persisted_points()));
             }
         }
         progress
     }
 
-    /// Takes over what was kept.
+    /// Restores persisted progress.
     pub(crate) fn restore(&mut self, progress: &Progress) {
         self.outcome = progress.outcome;
         for flat in &progress.done {
-            self.finish_flat(*flat as usize);
+            self.finish_task_at(*flat as usize);
             self.started = true;
         }
         for (flat, failed) in &progress.failed {
@@ -361,10 +367,10 @@
         }
         for (flat, points) in &progress.suspicions {
             if let Some(task) = self.tasks.get_mut(*flat as usize) {
-                task.suspicion = Suspicion::restored(*points);
+                task.suspicion = Suspicion::from_persisted(*points);
                 self.started = true;
             }
         }
-        self.kept = self.changes;
+        self.persisted_changes = self.changes;
     }
 }
