--- a/crates/scheduler/src/confirm.rs
+++ b/crates/scheduler/src/confirm.rs
@@ -15,7 +15,7 @@
 
 /// Longest wait for a read.  The store answers in some 4 ms, and in 400 ms when it is a hundred
 /// times slower.
-const READ_LIMIT: Duration = Duration::from_millis(700);
+const READ_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// How a transaction is known to be carried out.
 #[derive(Debug)]
@@ -40,7 +40,7 @@
     is_done: impl Fn(&Row) -> bool,
 ) -> Result<Confirmed, Error> {
     let began = clock::now();
-    let mut answer = pin!(node.commit_patiently(change, limit));
+    let mut answer = pin!(node.commit_with_timeout(change, limit));
     loop {
         let wait = node.patience.lock().limit();
         let overdue = pin!(async_std::task::sleep(wait));
@@ -51,23 +51,23 @@
         };
         if let Some(error) = error {
             // Its connection broke; the row may be there all the same.
-            let row = read(node, name).await.unwrap_or_default();
+            let row = read_row(node, name).await.unwrap_or_default();
             return row.filter(is_done).map(Confirmed::Found).ok_or(error);
         }
         node.patience.lock().unanswered();
         let asked = clock::now();
-        let reading = pin!(read(node, name));
+        let reading = pin!(read_row(node, name));
         match select(answer.as_mut(), reading).await {
             Either::Left((answer, _)) => return answer.map(|_| Confirmed::Answered),
             // Neither is answered: another way may serve.
-            Either::Right((Err(error), _)) => return Err(unsure(error.to_string())),
+            Either::Right((Err(error), _)) => return Err(unanswered_error(error.to_string())),
             Either::Right((Ok(row), _)) => {
                 if let Some(row) = row.filter(&is_done) {
                     return Ok(Confirmed::Found(row));
                 }
                 let now = clock::now();
                 if is_lost(now.since(began), now.since(asked)) {
-                    return Err(unsure("a read does not show it".into()));
+                    return Err(unanswered_error("a read does not show it".into()));
                 }
             }
         }
@@ -75,12 +75,12 @@
 }
 
 /// A read that is refused says nothing about the transaction, which may have been done.
-fn unsure(reason: String) -> Error {
+fn unanswered_error(reason: String) -> Error {
     Error::Unanswered { reason }
 }
 
-async fn read(node: &Node, name: &Name) -> Result<Option<Row>, Error> {
-    let row = node.store.get(&name.table, &name.part, &name.key, READ_LIMIT).await;
-    node.store_result(&row);
+async fn read_row(node: &Node, name: &Name) -> Result<Option<Row>, Error> {
+    let row = node.store.get(&name.table, &name.part, &name.key, READ_TIMEOUT).await;
+    node.record_store_result(&row);
     row
 }
--- a/crates/scheduler/src/daemon.rs
+++ b/crates/scheduler/src/daemon.rs
@@ -7,7 +7,7 @@
 use crate::journal::Journal;
 use crate::membership;
 use crate::node::Node;
-use crate::owner::keep;
+use crate::owner::persist;
 use crate::peers::{self, Peers};
 use crate::rows;
 use crate::settings::Settings;
@@ -103,7 +103,7 @@
 
     /// This process's id.
     pub fn id(&self) -> &str {
-        &self.node.me
+        &self.node.entry_id
     }
 
     /// Where callers reach it.
@@ -145,24 +145,24 @@
         let node = &self.node;
         let began = clock::now();
         let bound = node.settings.stop_bound.0.saturating_sub(STOP_MARGIN);
-        node.journal.note("stopping", &[("entry", &node.me)]);
+        node.journal.info("stopping", &[("entry", &node.entry_id)]);
         node.stopping.store(true, Ordering::SeqCst);
         drop(self.closing);
         // Bounded as a whole: with the store away it would never end, and the process would be
         // killed with callers' requests in flight.
         if timeout(bound / 2, hand_over_all(node)).await.is_err() {
-            node.journal.warn("handover_incomplete", &[("entry", &node.me)]);
+            node.journal.warn("handover_incomplete", &[("entry", &node.entry_id)]);
         }
         node.owners.read().values().for_each(|owner| owner.stop());
         let left = |limit: Duration| limit.saturating_sub(clock::now().since(began));
         async_std::task::sleep(left(STOP_NOTICE.min(bound))).await;
-        while node.flying.load(Ordering::SeqCst) > 0 && !left(bound).is_zero() {
+        while node.in_flight.load(Ordering::SeqCst) > 0 && !left(bound).is_zero() {
             async_std::task::sleep(STOP_POLL).await;
         }
         drop(self.ended);
         async_std::task::sleep(STOP_POLL * 2).await;
         node.peers.close();
-        node.journal.note("stopped", &[("unanswered", &node.flying.load(Ordering::SeqCst))]);
+        node.journal.info("stopped", &[("unanswered", &node.in_flight.load(Ordering::SeqCst))]);
         drop(self.stop);
         // Lets the last line out.
         async_std::task::sleep(STOP_POLL).await;
@@ -175,14 +175,14 @@
     loop {
         let held: Vec<String> = {
             let view = node.view.read();
-            let mine = view.holdings.iter().filter(|(_, holding)| holding.holder == node.me);
+            let mine = view.holdings.iter().filter(|(_, holding)| holding.holder == node.entry_id);
             mine.map(|(cell, _)| cell.clone()).collect()
         };
         let mut open = false;
         for cell in held {
             let owner = node.owner(&cell);
             if let Some(owner) = &owner {
-                keep::keep_all(owner).await;
+                persist::persist_all(owner).await;
                 owner.stop();
             }
             if membership::hand_over(node, &cell).await {
@@ -242,10 +242,10 @@
             return;
         }
     }
-    membership::clear_former(&node).await;
+    membership::drop_former_entries(&node).await;
     async_std::task::spawn(membership::renew_forever(node.clone(), peer));
-    node.journal.note("joined", &[("entry", &node.me), ("peer", &peer)]);
-    membership::judge_forever(node).await;
+    node.journal.info("joined", &[("entry", &node.entry_id), ("peer", &peer)]);
+    membership::check_ownership_forever(node).await;
 }
 
 /// This entry's identity, signed by the authority that the first entry made and kept.
@@ -260,7 +260,7 @@
 }
 
 fn issue(node: &Node, authority: &Pair) -> Option<Identity> {
-    let made = authority::issue(authority, &node.me).and_then(|own| {
+    let made = authority::issue(authority, &node.entry_id).and_then(|own| {
         Identity::from_pem(
             authority.certificate.as_bytes(),
             own.certificate.as_bytes(),
@@ -278,7 +278,7 @@
 
 async fn read_authority(node: &Node) -> Option<Pair> {
     let row = node.store.get(rows::CONTROL, "", rows::AUTHORITY_KEY, CALL_LIMIT).await;
-    node.store_result(&row);
+    node.record_store_result(&row);
     match row.ok()? {
         Some(row) => {
             let kept: rows::Authority = decode(&row.value).ok()?;
--- a/crates/scheduler/src/fleet.rs
+++ b/crates/scheduler/src/fleet.rs
@@ -193,7 +193,7 @@
     async fn load(&self) -> bool {
         let node = self.node();
         let rows = node.store.all(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_LIMIT).await;
-        node.store_result(&rows);
+        node.record_store_result(&rows);
         let Ok(rows) = rows else { return false };
         for row in &rows.rows {
             if let Some(machine) = row.key.strip_prefix(rows::EMPTYING_PREFIX) {
@@ -218,7 +218,7 @@
 
     /// In whose name orders are given.
     pub(crate) fn authority(&self) -> Authority {
-        Authority { holder: self.node().me.clone(), token: self.owner.token }
+        Authority { holder: self.node().entry_id.clone(), token: self.owner.token }
     }
 }
 
--- a/crates/scheduler/src/fleet/emptying.rs
+++ b/crates/scheduler/src/fleet/emptying.rs
@@ -66,7 +66,7 @@
         let mut view = node.view.write();
         for Leaver { machine, minion, .. } in chunk {
             view.emptying.insert(machine.clone(), minion.clone());
-            node.journal.note("machine_emptying", &[("machine", machine), ("minion", minion)]);
+            node.journal.info("machine_emptying", &[("machine", machine), ("minion", minion)]);
             written.insert(machine.clone());
         }
     }
--- a/crates/scheduler/src/fleet/maintenance.rs
+++ b/crates/scheduler/src/fleet/maintenance.rs
@@ -22,9 +22,9 @@
 pub(crate) async fn load(fleet: &Fleet) -> bool {
     let node = fleet.node();
     let waves = node.store.all(rows::FLEET, "", rows::WAVE_PREFIX, CALL_LIMIT).await;
-    node.store_result(&waves);
+    node.record_store_result(&waves);
     let begun = node.store.all(rows::FLEET, "", rows::BEGUN_PREFIX, CALL_LIMIT).await;
-    node.store_result(&begun);
+    node.record_store_result(&begun);
     let (Ok(waves), Ok(begun)) = (waves, begun) else { return false };
     let mut state = fleet.state.lock();
     for row in &waves.rows {
@@ -213,7 +213,7 @@
     let by = fleet.authority();
     let answer = fleet.client.upkeep(machine, wave, &by, CALL_LIMIT).await;
     let (ordered, outcome) = Ordered::read(answer);
-    node.journal.note(
+    node.journal.info(
         "maintenance_ordered",
         &[("machine", &machine), ("wave", &wave), ("token", &by.token), ("outcome", &outcome)],
     );
@@ -272,7 +272,7 @@
     let written = node.commit(&change, CALL_LIMIT).await.is_ok();
     if written {
         node.journal
-            .note("wave_reported", &[("wave", &number), ("state", &format_args!("{state:?}"))]);
+            .info("wave_reported", &[("wave", &number), ("state", &format_args!("{state:?}"))]);
     }
     written
 }
@@ -294,7 +294,7 @@
             .waves
             .wave(number)
             .map_or(0, |wave| (wave.seen_ms + wave.window_ms).saturating_sub(clock::wall_ms()));
-        fleet.node().journal.note(
+        fleet.node().journal.info(
             "wave_progress",
             &[
                 ("wave", &number),
--- a/crates/scheduler/src/fleet/pools.rs
+++ b/crates/scheduler/src/fleet/pools.rs
@@ -33,7 +33,7 @@
 pub(crate) async fn load(fleet: &Fleet) -> bool {
     let node = fleet.node();
     let row = node.store.get(rows::FLEET, "", rows::TURNS_KEY, CALL_LIMIT).await;
-    node.store_result(&row);
+    node.record_store_result(&row);
     match row.map(|row| row.map(|row| decode::<History>(&row.value))) {
         Ok(Some(Ok(history))) => {
             let ago = Duration::from_millis(clock::wall_ms().saturating_sub(history.began_ms));
@@ -51,7 +51,7 @@
 /// Keeps the turns as they are now, for the next holder.
 async fn keep_turns(node: &Node, history: &History) {
     let pool = history.turns.last().map(String::as_str).unwrap_or_default();
-    node.journal.note("turn_began", &[("pool", &pool), ("turns", &history.turns.len())]);
+    node.journal.info("turn_began", &[("pool", &pool), ("turns", &history.turns.len())]);
     let name = Name::new(rows::FLEET, "", rows::TURNS_KEY);
     let change = Transaction { writes: vec![(name, encode(history))], ..Transaction::default() };
     // If this is lost, the next holder knows one turn less, until it has seen it itself.
@@ -193,7 +193,7 @@
     let answer = fleet.client.change_pool(&plan.machine, &plan.to, &by, CALL_LIMIT).await;
     let (ordered, outcome) = Ordered::read(answer);
     let waited = clock::now().since(plan.since);
-    node.journal.note(
+    node.journal.info(
         "move_ordered",
         &[
             ("machine", &plan.machine),
@@ -226,7 +226,7 @@
     for plan in overdue {
         let mut state = fleet.state.lock();
         state.pools.abandon(&plan.machine);
-        node.journal.note("move_given_up", &[("machine", &plan.machine), ("to", &plan.to)]);
+        node.journal.info("move_given_up", &[("machine", &plan.machine), ("to", &plan.to)]);
         // One that may have been ordered keeps its row for the lease.
         if !state.is_held_back(&plan.machine) {
             rows.push(plan.machine.clone());
@@ -245,7 +245,7 @@
         if !told.is_news(pool.clone(), balance) {
             continue;
         }
-        fleet.node().journal.note(
+        fleet.node().journal.info(
             "pool_balance",
             &[
                 ("pool", &pool),
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -78,10 +78,10 @@
         let idle_pause = table.idle_pause.saturating_sub(table.pause);
         // Tables without one must not take the wake-up that is meant for the others.
         if !idle_pause.is_zero() && node.owners.read().is_empty() {
-            node.owning.wait(idle_pause).await;
+            node.cell_acquired.wait(idle_pause).await;
         }
         let result = node.store.feed(table.name, *version, table.wait).await;
-        node.store_result(&result);
+        node.record_store_result(&result);
         match result {
             Ok(page) => {
                 sink.answered();
@@ -130,7 +130,7 @@
         } else {
             node.store.all(table.name, "", "", READ_LIMIT).await
         };
-        node.store_result(&result);
+        node.record_store_result(&result);
         if let Ok(page) = result {
             sink.answered();
             note_unreadable(node, table, &page);
@@ -171,7 +171,7 @@
         match Wave::decode(&row.value) {
             _ if row.dropped => {}
             Some(wave) => {
-                node.journal.note(
+                node.journal.info(
                     "wave_seen",
                     &[
                         ("wave", &wave.number),
@@ -217,7 +217,7 @@
             }
             let known = node.minions.write().remove(&id).is_some();
             if known {
-                node.journal.note("minion_gone", &[("minion", &id), ("version", &row.version)]);
+                node.journal.info("minion_gone", &[("minion", &id), ("version", &row.version)]);
             }
             return known;
         };
@@ -236,7 +236,7 @@
         if !is_told {
             let event = if draining { "minion_draining" } else { "minion_seen" };
             let incarnation = incarnation.map_or(0, |incarnation| incarnation.0);
-            node.journal.note(
+            node.journal.info(
                 event,
                 &[
                     ("minion", &id),
@@ -251,7 +251,7 @@
 
     fn tell_owners(&self) {
         for owner in self.0.owners.read().values() {
-            owner.minions_changed();
+            owner.notify_minions_changed();
         }
     }
 }
--- a/crates/scheduler/src/front.rs
+++ b/crates/scheduler/src/front.rs
@@ -3,7 +3,7 @@
 use crate::clock;
 use crate::metrics::{Counter, Timing};
 use crate::node::Node;
-use crate::owner::load::read_progress;
+use crate::owner::load::decode_progress;
 use crate::peers;
 use crate::rows;
 use crate::submit::{self, Job, Written};
@@ -47,14 +47,14 @@
 
 impl<'a> Flying<'a> {
     fn new(node: &'a Node) -> Self {
-        node.flying.fetch_add(1, Ordering::SeqCst);
+        node.in_flight.fetch_add(1, Ordering::SeqCst);
         Self(node)
     }
 }
 
 impl Drop for Flying<'_> {
     fn drop(&mut self) {
-        self.0.flying.fetch_sub(1, Ordering::SeqCst);
+        self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
@@ -104,7 +104,7 @@
 
     fn readiness(&self) -> Response {
         let node = &self.node;
-        let ready = node.configuration().is_some() && !node.is_store_away() && !node.is_stopping();
+        let ready = node.configuration().is_some() && !node.is_store_down() && !node.is_stopping();
         answer(if ready { StatusCode::Ok } else { StatusCode::ServiceUnavailable })
     }
 
@@ -177,7 +177,7 @@
         let request = last_value(head, submission::REQUEST_HEADER).unwrap_or("-");
         let age_ms = self.node.in_force.age().as_millis();
         let job = head.url().path()[queue.path.len()..].to_owned();
-        self.node.journal.note(
+        self.node.journal.info(
             "key_refused",
             &[
                 ("job", &job),
@@ -197,7 +197,7 @@
     fn unconfirmed(&self, head: &http_types::Request, queue: &Queue) -> Response {
         let request = last_value(head, submission::REQUEST_HEADER).unwrap_or("-");
         let age_ms = self.node.in_force.age().as_millis();
-        self.node.journal.note(
+        self.node.journal.info(
             "keys_unconfirmed",
             &[("request", &request), ("queue", &queue.name), ("configuration_age_ms", &age_ms)],
         );
@@ -250,7 +250,7 @@
             Written::Refused(error) => error.to_string(),
             _ => String::new(),
         };
-        node.journal.note(
+        node.journal.info(
             event,
             &[
                 ("job", &id),
@@ -288,7 +288,7 @@
         reason: &dyn std::fmt::Display,
     ) -> Response {
         self.node.metrics.count(Counter::JobsRefused);
-        self.node.journal.note(
+        self.node.journal.info(
             "job_rejected",
             &[("job", &id), ("request", &context.request), ("status", &status), ("reason", reason)],
         );
@@ -315,7 +315,7 @@
         let state = match asked.await {
             Some(Answer::State(Some(state))) => Ok(Some(state)),
             // Nobody can tell now, and whoever asks does so again.
-            _ if self.node.is_store_away() => return refuse(context.left()),
+            _ if self.node.is_store_down() => return refuse(context.left()),
             // A job that the owner doesn't know may have been accepted a moment ago.
             _ => self.read_state(context, queue, id).await,
         };
@@ -326,7 +326,7 @@
                 response
             }
             Ok(None) => {
-                self.node.journal.note(
+                self.node.journal.info(
                     "job_not_found",
                     &[("job", &id), ("request", &context.request), ("queue", &queue.name)],
                 );
@@ -352,7 +352,7 @@
         let (node, service) = (&self.node, &queue.service);
         let get = async |name: celerythread_adapter::store::Name| {
             let row = node.store.get(&name.table, &name.part, &name.key, READ_LIMIT).await;
-            node.store_result(&row);
+            node.record_store_result(&row);
             row
         };
         let Some(job) = get(rows::job(service, &id)).await? else { return Ok(None) };
@@ -360,7 +360,7 @@
             return Ok(None);
         }
         let progress = get(rows::progress(service, &id)).await?;
-        let progress = progress.and_then(|row| read_progress(node, &row));
+        let progress = progress.and_then(|row| decode_progress(node, &row));
         if let Some(outcome) = progress.as_ref().and_then(|progress| progress.outcome) {
             return Ok(Some(outcome));
         }
@@ -377,7 +377,7 @@
         let service = &queue.service;
         let name = rows::job(service, &id);
         let row = node.store.get(&name.table, &name.part, &name.key, READ_LIMIT).await;
-        node.store_result(&row);
+        node.record_store_result(&row);
         match row {
             Ok(Some(row)) if self.may_access(context, id, &row.value) => {}
             Ok(_) => return answer(StatusCode::Gone),
@@ -392,7 +392,7 @@
             let attempt = Attempt {
                 waited: clock::now().since(began),
                 left: context.left(),
-                silent: node.is_store_away(),
+                silent: node.is_store_down(),
                 has_peers: false,
                 unanswered: true,
             };
@@ -404,7 +404,7 @@
             }
             async_std::task::sleep(RETRY.min(context.left())).await;
         };
-        node.journal.note(
+        node.journal.info(
             "job_cancelled",
             &[("job", &id), ("request", &context.request), ("written", &written)],
         );
@@ -445,7 +445,7 @@
     }
 
     fn refuse(&self, fault: &Fault) -> Response {
-        self.node.journal.note("request_unreadable", &[("reason", fault)]);
+        self.node.journal.info("request_unreadable", &[("reason", fault)]);
         let status = match fault {
             Fault::BodyTooLarge { .. } => StatusCode::PayloadTooLarge,
             Fault::HeadTooLarge { .. } => StatusCode::RequestHeaderFieldsTooLarge,
--- a/crates/scheduler/src/in_force.rs
+++ b/crates/scheduler/src/in_force.rs
@@ -123,7 +123,7 @@
         return;
     }
     let (version, queues) = (read.version, read.queues.len());
-    node.journal.note(
+    node.journal.info(
         "configuration_in_force",
         &[
             ("version", &version),
@@ -157,7 +157,7 @@
         if node.in_force.asking.wait(interval).timeout_at(node.stop.clone()).await.is_err() {
             return;
         }
-        if node.in_force.age() < ASK_AFTER && !node.may_store_be_away() {
+        if node.in_force.age() < ASK_AFTER && !node.is_store_likely_down() {
             (peer, interval) = (None, ASK_INTERVAL);
             continue;
         }
@@ -190,8 +190,9 @@
 fn choose(node: &Node) -> Option<SocketAddr> {
     let view = node.view.read();
     let others = || {
-        let rows = view.entry_rows.iter().filter(|(id, row)| **id != node.me && !row.stopping);
-        rows.map(|(_, row)| row.peer).filter(|peer| !node.peers.is_resting(*peer))
+        let rows =
+            view.entry_rows.iter().filter(|(id, row)| **id != node.entry_id && !row.stopping);
+        rows.map(|(_, row)| row.peer).filter(|peer| !node.peers.is_backing_off(*peer))
     };
     let linked = others().filter(|peer| node.peers.is_linked(*peer)).choose(&mut rand::rng());
     linked.or_else(|| others().choose(&mut rand::rng()))
--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -14,11 +14,11 @@
 use std::time::{Duration, Instant};
 
 /// Lines that may wait for the output.  A thousand lines of some 200 bytes are 200 KB.
-const QUEUE: usize = 1000;
+const QUEUE_CAPACITY: usize = 1000;
 
 /// Lines of one event in a second.  Thirty jobs a second with ten decisions each, spread over
 /// eight entries, stay below; a flood does not get above.
-const PER_SECOND: u32 = 60;
+const MAX_EVENT_LINES_PER_SECOND: u32 = 60;
 
 /// Field names and values of a line.
 pub type Fields = Vec<(&'static str, String)>;
@@ -49,11 +49,11 @@
 
 impl Default for Journal {
     fn default() -> Self {
-        let (sender, receiver) = sync_channel(QUEUE);
+        let (sender, receiver) = sync_channel(QUEUE_CAPACITY);
         std::thread::Builder::new()
             .name("journal".into())
             .stack_size(64 * 1024)
-            .spawn(move || write_all(&receiver))
+            .spawn(move || write_lines(&receiver))
             .expect("a thread can be started before anything else is");
         let window = Window { began: Instant::now(), budgets: HashMap::new() };
         Self { sender, window: Mutex::new(window), dropped: AtomicU64::new(0) }
@@ -62,7 +62,7 @@
 
 impl Journal {
     /// Notes an event.
-    pub fn note(&self, event: &'static str, fields: &[(&'static str, &dyn Display)]) {
+    pub fn info(&self, event: &'static str, fields: &[(&'static str, &dyn Display)]) {
         self.write(Level::Info, event, fields);
     }
 
@@ -80,13 +80,13 @@
         if level > log::max_level() {
             return;
         }
-        let Some(left_out) = self.spend(event) else { return };
-        let mut texts: Fields =
+        let Some(left_out) = self.consume_budget(event) else { return };
+        let mut values: Fields =
             fields.iter().map(|(name, value)| (*name, value.to_string())).collect();
         if left_out > 0 {
-            texts.push(("left_out", left_out.to_string()));
+            values.push(("left_out", left_out.to_string()));
         }
-        match self.sender.try_send(Line { level, event, fields: texts }) {
+        match self.sender.try_send(Line { level, event, fields: values }) {
             Ok(()) => {}
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
                 self.dropped.fetch_add(1, Ordering::Relaxed);
@@ -95,14 +95,14 @@
     }
 
     /// Takes a line from the budget; returns how many were left out before it.
-    fn spend(&self, event: &'static str) -> Option<u64> {
+    fn consume_budget(&self, event: &'static str) -> Option<u64> {
         let mut window = self.window.lock();
         if window.began.elapsed() >= Duration::from_secs(1) {
             window.began = Instant::now();
             window.budgets.values_mut().for_each(|budget| budget.used = 0);
         }
         let budget = window.budgets.entry(event).or_default();
-        if budget.used >= PER_SECOND {
+        if budget.used >= MAX_EVENT_LINES_PER_SECOND {
             budget.left_out += 1;
             return None;
         }
@@ -111,7 +111,7 @@
     }
 }
 
-fn write_all(receiver: &Receiver<Line>) {
+fn write_lines(receiver: &Receiver<Line>) {
     while let Ok(line) = receiver.recv() {
         let pairs: Vec<(&str, log::kv::Value<'_>)> =
             line.fields.iter().map(|(name, text)| (*name, text.to_value())).collect();
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -7,7 +7,7 @@
 use crate::follow::{self, Table};
 use crate::metrics::Counter;
 use crate::node::Node;
-use crate::owner::{self, Former, Owner};
+use crate::owner::{self, FormerOwner, Owner};
 use crate::rows;
 use celerythread_adapter::store::{Error, Row, Transaction};
 use celerythread_engine::job::{decode, encode};
@@ -19,29 +19,29 @@
 use stop_token::future::FutureExt;
 
 /// Longest wait for a transaction on the control table.
-const COMMIT_LIMIT: Duration = Duration::from_millis(1000);
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Longest wait for a renewal.  At a store that is a hundred times slower it takes 0.8 s, and as
 /// much again after another one in a cell's partition; later it would be too old to help.
-const RENEWAL_LIMIT: Duration = Duration::from_millis(2000);
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// Longest wait for a read.
-const READ_LIMIT: Duration = Duration::from_millis(700);
+const READ_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Time between two looks at who owns what: each is a comparison of a few rows in memory, and
 /// half of it is added to every takeover.
-const JUDGE: Duration = Duration::from_millis(100);
+const OWNERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between two reads of changes: each entry's renewal is one, so without a pause every
 /// entry would read as often as all of them write.
-const CONTROL_PAUSE: Duration = Duration::from_millis(250);
+const CONTROL_READ_PAUSE: Duration = Duration::from_millis(250);
 
 /// Longest wait of one read for a change, so that silence can be judged by reads that were
 /// answered: two of them fit into the shortest term.
-const CONTROL_WAIT: Duration = Duration::from_millis(400);
+const CONTROL_POLL_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Silence after which an entry's row is dropped; long after its cells were taken.
-const FORGET: Duration = Duration::from_secs(30);
+const SILENT_ENTRY_RETENTION: Duration = Duration::from_secs(30);
 
 /// The table that entries agree by.
 pub(crate) fn control_table() -> Table {
@@ -49,9 +49,9 @@
         name: rows::CONTROL,
         has_parts: true,
         has_all_entries: true,
-        pause: CONTROL_PAUSE,
-        idle_pause: CONTROL_PAUSE,
-        wait: CONTROL_WAIT,
+        pause: CONTROL_READ_PAUSE,
+        idle_pause: CONTROL_READ_PAUSE,
+        wait: CONTROL_POLL_TIMEOUT,
     }
 }
 
@@ -68,7 +68,7 @@
         // time.
         let pause = pause.saturating_sub(clock::now().since(began));
         // An entry that takes a cell renews at once: its row's term is that of one without cells.
-        let woken = node.renewing.wait(pause);
+        let woken = node.renewal_due.wait(pause);
         if woken.timeout_at(node.stop.clone()).await.is_err() {
             return;
         }
@@ -92,7 +92,7 @@
     };
     let owned: Vec<(String, u64)> =
         node.owners.read().iter().map(|(cell, owner)| (cell.clone(), owner.token)).collect();
-    let name = rows::entry(&node.me);
+    let name = rows::entry(&node.entry_id);
     let change = Transaction {
         across_parts: !owned.is_empty(),
         conditions: owned.into_iter().map(|(cell, token)| (rows::cell(&cell), token)).collect(),
@@ -100,14 +100,14 @@
         ..Transaction::default()
     };
     let sent = clock::now();
-    let is_this = |found: &Row| found.value == encode(&row);
-    match confirm::commit(node, &change, RENEWAL_LIMIT, &name, is_this).await {
+    let is_this_renewal = |found: &Row| found.value == encode(&row);
+    match confirm::commit(node, &change, RENEWAL_TIMEOUT, &name, is_this_renewal).await {
         Ok(_) => {
-            node.renewed(sent, term);
+            node.record_renewal(sent, term);
             true
         }
         Err(Error::Conflict { rows: found }) => {
-            take_lost_cells(node, &found);
+            release_lost_cells(node, &found);
             false
         }
         Err(_) => false,
@@ -115,25 +115,25 @@
 }
 
 /// Takes in the rows of cells that a renewal found to be held by others.
-fn take_lost_cells(node: &Arc<Node>, found: &[Row]) {
+fn release_lost_cells(node: &Arc<Node>, found: &[Row]) {
     let control = Control(node.clone());
     for row in found {
         let Some(cell) = row.key.strip_prefix(rows::CELL_PREFIX) else { continue };
         let mut view = node.view.write();
-        control.take_cell(&mut view, cell, row);
+        control.apply_cell(&mut view, cell, row);
         let holding = view.holdings.get(cell).cloned();
         drop(view);
-        disown(node, cell, holding.as_ref());
+        stop_owning(node, cell, holding.as_ref());
     }
 }
 
 /// Drops the rows of this instance's earlier processes: they are certainly gone, so their cells
 /// can be taken without waiting out their silence.
-pub(crate) async fn clear_former(node: &Node) {
+pub(crate) async fn drop_former_entries(node: &Node) {
     let former: Vec<String> = {
         let view = node.view.read();
         let mine = |id: &&String| {
-            **id != node.me
+            **id != node.entry_id
                 && view.entry_rows.get(*id).is_some_and(|row| row.name == node.settings.name)
         };
         view.entries.keys().filter(mine).cloned().collect()
@@ -143,7 +143,7 @@
     }
     let drops = former.iter().map(|id| rows::entry(id)).collect();
     let change = Transaction { drops, across_parts: true, ..Transaction::default() };
-    if node.commit(&change, COMMIT_LIMIT).await.is_ok() {
+    if node.commit(&change, COMMIT_TIMEOUT).await.is_ok() {
         let mut view = node.view.write();
         for id in &former {
             view.entries.remove(id);
@@ -154,20 +154,20 @@
 
 /// Looks again and again at who owns what, takes what is this entry's to take, and stops owning
 /// what it no longer holds.
-pub(crate) async fn judge_forever(node: Arc<Node>) {
-    while node.pause(JUDGE).await {
-        for cell in cells(&node) {
+pub(crate) async fn check_ownership_forever(node: Arc<Node>) {
+    while node.pause(OWNERSHIP_CHECK_INTERVAL).await {
+        for cell in expected_cells(&node) {
             // One that was taken is worked on at once, not after the next pause.
-            if judge(&node, &cell).await {
-                judge(&node, &cell).await;
+            if check_cell(&node, &cell).await {
+                check_cell(&node, &cell).await;
             }
         }
-        forget_silent(&node).await;
+        drop_silent_entries(&node).await;
     }
 }
 
 /// All cells there should be: one for each service that is not the spare pool, and the maintenance.
-fn cells(node: &Node) -> Vec<String> {
+fn expected_cells(node: &Node) -> Vec<String> {
     let Some(configuration) = node.configuration() else { return Vec::new() };
     let mut cells: Vec<String> = configuration.serving().map(Into::into).collect();
     if node.machines.is_some() {
@@ -181,15 +181,15 @@
 }
 
 /// Judges a cell, and does what follows; true if it was to be taken.
-async fn judge(node: &Arc<Node>, cell: &str) -> bool {
+async fn check_cell(node: &Arc<Node>, cell: &str) -> bool {
     let settings = ownership::Settings::default();
     let (verdict, holding, row) = {
         let view = node.view.read();
         let holding = view.holdings.get(cell).cloned();
-        let owned = view.owned();
+        let owned = view.cell_counts();
         let verdict = ownership::judge(
             cell,
-            &node.me,
+            &node.entry_id,
             holding.as_ref(),
             &view.entries,
             &owned,
@@ -201,12 +201,12 @@
     match verdict {
         Verdict::Own => {
             if let (Some(holding), Some(row)) = (holding, row) {
-                own(node, cell, &holding, &row);
+                start_owning(node, cell, &holding, &row);
             }
         }
-        Verdict::Leave => disown(node, cell, holding.as_ref()),
+        Verdict::Leave => stop_owning(node, cell, holding.as_ref()),
         Verdict::Take { cell: version, former } if !node.is_stopping() => {
-            take(node, cell, version, former, row).await;
+            take_cell_over(node, cell, version, former, row).await;
             return true;
         }
         Verdict::Take { .. } => {}
@@ -215,7 +215,7 @@
 }
 
 /// Starts owning a cell that this entry holds.
-fn own(node: &Arc<Node>, cell: &str, holding: &Holding, row: &rows::Cell) {
+fn start_owning(node: &Arc<Node>, cell: &str, holding: &Holding, row: &rows::Cell) {
     if node.is_stopping() {
         return;
     }
@@ -224,19 +224,19 @@
         return;
     }
     let former = match (row.generation, row.former_stopped) {
-        (0, _) => Former::None,
-        (_, true) => Former::Stopped,
-        (_, false) => Former::Silent,
+        (0, _) => FormerOwner::None,
+        (_, true) => FormerOwner::Stopped,
+        (_, false) => FormerOwner::Silent,
     };
     let owner = Owner::new(node.clone(), cell, holding.version, row.generation, former);
     if let Some(old) = owners.insert(cell.into(), owner.clone()) {
         old.stop();
     }
     drop(owners);
-    node.owning.wake();
-    node.renewing.wake();
+    node.cell_acquired.wake();
+    node.renewal_due.wake();
     node.metrics.count(Counter::CellsTaken);
-    node.journal.note(
+    node.journal.info(
         "cell_taken",
         &[("cell", &cell), ("token", &holding.version), ("generation", &row.generation)],
     );
@@ -244,8 +244,8 @@
 }
 
 /// Stops owning a cell that somebody else holds now.
-fn disown(node: &Arc<Node>, cell: &str, holding: Option<&Holding>) {
-    let Some(holding) = holding.filter(|holding| holding.holder != node.me) else { return };
+fn stop_owning(node: &Arc<Node>, cell: &str, holding: Option<&Holding>) {
+    let Some(holding) = holding.filter(|holding| holding.holder != node.entry_id) else { return };
     let mut owners = node.owners.write();
     let older = owners.get(cell).is_some_and(|owner| owner.token < holding.version);
     if !older {
@@ -263,7 +263,7 @@
 
 /// Takes a cell.  The row is written on condition that neither it nor its former holder's row
 /// has changed, so a holder that renewed meanwhile keeps it.
-async fn take(
+async fn take_cell_over(
     node: &Arc<Node>,
     cell: &str,
     version: u64,
@@ -274,7 +274,7 @@
     let generation = row.map_or(0, |row| row.generation + 1);
     // A holder without a row was dropped by its own instance's next process, or long ago.
     let former_stopped = former.is_none();
-    let value = rows::Cell { holder: node.me.clone(), generation, former_stopped };
+    let value = rows::Cell { holder: node.entry_id.clone(), generation, former_stopped };
     let mut conditions = vec![(name.clone(), version)];
     conditions.extend(former.map(|(id, version)| (rows::entry(&id), version)));
     let change = Transaction {
@@ -283,7 +283,7 @@
         writes: vec![(name, encode(&value))],
         ..Transaction::default()
     };
-    match node.commit(&change, COMMIT_LIMIT).await {
+    match node.commit(&change, COMMIT_TIMEOUT).await {
         // The row's own version is the token, and the answer may tell a newer one.
         Ok(_) | Err(Error::Unanswered { .. }) => read_cell(node, cell).await,
         Err(Error::Conflict { .. }) => read_cell(node, cell).await,
@@ -294,11 +294,11 @@
 /// Reads a cell's row, ahead of the feed.
 async fn read_cell(node: &Arc<Node>, cell: &str) {
     let name = rows::cell(cell);
-    let result = node.store.get(rows::CONTROL, &name.part, &name.key, READ_LIMIT).await;
-    node.store_result(&result);
+    let result = node.store.get(rows::CONTROL, &name.part, &name.key, READ_TIMEOUT).await;
+    node.record_store_result(&result);
     if let Ok(Some(row)) = result {
         let control = Control(node.clone());
-        control.take_cell(&mut node.view.write(), cell, &row);
+        control.apply_cell(&mut node.view.write(), cell, &row);
     }
 }
 
@@ -306,8 +306,8 @@
 pub(crate) async fn hand_over(node: &Arc<Node>, cell: &str) -> bool {
     let (successor, holding, row) = {
         let view = node.view.read();
-        let owned = view.owned();
-        let to = ownership::successor(cell, &node.me, &view.entries, &owned, view.read_at);
+        let owned = view.cell_counts();
+        let to = ownership::successor(cell, &node.entry_id, &view.entries, &owned, view.read_at);
         (to, view.holdings.get(cell).cloned(), view.cell_rows.get(cell).cloned())
     };
     let (Some(successor), Some(holding), Some(row)) = (successor, holding, row) else {
@@ -324,34 +324,34 @@
         writes: vec![(name.clone(), encode(&value))],
         ..Transaction::default()
     };
-    let is_handed =
-        |row: &Row| decode::<rows::Cell>(&row.value).is_ok_and(|cell| cell.holder != node.me);
-    let done = confirm::commit(node, &change, COMMIT_LIMIT, &name, is_handed).await;
-    let certain = matches!(done, Ok(_) | Err(Error::Conflict { .. }));
-    if certain {
+    let is_handed_over =
+        |row: &Row| decode::<rows::Cell>(&row.value).is_ok_and(|cell| cell.holder != node.entry_id);
+    let done = confirm::commit(node, &change, COMMIT_TIMEOUT, &name, is_handed_over).await;
+    let is_certain = matches!(done, Ok(_) | Err(Error::Conflict { .. }));
+    if is_certain {
         node.metrics.count(Counter::CellsHandedOver);
-        node.journal.note("cell_handed_over", &[("cell", &cell), ("to", &successor)]);
+        node.journal.info("cell_handed_over", &[("cell", &cell), ("to", &successor)]);
     }
-    certain
+    is_certain
 }
 
 /// Drops the rows of entries that have been silent for long.
-async fn forget_silent(node: &Arc<Node>) {
+async fn drop_silent_entries(node: &Arc<Node>) {
     if node.owner(rows::FLEET_CELL).is_none() {
         return;
     }
-    let gone: Vec<(String, u64)> = {
+    let silent_entries: Vec<(String, u64)> = {
         let view = node.view.read();
         let now = clock::now();
-        let silent = |entry: &ownership::Entry| now.since(entry.seen) > FORGET;
-        let held = view.owned();
+        let silent = |entry: &ownership::Entry| now.since(entry.seen) > SILENT_ENTRY_RETENTION;
+        let held = view.cell_counts();
         view.entries
             .iter()
             .filter(|(id, entry)| silent(entry) && !held.contains_key(*id))
             .map(|(id, entry)| (id.clone(), entry.version))
             .collect()
     };
-    for (id, version) in gone {
+    for (id, version) in silent_entries {
         let name = rows::entry(&id);
         let change = Transaction {
             conditions: vec![(name.clone(), version)],
@@ -359,7 +359,7 @@
             ..Transaction::default()
         };
         // Dropped by somebody else or renewed meanwhile: either way the feed tells.
-        let _ = node.commit(&change, COMMIT_LIMIT).await;
+        let _ = node.commit(&change, COMMIT_TIMEOUT).await;
     }
 }
 
--- a/crates/scheduler/src/membership/control.rs
+++ b/crates/scheduler/src/membership/control.rs
@@ -14,13 +14,13 @@
 pub(crate) struct Control(pub(crate) Arc<Node>);
 
 impl Control {
-    fn take(&self, view: &mut View, row: &Row) {
+    fn apply_row(&self, view: &mut View, row: &Row) {
         let now = clock::now();
         let key = row.key.as_str();
         if let Some(id) = key.strip_prefix(rows::ENTRY_PREFIX) {
-            take_entry(view, id, row, now);
+            apply_entry(view, id, row, now);
         } else if let Some(cell) = key.strip_prefix(rows::CELL_PREFIX) {
-            self.take_cell(view, cell, row);
+            self.apply_cell(view, cell, row);
         } else if let Some(machine) = key.strip_prefix(rows::EMPTYING_PREFIX) {
             if row.dropped {
                 view.emptying.remove(machine);
@@ -32,7 +32,7 @@
     }
 
     /// Takes in a cell's row, unless a newer one is known.
-    pub(crate) fn take_cell(&self, view: &mut View, cell: &str, row: &Row) {
+    pub(crate) fn apply_cell(&self, view: &mut View, cell: &str, row: &Row) {
         if row.dropped {
             view.holdings.remove(cell);
             view.cell_rows.remove(cell);
@@ -44,7 +44,7 @@
         };
         let holding = Holding { holder: value.holder.clone(), version: row.version };
         if view.holdings.get(cell).is_none_or(|known| known.version < row.version) {
-            self.0.journal.note(
+            self.0.journal.info(
                 "cell_held",
                 &[("cell", &cell), ("holder", &holding.holder), ("token", &holding.version)],
             );
@@ -54,7 +54,7 @@
     }
 }
 
-fn take_entry(view: &mut View, id: &str, row: &Row, now: celerythread_engine::time::Time) {
+fn apply_entry(view: &mut View, id: &str, row: &Row, now: celerythread_engine::time::Time) {
     if row.dropped {
         view.entries.remove(id);
         view.entry_rows.remove(id);
@@ -74,12 +74,12 @@
 
 impl Sink for Control {
     fn answered(&self) {
-        self.0.view.write().note_read(clock::now());
+        self.0.view.write().record_read(clock::now());
     }
 
     fn replace(&self, rows: Vec<Row>, version: u64) {
         let mut fresh = View { version, ..View::default() };
-        rows.iter().for_each(|row| self.take(&mut fresh, row));
+        rows.iter().for_each(|row| self.apply_row(&mut fresh, row));
         let mut view = self.0.view.write();
         // An entry whose row has not changed is as silent as it was before.
         for (id, entry) in &mut fresh.entries {
@@ -96,10 +96,10 @@
 
     fn change(&self, rows: Vec<Row>) {
         let mut view = self.0.view.write();
-        rows.iter().for_each(|row| self.take(&mut view, row));
+        rows.iter().for_each(|row| self.apply_row(&mut view, row));
         drop(view);
         for owner in self.0.owners.read().values() {
-            owner.minions_changed();
+            owner.notify_minions_changed();
         }
     }
 }
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -38,7 +38,7 @@
 
 /// How far a message that a minion is to be emptied may be ahead of its row: several reads of
 /// the control table.
-const RELEASE_AHEAD: Duration = Duration::from_millis(1500);
+const RELEASE_VALIDITY: Duration = Duration::from_millis(1500);
 
 /// What entries agree on, as last read.
 #[derive(Debug, Default)]
@@ -63,18 +63,18 @@
 
 impl View {
     /// Notes that a read was answered, before what it brought is taken in.
-    pub(crate) fn note_read(&mut self, now: Time) {
+    pub(crate) fn record_read(&mut self, now: Time) {
         ownership::note_read(&mut self.entries, self.read_at, now);
         self.read_at = now;
     }
 
     /// How many cells each entry holds.
-    pub(crate) fn owned(&self) -> BTreeMap<String, usize> {
-        let mut owned = BTreeMap::new();
+    pub(crate) fn cell_counts(&self) -> BTreeMap<String, usize> {
+        let mut counts = BTreeMap::new();
         for holding in self.holdings.values() {
-            *owned.entry(holding.holder.clone()).or_default() += 1;
+            *counts.entry(holding.holder.clone()).or_default() += 1;
         }
-        owned
+        counts
     }
 
     /// Where the holder of a cell is reached.
@@ -87,9 +87,9 @@
     /// The minions that are to be emptied.
     pub(crate) fn emptying_minions(&self) -> HashSet<&str> {
         let now = clock::now();
-        let ahead = self.released.iter().filter(|(_, until)| now < **until);
+        let released = self.released.iter().filter(|(_, until)| now < **until);
         let rows = self.emptying.values().map(String::as_str);
-        rows.chain(ahead.map(|(minion, _)| minion.as_str())).collect()
+        rows.chain(released.map(|(minion, _)| minion.as_str())).collect()
     }
 
     /// Takes in that minions are to be emptied, by a message ahead of their rows.
@@ -100,7 +100,7 @@
     pub(crate) fn release(&mut self, minions: impl Iterator<Item = String>) {
         let now = clock::now();
         self.released.retain(|_, until| now < *until);
-        self.released.extend(minions.map(|minion| (minion, now + RELEASE_AHEAD)));
+        self.released.extend(minions.map(|minion| (minion, now + RELEASE_VALIDITY)));
     }
 }
 
@@ -120,7 +120,7 @@
 /// The shared parts.
 pub(crate) struct Node {
     /// This process's id, new with every start.
-    pub(crate) me: String,
+    pub(crate) entry_id: String,
     /// What it was told.
     pub(crate) settings: Settings,
     /// The store.
@@ -142,9 +142,9 @@
     /// Cells owned here.
     pub(crate) owners: RwLock<BTreeMap<String, Arc<Owner>>>,
     /// Woken when this entry begins to own a cell, for whoever follows the minions.
-    pub(crate) owning: Wake,
+    pub(crate) cell_acquired: Wake,
     /// The same, for whoever renews this entry's row.
-    pub(crate) renewing: Wake,
+    pub(crate) renewal_due: Wake,
     /// The other entries.
     pub(crate) peers: Peers,
     /// Log lines.
@@ -160,7 +160,7 @@
     /// Whether the entry is about to stop.
     pub(crate) stopping: AtomicBool,
     /// Requests of callers being worked on.
-    pub(crate) flying: AtomicU64,
+    pub(crate) in_flight: AtomicU64,
     /// Ends the background tasks.
     pub(crate) stop: StopToken,
 }
@@ -175,7 +175,7 @@
             .map(|address| async_std::sync::Mutex::new(advice::Client::new(service(address))));
         Self {
             advice,
-            me: format!("{}.{:08x}", settings.name, rand::random::<u32>()),
+            entry_id: format!("{}.{:08x}", settings.name, rand::random::<u32>()),
             store: store::Client::new(service(settings.store)),
             minion_client: minion::Client::new(caller.clone()),
             machines,
@@ -185,8 +185,8 @@
             minions: RwLock::default(),
             waves: RwLock::default(),
             owners: RwLock::default(),
-            owning: Wake::default(),
-            renewing: Wake::default(),
+            cell_acquired: Wake::default(),
+            renewal_due: Wake::default(),
             peers,
             journal: Arc::default(),
             metrics: Arc::default(),
@@ -194,7 +194,7 @@
             renewal: Mutex::default(),
             outage: Mutex::default(),
             stopping: AtomicBool::new(false),
-            flying: AtomicU64::new(0),
+            in_flight: AtomicU64::new(0),
             stop,
         }
     }
@@ -241,7 +241,7 @@
     }
 
     /// Notes a successful renewal that was sent at `sent` with this term.
-    pub(crate) fn renewed(&self, sent: Time, term: Duration) {
+    pub(crate) fn record_renewal(&self, sent: Time, term: Duration) {
         let took = clock::now().since(sent);
         let mut renewal = self.renewal.lock();
         *renewal = Renewal { sent, term, took, ..*renewal };
@@ -256,7 +256,7 @@
     ///
     /// An owner that can't renew its row may have lost its cells without knowing it.  Its
     /// successor reckons that it extends nothing after this time.
-    pub(crate) fn may_extend(&self) -> bool {
+    pub(crate) fn may_extend_leases(&self) -> bool {
         self.since_renewal() < self.settings.extend_alone.0
     }
 
@@ -280,7 +280,7 @@
     }
 
     /// Takes note of how a call to the store went, and notes a change.
-    pub(crate) fn store_result<T>(&self, result: &Result<T, store::Error>) {
+    pub(crate) fn record_store_result<T>(&self, result: &Result<T, store::Error>) {
         let answered = matches!(
             result,
             Ok(_) | Err(store::Error::Conflict { .. } | store::Error::HistoryGone)
@@ -293,17 +293,17 @@
         }
         match result {
             Err(error) if !answered => self.journal.warn("store_lost", &[("reason", error)]),
-            _ => self.journal.note("store_back", &[("address", &self.settings.store)]),
+            _ => self.journal.info("store_back", &[("address", &self.settings.store)]),
         }
     }
 
     /// Whether the store may be away.
-    pub(crate) fn may_store_be_away(&self) -> bool {
+    pub(crate) fn is_store_likely_down(&self) -> bool {
         self.outage.lock().is_likely()
     }
 
     /// Whether the store is away, as far as this entry knows.
-    pub(crate) fn is_store_away(&self) -> bool {
+    pub(crate) fn is_store_down(&self) -> bool {
         self.outage.lock().is_on(clock::now())
     }
 
@@ -315,11 +315,11 @@
         limit: Duration,
     ) -> Result<u64, store::Error> {
         let limit = limit.min(self.patience.lock().limit());
-        self.commit_patiently(change, limit).await
+        self.commit_with_timeout(change, limit).await
     }
 
     /// The same, with the whole of `limit` to wait.
-    pub(crate) async fn commit_patiently(
+    pub(crate) async fn commit_with_timeout(
         &self,
         change: &store::Transaction,
         limit: Duration,
@@ -333,7 +333,7 @@
             Err(store::Error::Unanswered { .. }) => self.patience.lock().unanswered(),
             Err(_) => {}
         }
-        self.store_result(&result);
+        self.record_store_result(&result);
         result
     }
 }
--- a/crates/scheduler/src/owner.rs
+++ b/crates/scheduler/src/owner.rs
@@ -4,19 +4,18 @@
 //! [`advise`] asks for tickets, [`quota`] keeps within workspaces' limits, [`notes`] writes the log lines of what was given up.
 //! This file holds what they share, the planning loop and what others ask of the owner.
 
-mod advise;
-pub(crate) mod attend;
-pub(crate) mod keep;
+mod advice;
 pub(crate) mod load;
 mod notes;
+pub(crate) mod persist;
 mod quota;
+pub(crate) mod supervisor;
 
 use crate::clock;
 use crate::fleet;
 use crate::metrics::Counter;
 use crate::node::Node;
 use crate::rows;
-use attend::Attendant;
 use celerythread_adapter::configuration::Configuration;
 use celerythread_adapter::minion::Entry;
 use celerythread_engine::cell::{Cell, Incarnation, Order, Queue, Refusal, StartResult};
@@ -31,13 +30,14 @@
 use std::time::Duration;
 use stop_token::future::FutureExt;
 use stop_token::{StopSource, StopToken};
+use supervisor::Supervisor;
 
 /// Longest time between two plans: for what only time changes, as leases that lapse.
-const PLAN_TICK: Duration = Duration::from_millis(100);
+const MAX_PLAN_WAIT: Duration = Duration::from_millis(100);
 
 /// Shortest time between two plans, so that ends and jobs that come together are planned
 /// together; well below what a caller notices.
-const PLAN_PAUSE: Duration = Duration::from_millis(3);
+const MIN_PLAN_PAUSE: Duration = Duration::from_millis(3);
 
 /// Times its own duration that a plan is followed by a pause.
 ///
@@ -46,15 +46,15 @@
 /// for another.  Without a pause that grows with it, an overloaded owner does nothing but plan: what it
 /// goes by gets old, because nothing is left of the processor for taking in jobs, cancellations and
 /// answers.
-const PAUSE_PER_PLAN: u32 = 2;
+const PLAN_PAUSE_FACTOR: u32 = 2;
 
 /// Longest time between two looks at whether the minions to be attended are other ones, where
 /// nothing said that they changed: a message that a minion is to be emptied counts for a time only.
-const SYNC_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_MINION_SYNC_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What became of the former owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Former {
+pub(crate) enum FormerOwner {
     /// There was none.
     None,
     /// It gave its last order before the cell was taken.
@@ -65,9 +65,9 @@
 
 /// Minions whose life is over, with the incarnation that ended, if known.
 #[derive(Default)]
-pub(crate) struct Buried(BTreeMap<Arc<str>, Option<Incarnation>>);
+pub(crate) struct EndedMinions(BTreeMap<Arc<str>, Option<Incarnation>>);
 
-impl Buried {
+impl EndedMinions {
     /// Adds a minion; false if it was already present with this incarnation.
     pub(crate) fn insert(&mut self, id: Arc<str>, incarnation: Option<Incarnation>) -> bool {
         self.0.insert(id, incarnation) != Some(incarnation)
@@ -88,24 +88,24 @@
     /// The fencing token: every order carries it, and minions refuse lower ones.
     pub(crate) token: u64,
     pub(crate) generation: u32,
-    pub(crate) former: Former,
+    pub(crate) former: FormerOwner,
     /// The cell, once what was kept of it is read.
     pub(crate) cell: Mutex<Option<Cell>>,
     /// Version of the ledger's row, and the lock that keeps the owner's transactions in order.
     pub(crate) ledger: async_std::sync::Mutex<u64>,
     /// Minions that the kept roster names.
     pub(crate) roster: Mutex<BTreeSet<Arc<str>>>,
-    pub(crate) attendants: Mutex<BTreeMap<Arc<str>, Arc<Attendant>>>,
+    pub(crate) supervisors: Mutex<BTreeMap<Arc<str>, Arc<Supervisor>>>,
     /// Minions whose life is over although they may still be listed.
-    pub(crate) buried: Mutex<Buried>,
+    pub(crate) ended_minions: Mutex<EndedMinions>,
     pub(crate) plan_wake: Wake,
-    pub(crate) keep_wake: Wake,
+    pub(crate) persist_wake: Wake,
     /// Whether the minions, or which of them are to be emptied, may have changed since the last
     /// plan: otherwise the listings need not be copied again.
     minions_changed: AtomicBool,
     /// Whether a change of shares is being written.
     pub(crate) writing_shares: AtomicBool,
-    source: Mutex<Option<StopSource>>,
+    stop_source: Mutex<Option<StopSource>>,
     pub(crate) stopped: StopToken,
 }
 
@@ -115,10 +115,10 @@
         service: &str,
         token: u64,
         generation: u32,
-        former: Former,
+        former: FormerOwner,
     ) -> Arc<Self> {
-        let source = StopSource::new();
-        let stopped = source.token();
+        let stop_source = StopSource::new();
+        let stopped = stop_source.token();
         Arc::new(Self {
             node,
             service: service.into(),
@@ -128,28 +128,28 @@
             cell: Mutex::new(None),
             ledger: async_std::sync::Mutex::new(0),
             roster: Mutex::default(),
-            attendants: Mutex::default(),
-            buried: Mutex::default(),
+            supervisors: Mutex::default(),
+            ended_minions: Mutex::default(),
             plan_wake: Wake::default(),
-            keep_wake: Wake::default(),
+            persist_wake: Wake::default(),
             minions_changed: AtomicBool::new(true),
             writing_shares: AtomicBool::new(false),
-            source: Mutex::new(Some(source)),
+            stop_source: Mutex::new(Some(stop_source)),
             stopped,
         })
     }
 
     /// Gives no more orders.
     pub(crate) fn stop(&self) {
-        self.source.lock().take();
-        self.attendants.lock().clear();
+        self.stop_source.lock().take();
+        self.supervisors.lock().clear();
         self.plan_wake.wake();
-        self.keep_wake.wake();
+        self.persist_wake.wake();
     }
 
     /// Whether it gives no more orders.
     pub(crate) fn is_stopped(&self) -> bool {
-        self.source.lock().is_none()
+        self.stop_source.lock().is_none()
     }
 
     /// Sleeps; tells whether the task should go on.
@@ -158,7 +158,7 @@
     }
 
     /// Works on the cell, once it is loaded.
-    pub(crate) fn with<T>(&self, work: impl FnOnce(&mut Cell) -> T) -> Option<T> {
+    pub(crate) fn with_cell<T>(&self, work: impl FnOnce(&mut Cell) -> T) -> Option<T> {
         self.cell.lock().as_mut().map(work)
     }
 
@@ -178,7 +178,7 @@
         });
         let workspaces = configuration.workspaces.iter();
         let limits = workspaces.map(|workspace| (workspace.name.as_str().into(), workspace.limit));
-        self.with(|cell| {
+        self.with_cell(|cell| {
             cell.configure(queues);
             cell.configure_limits(limits, configuration.version, clock::now());
         });
@@ -186,7 +186,7 @@
     }
 
     /// Takes in an accepted job.
-    pub(crate) fn accept(&self, id: Id, row: &[u8]) {
+    pub(crate) fn add_job(&self, id: Id, row: &[u8]) {
         let accepted = match Accepted::decode(row) {
             Ok(accepted) => accepted,
             Err(error) => {
@@ -194,21 +194,21 @@
                 return;
             }
         };
-        let age = Duration::from_millis(clock::wall_ms().saturating_sub(accepted.at_ms));
+        let job_age = Duration::from_millis(clock::wall_ms().saturating_sub(accepted.at_ms));
         let now = clock::now();
-        let added = self.with(|cell| cell.add_job(id, accepted, None, false, age, now));
+        let added = self.with_cell(|cell| cell.add_job(id, accepted, None, false, job_age, now));
         if added == Some(true) {
-            self.node.journal.note(
+            self.node.journal.info(
                 "job_known",
-                &[("job", &id), ("service", &self.service), ("age_ms", &age.as_millis())],
+                &[("job", &id), ("service", &self.service), ("age_ms", &job_age.as_millis())],
             );
             self.plan_wake.wake();
         }
     }
 
     /// Takes in a cancellation.
-    pub(crate) fn cancel(&self, id: Id) {
-        self.with(|cell| cell.cancel(&id, clock::now()));
+    pub(crate) fn cancel_job(&self, id: Id) {
+        self.with_cell(|cell| cell.cancel(&id, clock::now()));
         self.plan_wake.wake();
     }
 
@@ -219,35 +219,35 @@
         }
         match question {
             Question::Accepted { id, row, .. } => {
-                self.accept(*id, row);
+                self.add_job(*id, row);
                 Some(Answer::Noted)
             }
             Question::Cancelled { id, .. } => {
-                self.cancel(*id);
+                self.cancel_job(*id);
                 Some(Answer::Noted)
             }
             Question::State { id, origin, .. } => {
-                self.with(|cell| Answer::State(cell.state_for(id, origin)))
+                self.with_cell(|cell| Answer::State(cell.state_for(id, origin)))
             }
             // Any entry can do that; it isn't the owner's.
             Question::Submit { .. } | Question::Configuration { .. } => None,
-            Question::Load { .. } => self.with(|cell| Answer::Load(cell.load(clock::now()))),
+            Question::Load { .. } => self.with_cell(|cell| Answer::Load(cell.load(clock::now()))),
             Question::Release { machines, .. } => {
                 let minions = machines.iter().map(|(_, minion)| minion.clone());
                 self.node.view.write().release(minions);
                 self.sync_minions();
                 self.plan_wake.wake();
-                self.with(|cell| Answer::Load(cell.load(clock::now())))
+                self.with_cell(|cell| Answer::Load(cell.load(clock::now())))
             }
             Question::Pending { queue, .. } => {
-                self.with(|cell| Answer::Pending(cell.pending(queue) as u32))
+                self.with_cell(|cell| Answer::Pending(cell.pending(queue) as u32))
             }
         }
     }
 
     /// Notes that the minions as they are listed, or which of them are to be emptied, may have
     /// changed.
-    pub(crate) fn minions_changed(&self) {
+    pub(crate) fn notify_minions_changed(&self) {
         self.minions_changed.store(true, Ordering::SeqCst);
         self.plan_wake.wake();
     }
@@ -257,12 +257,13 @@
     fn sync_minions(&self) {
         let view = self.node.view.read();
         let minions = self.node.minions.read();
-        let buried = self.buried.lock();
-        let is_buried = |id: &str, entry: &Entry| buried.contains(id, entry.listing.incarnation);
+        let ended_minions = self.ended_minions.lock();
+        let has_ended =
+            |id: &str, entry: &Entry| ended_minions.contains(id, entry.listing.incarnation);
         let mine = minions
             .iter()
-            .filter(|(id, entry)| entry.service == self.service && !is_buried(id, entry));
-        self.with(|cell| {
+            .filter(|(id, entry)| entry.service == self.service && !has_ended(id, entry));
+        self.with_cell(|cell| {
             let known: Vec<Arc<str>> = cell.minions().map(|minion| minion.id.clone()).collect();
             for (id, entry) in mine {
                 cell.list(id, entry.listing.clone());
@@ -286,15 +287,15 @@
     if owner.service == rows::FLEET_CELL {
         async_std::task::spawn(fleet::carry(owner));
     } else {
-        async_std::task::spawn(run(owner));
+        async_std::task::spawn(run_owner(owner));
     }
 }
 
-async fn run(owner: Arc<Owner>) {
+async fn run_owner(owner: Arc<Owner>) {
     let Some(version) = load::take_over(&owner).await else { return };
     async_std::task::spawn(load::follow_jobs(owner.clone(), version));
-    async_std::task::spawn(load::bury_until_settled(owner.clone()));
-    async_std::task::spawn(keep::keep_forever(owner.clone()));
+    async_std::task::spawn(load::mark_ended_until_settled(owner.clone()));
+    async_std::task::spawn(persist::persist_forever(owner.clone()));
     async_std::task::spawn(quota::follow_splits(owner.clone()));
     plan_forever(owner).await;
 }
@@ -304,48 +305,49 @@
     while !owner.is_stopped() {
         let began = clock::now();
         let changed = owner.minions_changed.swap(false, Ordering::SeqCst);
-        if changed || synced.is_none_or(|at| began.since(at) >= SYNC_INTERVAL) {
+        if changed || synced.is_none_or(|at| began.since(at) >= MAX_MINION_SYNC_INTERVAL) {
             synced = Some(began);
             owner.sync_minions();
-            if !attend::sync(&owner).await {
+            if !supervisor::sync_supervisors(&owner).await {
                 // Tried again with the next plan.
                 owner.minions_changed.store(true, Ordering::SeqCst);
             }
         }
         let began = clock::now();
         // An owner that may have been replaced starts and stops nothing.
-        if owner.node.may_extend() {
+        if owner.node.may_extend_leases() {
             let now = clock::now();
             let permit = owner.node.permit();
             let plan = |cell: &mut Cell| cell.plan(now, clock::wall_ms(), permit);
-            let orders = owner.with(plan).unwrap_or_default();
+            let orders = owner.with_cell(plan).unwrap_or_default();
             dispatch(&owner, orders);
-            notes::write(&owner);
-            advise::ask(&owner);
+            notes::log_all(&owner);
+            advice::send_queries(&owner);
             quota::write_shares(&owner);
-            if owner.with(|cell| cell.has_unkept()).unwrap_or(false) {
-                owner.keep_wake.wake();
+            if owner.with_cell(|cell| cell.has_unkept()).unwrap_or(false) {
+                owner.persist_wake.wake();
             }
         }
         let took = clock::now().since(began);
-        if !owner.pause(PLAN_PAUSE.max(took * PAUSE_PER_PLAN)).await {
+        if !owner.pause(MIN_PLAN_PAUSE.max(took * PLAN_PAUSE_FACTOR)).await {
             return;
         }
-        owner.plan_wake.wait(PLAN_TICK).await;
+        owner.plan_wake.wait(MAX_PLAN_WAIT).await;
     }
 }
 
 /// The age of a job, and of what is known of a minion.
 fn ages(cell: &Cell, job: &Id, minion: &str) -> (Duration, Duration) {
     let now = clock::now();
-    let age = cell.job(job).map(|job| now.since(job.since)).unwrap_or_default();
-    let look = cell.minion(minion).map(|minion| now.since(minion.reported)).unwrap_or_default();
-    (age, look)
+    let job_age = cell.job(job).map(|job| now.since(job.since)).unwrap_or_default();
+    let report_age =
+        cell.minion(minion).map(|minion| now.since(minion.reported)).unwrap_or_default();
+    (job_age, report_age)
 }
 
 /// Hands orders to the minions' attendants.
 pub(crate) fn dispatch(owner: &Owner, orders: Vec<Order>) {
-    let attendants = owner.attendants.lock();
+    let supervisors = owner.supervisors.lock();
     for order in orders {
         let (minion, event, counter) = match &order {
             Order::Start { minion, .. } => (minion, "start_ordered", Counter::Starts),
@@ -356,8 +358,9 @@
         | Order::Stop { task, run, .. }
         | Order::Pace { task, run, .. }) = order;
         owner.node.metrics.count(counter);
-        let (age, look) = owner.with(|cell| ages(cell, &task.job, minion)).unwrap_or_default();
-        owner.node.journal.note(
+        let (job_age, report_age) =
+            owner.with_cell(|cell| ages(cell, &task.job, minion)).unwrap_or_default();
+        owner.node.journal.info(
             event,
             &[
                 ("job", &task.job),
@@ -365,14 +368,14 @@
                 ("run", &run),
                 ("minion", minion),
                 ("token", &owner.token),
-                ("job_age_ms", &age.as_millis()),
-                ("look_age_ms", &look.as_millis()),
+                ("job_age_ms", &job_age.as_millis()),
+                ("look_age_ms", &report_age.as_millis()),
             ],
         );
         let (minion, starts) = (minion.clone(), matches!(order, Order::Start { .. }));
-        let queued = attendants.get(&minion).is_some_and(|attendant| attendant.order(order));
+        let queued = supervisors.get(&minion).is_some_and(|supervisor| supervisor.order(order));
         if !queued && starts {
-            give_back(owner, &minion, &task, run);
+            revert_start(owner, &minion, &task, run);
         }
     }
 }
@@ -381,10 +384,10 @@
 ///
 /// Left as ordered, its run would be neither listed nor answered by anybody: the task would count as
 /// placed for as long as the minion lives.
-fn give_back(owner: &Owner, minion: &Arc<str>, task: &TaskName, run: u32) {
+fn revert_start(owner: &Owner, minion: &Arc<str>, task: &TaskName, run: u32) {
     let fields: [(&'static str, &dyn Display); 4] =
         [("job", &task.job), ("task", task), ("run", &run), ("minion", minion)];
     owner.node.journal.warn("start_given_back", &fields);
     let refused = StartResult::Refused(Refusal::Unhealthy);
-    owner.with(|cell| cell.start_result(minion, task, run, refused, clock::now()));
+    owner.with_cell(|cell| cell.start_result(minion, task, run, refused, clock::now()));
 }
--- a/crates/scheduler/src/owner/advise.rs
+++ b/crates/scheduler/src/owner/advice.rs
@@ -7,22 +7,22 @@
 use std::time::Duration;
 
 /// Longest wait for advice beyond the time that the service says it takes.
-const ADVICE_MARGIN: Duration = Duration::from_millis(800);
+const ADVICE_TIMEOUT_MARGIN: Duration = Duration::from_millis(800);
 
 /// Asks the advice service what the plan needs, one question after the other.
-pub(crate) fn ask(owner: &Arc<Owner>) {
-    for query in owner.with(|cell| cell.take_queries()).unwrap_or_default() {
-        async_std::task::spawn(ask_one(owner.clone(), query));
+pub(crate) fn send_queries(owner: &Arc<Owner>) {
+    for query in owner.with_cell(|cell| cell.take_queries()).unwrap_or_default() {
+        async_std::task::spawn(send_query(owner.clone(), query));
     }
 }
 
-async fn ask_one(owner: Arc<Owner>, query: Query) {
+async fn send_query(owner: Arc<Owner>, query: Query) {
     let node = &owner.node;
     let asked = query.minions.len();
     let answer = match &node.advice {
         Some(client) => {
             let client = client.lock().await;
-            Some(client.ask(&query, advice_limit(&owner, asked)).await)
+            Some(client.ask(&query, advice_timeout(&owner, asked)).await)
         }
         None => None,
     };
@@ -31,25 +31,25 @@
         Some(Ok(tickets)) => {
             let outcome = format!("{} of {asked} may run it", tickets.good.len());
             let until = now + tickets.valid;
-            owner.with(|cell| cell.advised(&query, tickets.good, until));
+            owner.with_cell(|cell| cell.advised(&query, tickets.good, until));
             outcome
         }
         Some(Err(failure)) => {
-            owner.with(|cell| cell.advice_missed(&query, now));
+            owner.with_cell(|cell| cell.advice_missed(&query, now));
             failure.to_string()
         }
         None => {
-            owner.with(|cell| cell.advice_missed(&query, now));
+            owner.with_cell(|cell| cell.advice_missed(&query, now));
             "no address is set".into()
         }
     };
     let step = query.step;
-    node.journal.note("advice", &[("job", &step.job), ("step", &step), ("outcome", &outcome)]);
+    node.journal.info("advice", &[("job", &step.job), ("step", &step), ("outcome", &outcome)]);
     owner.plan_wake.wake();
 }
 
 /// How long the service may take for a question, by the slowest queue of the service.
-fn advice_limit(owner: &Owner, asked: usize) -> Duration {
+fn advice_timeout(owner: &Owner, asked: usize) -> Duration {
     let configuration = owner.node.configuration();
     let queues = configuration.iter().flat_map(|configuration| configuration.queues.iter());
     let ms = queues
@@ -57,5 +57,5 @@
         .filter_map(|queue| queue.advice)
         .map(|advice| advice.decide_ms + advice.period_ms * asked as f64)
         .fold(0.0, f64::max);
-    Duration::from_millis(ms as u64) + ADVICE_MARGIN
+    Duration::from_millis(ms as u64) + ADVICE_TIMEOUT_MARGIN
 }
--- a/crates/scheduler/src/owner/load.rs
+++ b/crates/scheduler/src/owner/load.rs
@@ -4,7 +4,7 @@
 use crate::fleet;
 use crate::follow::{self, Sink, Table};
 use crate::node::Node;
-use crate::owner::{Former, Owner};
+use crate::owner::{FormerOwner, Owner};
 use crate::rows;
 use celerythread_adapter::store::{Error, Name, Page, Row, Transaction};
 use celerythread_engine::cell::{Cell, Settings};
@@ -17,37 +17,37 @@
 use std::time::Duration;
 
 /// Longest wait for a call.
-const CALL_LIMIT: Duration = Duration::from_millis(1000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Pause after a failed call.
-const RETRY: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Pause between two reads of the jobs' changes.  Messages tell of them sooner; half a second later
 /// is far below what callers are promised.
-const JOBS_PAUSE: Duration = Duration::from_millis(400);
+const JOBS_READ_PAUSE: Duration = Duration::from_millis(400);
 
 /// Time between two looks for minions that are over, while a new owner waits for some, at the least.
-const BURY_INTERVAL: Duration = Duration::from_millis(400);
+const MIN_ENDED_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Machines in one answer of the platform's list.
-const MACHINES_A_PAGE: usize = 200;
+const MACHINES_PER_PAGE: usize = 200;
 
 /// Time that one read of the list stands for when every cell has a new owner at once: half of the
 /// platform's 64 reads a second for all of them.
-const TIME_A_READ: Duration = Duration::from_millis(31);
+const INTERVAL_PER_LIST_READ: Duration = Duration::from_millis(31);
 
 /// Fences the former owner and reads the cell; returns the version to follow the jobs from.
 pub(crate) async fn take_over(owner: &Arc<Owner>) -> Option<u64> {
-    take_ledger(owner).await?;
+    claim_ledger(owner).await?;
     loop {
-        match read(owner).await {
+        match read_cell(owner).await {
             Ok(version) => return Some(version),
             Err(error) => {
                 owner
                     .node
                     .journal
                     .warn("cell_unread", &[("service", &owner.service), ("reason", &error)]);
-                if !owner.pause(RETRY).await {
+                if !owner.pause(RETRY_DELAY).await {
                     return None;
                 }
             }
@@ -57,12 +57,12 @@
 
 /// Writes the ledger with this owner's token; from then on no transaction of a former owner
 /// goes through.
-async fn take_ledger(owner: &Arc<Owner>) -> Option<()> {
+async fn claim_ledger(owner: &Arc<Owner>) -> Option<()> {
     let mut ledger = owner.ledger.lock().await;
     loop {
         let row =
-            owner.node.store.get(rows::JOBS, &owner.service, rows::LEDGER_KEY, CALL_LIMIT).await;
-        owner.node.store_result(&row);
+            owner.node.store.get(rows::JOBS, &owner.service, rows::LEDGER_KEY, CALL_TIMEOUT).await;
+        owner.node.record_store_result(&row);
         if let Ok(row) = row {
             let known = row.as_ref().map_or(0, |row| row.version);
             let holder = row.and_then(|row| decode::<rows::Ledger>(&row.value).ok());
@@ -80,7 +80,7 @@
                 }
             }
         }
-        if !owner.pause(RETRY).await {
+        if !owner.pause(RETRY_DELAY).await {
             return None;
         }
     }
@@ -96,33 +96,33 @@
     let mut change = change;
     change.conditions.push((name.clone(), version));
     change.writes.push((name, encode(&rows::Ledger { token: owner.token })));
-    owner.node.commit(&change, CALL_LIMIT).await
+    owner.node.commit(&change, CALL_TIMEOUT).await
 }
 
 /// When everything that the former owner ordered must have lapsed on minions that don't answer.
-fn former_lapse(owner: &Owner) -> Option<celerythread_engine::time::Time> {
+fn former_lease_expiry(owner: &Owner) -> Option<celerythread_engine::time::Time> {
     let settings = &owner.node.settings;
     let lease = lease::max_duration(settings.run_lease.0);
     match owner.former {
-        Former::None => None,
-        Former::Stopped => Some(clock::now() + lease),
+        FormerOwner::None => None,
+        FormerOwner::Stopped => Some(clock::now() + lease),
         // Its last renewal was before its row was seen unchanged for the first time, so it
         // stops extending before this.
-        Former::Silent => {
+        FormerOwner::Silent => {
             let extends = settings.extend_alone.0.saturating_sub(settings.takeover_after.0);
             Some(clock::now() + extends + lease)
         }
     }
 }
 
-async fn read(owner: &Arc<Owner>) -> Result<u64, Error> {
+async fn read_cell(owner: &Arc<Owner>) -> Result<u64, Error> {
     let (store, service) = (&owner.node.store, owner.service.as_str());
-    let lapse = former_lapse(owner);
+    let lapse = former_lease_expiry(owner);
     read_emptying(owner).await?;
-    let roster = store.get(rows::JOBS, service, rows::ROSTER_KEY, CALL_LIMIT).await?;
+    let roster = store.get(rows::JOBS, service, rows::ROSTER_KEY, CALL_TIMEOUT).await?;
     // The jobs first: what is accepted later is in the feed, and has no progress yet.
-    let jobs = store.whole(rows::JOBS, &rows::shards(service), CALL_LIMIT).await?;
-    let progress = store.all(rows::PROGRESS, service, "", CALL_LIMIT).await?;
+    let jobs = store.whole(rows::JOBS, &rows::shard_prefix(service), CALL_TIMEOUT).await?;
+    let progress = store.all(rows::PROGRESS, service, "", CALL_TIMEOUT).await?;
     let settings = Settings {
         name: service.into(),
         token: owner.token,
@@ -132,19 +132,19 @@
     };
     let mut cell = Cell::new(settings, owner.generation, lapse);
     let version = jobs.version;
-    let count = fill(owner, &mut cell, jobs, progress);
+    let count = add_jobs(owner, &mut cell, jobs, progress);
     let roster: rows::Roster = roster.and_then(|row| decode(&row.value).ok()).unwrap_or_default();
     for minion in roster.minions {
         let id: Arc<str> = minion.into();
         cell.inherit(&id);
         owner.roster.lock().insert(id);
     }
-    bury(&mut cell, replaced(owner).await.0);
+    mark_ended(&mut cell, find_ended_minions(owner).await.0);
     *owner.cell.lock() = Some(cell);
     if let Some(configuration) = owner.node.configuration() {
         owner.configure(&configuration);
     }
-    owner.node.journal.note(
+    owner.node.journal.info(
         "cell_loaded",
         &[("service", &service), ("token", &owner.token), ("jobs", &count), ("version", &version)],
     );
@@ -156,7 +156,7 @@
 /// started there.
 async fn read_emptying(owner: &Owner) -> Result<(), Error> {
     let node = &owner.node;
-    let page = node.store.all(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_LIMIT).await?;
+    let page = node.store.all(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_TIMEOUT).await?;
     let mut view = node.view.write();
     for row in page.rows {
         if let Some(machine) = row.key.strip_prefix(rows::EMPTYING_PREFIX) {
@@ -171,29 +171,29 @@
 ///
 /// The lists show it only some time after: a machine that is ordered down while its cell changes
 /// hands was still listed with its minion when the cell was read.
-pub(crate) async fn bury_until_settled(owner: Arc<Owner>) {
-    let mut interval = BURY_INTERVAL;
+pub(crate) async fn mark_ended_until_settled(owner: Arc<Owner>) {
+    let mut interval = MIN_ENDED_CHECK_INTERVAL;
     while owner.pause(interval).await {
-        if owner.with(|cell| cell.is_settled(clock::now())).unwrap_or(true) {
+        if owner.with_cell(|cell| cell.is_settled(clock::now())).unwrap_or(true) {
             return;
         }
-        let (over, machines) = replaced(&owner).await;
-        owner.with(|cell| bury(cell, over));
+        let (over, machines) = find_ended_minions(&owner).await;
+        owner.with_cell(|cell| mark_ended(cell, over));
         let cells = owner.node.view.read().holdings.len();
-        let reads = cells * machines.div_ceil(MACHINES_A_PAGE);
-        interval = BURY_INTERVAL.max(TIME_A_READ * reads as u32);
+        let reads = cells * machines.div_ceil(MACHINES_PER_PAGE);
+        interval = MIN_ENDED_CHECK_INTERVAL.max(INTERVAL_PER_LIST_READ * reads as u32);
         owner.plan_wake.wake();
     }
 }
 
-fn bury(cell: &mut Cell, minions: Vec<Arc<str>>) {
+fn mark_ended(cell: &mut Cell, minions: Vec<Arc<str>>) {
     for id in minions {
         cell.bury(&id, clock::now());
     }
 }
 
 /// Minions of the roster whose life is over, and how many machines there are.
-async fn replaced(owner: &Owner) -> (Vec<Arc<str>>, usize) {
+async fn find_ended_minions(owner: &Owner) -> (Vec<Arc<str>>, usize) {
     let node = &owner.node;
     let Some(client) = &node.machines else { return (Vec::new(), 0) };
     // One of those that can't be read may have the minion that no other has.
@@ -212,19 +212,19 @@
     let over: Vec<Arc<str>> = inherited.into_iter().filter(is_over).collect();
     for id in &over {
         let incarnation = minions.get(id).and_then(|entry| entry.listing.incarnation);
-        if owner.buried.lock().insert(id.clone(), incarnation) {
-            node.journal.note("minion_over", &[("minion", id)]);
+        if owner.ended_minions.lock().insert(id.clone(), incarnation) {
+            node.journal.info("minion_over", &[("minion", id)]);
         }
     }
     (over, machines.len())
 }
 
 /// Fills a cell with kept jobs; returns how many.
-fn fill(owner: &Owner, cell: &mut Cell, jobs: Page, progress: Page) -> usize {
+fn add_jobs(owner: &Owner, cell: &mut Cell, jobs: Page, progress: Page) -> usize {
     let progress: BTreeMap<String, Progress> = progress
         .rows
         .into_iter()
-        .filter_map(|row| Some((row.key.clone(), read_progress(&owner.node, &row)?)))
+        .filter_map(|row| Some((row.key.clone(), decode_progress(&owner.node, &row)?)))
         .collect();
     let (now, wall) = (clock::now(), clock::wall_ms());
     let mut count = 0;
@@ -251,7 +251,7 @@
 }
 
 /// How far a job has come; none, with a line, if its row can't be read.
-pub(crate) fn read_progress(node: &Node, row: &Row) -> Option<Progress> {
+pub(crate) fn decode_progress(node: &Node, row: &Row) -> Option<Progress> {
     Progress::decode(&row.value)
         .inspect_err(|error| {
             node.journal.warn("progress_unreadable", &[("job", &row.key), ("reason", error)]);
@@ -273,12 +273,12 @@
 
     fn change(&self, rows: Vec<Row>) {
         let owner = &self.0;
-        let shards = rows::shards(&owner.service);
+        let shards = rows::shard_prefix(&owner.service);
         for row in rows.iter().filter(|row| row.part.starts_with(&shards) && !row.dropped) {
             if let Some(id) = job_id(row, rows::JOB_PREFIX) {
-                owner.accept(id, &row.value);
+                owner.add_job(id, &row.value);
             } else if let Some(id) = job_id(row, rows::CANCEL_PREFIX) {
-                owner.cancel(id);
+                owner.cancel_job(id);
             }
         }
     }
@@ -292,8 +292,8 @@
         name: rows::JOBS,
         has_parts: true,
         has_all_entries: false,
-        pause: JOBS_PAUSE,
-        idle_pause: JOBS_PAUSE,
+        pause: JOBS_READ_PAUSE,
+        idle_pause: JOBS_READ_PAUSE,
         wait: follow::FEED_WAIT,
     };
     let sink = Jobs(owner.clone());
--- a/crates/scheduler/src/owner/notes.rs
+++ b/crates/scheduler/src/owner/notes.rs
@@ -6,11 +6,11 @@
 use celerythread_engine::cell::Note;
 
 /// Writes a line for each decision that the cell has noted since.
-pub(crate) fn write(owner: &Owner) {
+pub(crate) fn log_all(owner: &Owner) {
     let (journal, now) = (&owner.node.journal, clock::now());
-    for note in owner.with(|cell| cell.take_notes()).unwrap_or_default() {
+    for note in owner.with_cell(|cell| cell.take_notes()).unwrap_or_default() {
         match &note {
-            Note::Ended { minion, end } => journal.note(
+            Note::Ended { minion, end } => journal.info(
                 "run_ended",
                 &[
                     ("job", &end.task.job),
@@ -80,7 +80,7 @@
                     ],
                 );
             }
-            Note::Adopted { minion, task, run } => journal.note(
+            Note::Adopted { minion, task, run } => journal.info(
                 "run_adopted",
                 &[("job", &task.job), ("task", task), ("run", run), ("minion", minion)],
             ),
@@ -89,9 +89,9 @@
                 &[("job", &task.job), ("task", task), ("percent", percent), ("minion", minion)],
             ),
             Note::Evacuated { minion, task } => journal
-                .note("run_evacuated", &[("job", &task.job), ("task", task), ("minion", minion)]),
+                .info("run_evacuated", &[("job", &task.job), ("task", task), ("minion", minion)]),
             Note::Idle { task, placed, guards } => {
-                let said: Vec<String> =
+                let guard_texts: Vec<String> =
                     guards.iter().map(|(minion, guard)| format!("{minion}:{guard}")).collect();
                 let placed = placed.as_deref().unwrap_or("nowhere");
                 journal.warn(
@@ -100,11 +100,11 @@
                         ("job", &task.job),
                         ("task", task),
                         ("placed", &placed),
-                        ("guards", &said.join(" ")),
+                        ("guards", &guard_texts.join(" ")),
                     ],
                 );
             }
-            Note::Held { task, workspace, need, is_larger, summary } => journal.note(
+            Note::Held { task, workspace, need, is_larger, summary } => journal.info(
                 "job_held",
                 &[
                     ("job", &task.job),
--- a/crates/scheduler/src/owner/keep.rs
+++ b/crates/scheduler/src/owner/persist.rs
@@ -16,39 +16,39 @@
 
 /// Gathers ends for one transaction.  Every transaction costs a call to the store, and ends
 /// that end no job can wait this long without anybody noticing.
-const GATHER: Duration = Duration::from_millis(80);
+const BATCH_WINDOW: Duration = Duration::from_millis(80);
 
 /// The same when a job has ended, for which its caller waits.
-const GATHER_URGENT: Duration = Duration::from_millis(8);
+const URGENT_BATCH_WINDOW: Duration = Duration::from_millis(8);
 
 /// Pause after a failed transaction.
-const RETRY: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Time between two looks for jobs whose retention is over.
-const EXPIRE: Duration = Duration::from_secs(5);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Keeps whatever is to be kept until the cell is lost.
-pub(crate) async fn keep_forever(owner: Arc<Owner>) {
-    let mut expired = clock::now();
+pub(crate) async fn persist_forever(owner: Arc<Owner>) {
+    let mut expired_at = clock::now();
     while !owner.is_stopped() {
-        owner.keep_wake.wait(Duration::from_millis(500)).await;
-        let Some(unkept) = owner.with(|cell| cell.has_unkept()) else { continue };
+        owner.persist_wake.wait(Duration::from_millis(500)).await;
+        let Some(unkept) = owner.with_cell(|cell| cell.has_unkept()) else { continue };
         if unkept {
-            gather(&owner).await;
-            keep_all(&owner).await;
+            wait_for_batch(&owner).await;
+            persist_all(&owner).await;
         }
-        if clock::now().since(expired) > EXPIRE {
-            expired = clock::now();
+        if clock::now().since(expired_at) > EXPIRY_INTERVAL {
+            expired_at = clock::now();
             drop_expired(&owner).await;
         }
     }
 }
 
-async fn gather(owner: &Owner) {
+async fn wait_for_batch(owner: &Owner) {
     let began = clock::now();
-    while clock::now().since(began) < GATHER {
-        owner.pause(GATHER_URGENT).await;
-        let urgent = owner.with(|cell| cell.is_keeping_urgent()).unwrap_or(false);
+    while clock::now().since(began) < BATCH_WINDOW {
+        owner.pause(URGENT_BATCH_WINDOW).await;
+        let urgent = owner.with_cell(|cell| cell.is_keeping_urgent()).unwrap_or(false);
         if urgent || owner.is_stopped() {
             return;
         }
@@ -60,26 +60,30 @@
 /// What is written is taken from the cell only under the ledger's lock: two callers that took it
 /// before could write in the other order, and the older progress would replace the newer one
 /// after its ends were acknowledged.  A later owner would then run done tasks again.
-pub(crate) async fn keep_all(owner: &Owner) -> bool {
+pub(crate) async fn persist_all(owner: &Owner) -> bool {
     loop {
         {
             let mut ledger = owner.ledger.lock().await;
-            let Some(Some(batch)) = owner.with(|cell| cell.unkept(MAX_ROWS)) else { return true };
+            let Some(Some(batch)) = owner.with_cell(|cell| cell.unkept(MAX_ROWS)) else {
+                return true;
+            };
             if owner.is_stopped() {
                 return false;
             }
-            if batch.rows.is_empty() || commit(owner, &mut ledger, changes(owner, &batch)).await {
-                finish(owner, &batch);
+            if batch.rows.is_empty()
+                || commit_locked(owner, &mut ledger, progress_transaction(owner, &batch)).await
+            {
+                finish_batch(owner, &batch);
                 continue;
             }
         }
-        if !owner.pause(RETRY).await {
+        if !owner.pause(RETRY_DELAY).await {
             return false;
         }
     }
 }
 
-fn changes(owner: &Owner, batch: &Batch) -> Transaction {
+fn progress_transaction(owner: &Owner, batch: &Batch) -> Transaction {
     let row = |(id, _, progress): &(Id, u64, Progress)| {
         (rows::progress(&owner.service, id), encode(progress))
     };
@@ -87,16 +91,16 @@
 }
 
 /// Commits a change under the ledger; true if it is certain to be done.
-pub(crate) async fn write(owner: &Owner, change: Transaction) -> bool {
+pub(crate) async fn commit_fenced(owner: &Owner, change: Transaction) -> bool {
     let mut ledger = owner.ledger.lock().await;
-    commit(owner, &mut ledger, change).await
+    commit_locked(owner, &mut ledger, change).await
 }
 
 /// Commits a change under the locked ledger; true if it is certain to be done.
 ///
 /// After an unanswered one the ledger's version is not known.  The next one then conflicts if
 /// the lost one was carried out, and tells the version to go on from.
-async fn commit(owner: &Owner, ledger: &mut u64, change: Transaction) -> bool {
+async fn commit_locked(owner: &Owner, ledger: &mut u64, change: Transaction) -> bool {
     match write_ledger(owner, *ledger, change).await {
         Ok(version) => {
             *ledger = version;
@@ -121,29 +125,29 @@
     }
 }
 
-fn finish(owner: &Owner, batch: &Batch) {
-    owner.with(|cell| cell.kept(batch));
+fn finish_batch(owner: &Owner, batch: &Batch) {
+    owner.with_cell(|cell| cell.kept(batch));
     for (id, change, progress) in &batch.rows {
         if let Some(outcome) = progress.outcome {
-            let age = owner.with(|cell| cell.job(id).map(|job| clock::now().since(job.since)));
+            let age = owner.with_cell(|cell| cell.job(id).map(|job| clock::now().since(job.since)));
             owner.node.metrics.time(Timing::Job, age.flatten().unwrap_or_default());
             let service = &owner.service;
-            owner.node.journal.note(
+            owner.node.journal.info(
                 "job_ended",
                 &[("job", id), ("service", service), ("state", &outcome), ("change", change)],
             );
         }
     }
-    let attendants = owner.attendants.lock();
+    let supervisors = owner.supervisors.lock();
     for cursor in &batch.ends {
-        if let Some(attendant) = attendants.get(&cursor.minion) {
-            attendant.kick.wake();
+        if let Some(supervisor) = supervisors.get(&cursor.minion) {
+            supervisor.poll_wake.wake();
         }
     }
 }
 
 async fn drop_expired(owner: &Owner) {
-    let expired = owner.with(|cell| cell.expire(clock::now())).unwrap_or_default();
+    let expired = owner.with_cell(|cell| cell.expire(clock::now())).unwrap_or_default();
     for chunk in expired.chunks(MAX_ROWS / 3) {
         let drops = chunk
             .iter()
@@ -153,7 +157,7 @@
             })
             .collect();
         let change = Transaction { drops, across_parts: true, ..Transaction::default() };
-        if !write(owner, change).await {
+        if !commit_fenced(owner, change).await {
             // The rows stay until the next owner finds them expired.
             owner.node.journal.warn("rows_left", &[("jobs", &chunk.len())]);
         }
--- a/crates/scheduler/src/owner/attend.rs
+++ b/crates/scheduler/src/owner/supervisor.rs
@@ -2,7 +2,7 @@
 
 use crate::clock;
 use crate::metrics::{Counter, Timing};
-use crate::owner::{Owner, dispatch, keep};
+use crate::owner::{Owner, dispatch, persist};
 use crate::rows;
 use async_std::channel;
 use celerythread_adapter::Failure;
@@ -24,166 +24,170 @@
 
 /// How long a look waits for an end while something runs.  It bounds the age of what is known
 /// of progress.
-const LOOK_WAIT: Duration = Duration::from_millis(1000);
+const POLL_WAIT: Duration = Duration::from_millis(1000);
 
 /// Time between two looks at a minion on which nothing runs, at the least.
-const IDLE_LOOK: Duration = Duration::from_millis(1500);
+const MIN_IDLE_POLL_INTERVAL: Duration = Duration::from_millis(1500);
 
 /// Added for each minion of the cell beyond what that allows: at most 170 such looks a second, a tenth
 /// of a core.  At 600 minions, which a pool has in its turn, 400 a second took half of what the strongest
 /// entries have.
-const IDLE_LOOK_PER_MINION: Duration = Duration::from_millis(6);
+const IDLE_POLL_INTERVAL_PER_MINION: Duration = Duration::from_millis(6);
 
 /// Longest wait for an answer beyond the wait asked for.  Round trips take some 6 ms, and ten
 /// times that on an instance that is slowed down.
-const ANSWER_LIMIT: Duration = Duration::from_millis(400);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Longest wait for the answer to an order; one that is not answered in this time is reckoned
 /// to be carried out late or never.
-const ORDER_LIMIT: Duration = Duration::from_millis(300);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Pause after a look without an answer.
-const MISSED_PAUSE: Duration = Duration::from_millis(250);
+const MISSED_POLL_PAUSE: Duration = Duration::from_millis(250);
 
 /// Longest wait for ends to be kept before looking again all the same.
-const KEPT_WAIT: Duration = Duration::from_millis(500);
+const MAX_PERSIST_WAIT: Duration = Duration::from_millis(500);
 
 /// The step in which the process's clock counts.
-const CLOCK_STEP: Duration = Duration::from_millis(1);
+const CLOCK_RESOLUTION: Duration = Duration::from_millis(1);
 
 /// Orders given to one minion at a time: one that isn't answered must not hold up the rest.
-const LANES: usize = 3;
+const MAX_CONCURRENT_ORDERS: usize = 3;
 
 /// What the owner holds of a minion that is attended.
-pub(crate) struct Attendant {
+pub(crate) struct Supervisor {
     target: Target,
     orders: channel::Sender<Order>,
     queue: channel::Receiver<Order>,
     /// Wakes its look.
-    pub(crate) kick: Wake,
+    pub(crate) poll_wake: Wake,
     clock: Mutex<Option<MinionClock>>,
 }
 
-impl Attendant {
+impl Supervisor {
     /// Whether it has not been replaced or removed.
     fn is_current(&self, owner: &Owner) -> bool {
-        let attendants = owner.attendants.lock();
-        attendants.get(&self.target.id).is_some_and(|now| std::ptr::eq(now.as_ref(), self))
+        let supervisors = owner.supervisors.lock();
+        supervisors.get(&self.target.id).is_some_and(|now| std::ptr::eq(now.as_ref(), self))
     }
 
     /// Queues an order, and looks soon at what comes of it; false if nobody carries it out any more.
     pub(crate) fn order(&self, order: Order) -> bool {
         let queued = self.orders.try_send(order).is_ok();
-        self.kick.wake();
+        self.poll_wake.wake();
         queued
     }
 }
 
 /// Attends each minion of the cell, after the roster that names it is kept: a later owner must
 /// know where something may run.  False if the roster could not be kept, so that some aren't attended.
-pub(crate) async fn sync(owner: &Arc<Owner>) -> bool {
+pub(crate) async fn sync_supervisors(owner: &Arc<Owner>) -> bool {
     let wanted: Vec<MinionId> = owner
-        .with(|cell| cell.minions().map(|minion| minion.id.clone()).collect())
+        .with_cell(|cell| cell.minions().map(|minion| minion.id.clone()).collect())
         .unwrap_or_default();
-    look_at_restarted(owner);
-    let fresh = unattended(owner, &wanted);
+    poll_restarted(owner);
+    let fresh = unsupervised(owner, &wanted);
     if fresh.is_empty() {
         return true;
     }
-    let unnamed = {
+    let has_unlisted = {
         let roster = owner.roster.lock();
         fresh.iter().any(|id| !roster.contains(id))
     };
-    if unnamed && !keep_roster(owner, &wanted).await {
+    if has_unlisted && !write_roster(owner, &wanted).await {
         return false;
     }
     for id in fresh {
         let address = owner.node.minions.read().get(&id).map(|entry| entry.address);
         if let Some(address) = address {
-            attend(owner, id, address);
+            supervise(owner, id, address);
         }
     }
     true
 }
 
 /// Minions without an attendant at their listed address.  The address can change in a restart.
-fn unattended(owner: &Owner, wanted: &[MinionId]) -> Vec<MinionId> {
+fn unsupervised(owner: &Owner, wanted: &[MinionId]) -> Vec<MinionId> {
     let minions = owner.node.minions.read();
-    let attendants = owner.attendants.lock();
-    let is_attended = |id: &MinionId| {
+    let supervisors = owner.supervisors.lock();
+    let is_supervised = |id: &MinionId| {
         let listed = minions.get(id).map(|entry| entry.address);
-        let attended = attendants.get(id).map(|attendant| attendant.target.address);
-        attended.is_some_and(|attended| listed.is_none_or(|listed| listed == attended))
+        let supervised = supervisors.get(id).map(|supervisor| supervisor.target.address);
+        supervised.is_some_and(|supervised| listed.is_none_or(|listed| listed == supervised))
     };
-    wanted.iter().filter(|id| !is_attended(id)).cloned().collect()
+    wanted.iter().filter(|id| !is_supervised(id)).cloned().collect()
 }
 
 /// Wakes the looks at minions whose listed incarnation differs from the one that answered last.
 /// Nothing is started on them until both agree.
-fn look_at_restarted(owner: &Owner) {
+fn poll_restarted(owner: &Owner) {
     let restarted = |minion: &&Minion| !minion.has_current_listing();
     let ids: Vec<MinionId> = owner
-        .with(|cell| cell.minions().filter(restarted).map(|minion| minion.id.clone()).collect())
+        .with_cell(|cell| {
+            cell.minions().filter(restarted).map(|minion| minion.id.clone()).collect()
+        })
         .unwrap_or_default();
-    let attendants = owner.attendants.lock();
-    ids.iter().filter_map(|id| attendants.get(id)).for_each(|attendant| attendant.kick.wake());
+    let supervisors = owner.supervisors.lock();
+    ids.iter()
+        .filter_map(|id| supervisors.get(id))
+        .for_each(|supervisor| supervisor.poll_wake.wake());
 }
 
-async fn keep_roster(owner: &Arc<Owner>, minions: &[MinionId]) -> bool {
+async fn write_roster(owner: &Arc<Owner>, minions: &[MinionId]) -> bool {
     let roster = rows::Roster { minions: minions.iter().map(|id| id.to_string()).collect() };
     let name = Name::new(rows::JOBS, &owner.service, rows::ROSTER_KEY);
     let change = Transaction { writes: vec![(name, encode(&roster))], ..Transaction::default() };
-    let kept = keep::write(owner, change).await;
-    if kept {
+    let written = persist::commit_fenced(owner, change).await;
+    if written {
         *owner.roster.lock() = minions.iter().cloned().collect::<BTreeSet<_>>();
     }
-    kept
+    written
 }
 
-fn attend(owner: &Arc<Owner>, id: MinionId, address: SocketAddr) {
+fn supervise(owner: &Arc<Owner>, id: MinionId, address: SocketAddr) {
     let (orders, queue) = channel::unbounded();
-    let attendant = Arc::new(Attendant {
+    let supervisor = Arc::new(Supervisor {
         target: Target { address, id: id.clone() },
         orders,
         queue,
-        kick: Wake::default(),
+        poll_wake: Wake::default(),
         clock: Mutex::new(None),
     });
-    let former = owner.attendants.lock().insert(id, attendant.clone());
+    let former = owner.supervisors.lock().insert(id, supervisor.clone());
     if let Some(former) = former {
-        former.kick.wake();
+        former.poll_wake.wake();
     }
-    for _ in 0..LANES {
-        async_std::task::spawn(give_orders(owner.clone(), attendant.clone()));
+    for _ in 0..MAX_CONCURRENT_ORDERS {
+        async_std::task::spawn(send_orders(owner.clone(), supervisor.clone()));
     }
-    async_std::task::spawn(look_forever(owner.clone(), attendant));
+    async_std::task::spawn(poll_forever(owner.clone(), supervisor));
 }
 
 /// Looks at a minion until it is gone or the cell is lost.
-async fn look_forever(owner: Arc<Owner>, attendant: Arc<Attendant>) {
+async fn poll_forever(owner: Arc<Owner>, supervisor: Arc<Supervisor>) {
     use stop_token::future::FutureExt;
     let stopped = owner.stopped.clone();
-    let looking = async {
+    let polling = async {
         let mut session = Session::default();
         let mut missed = false;
-        while let Some(next) = next_look(&owner, &attendant, &session).await {
-            missed = !look_twice(&owner, &attendant, &mut session, next, missed).await;
+        while let Some(next) = next_poll(&owner, &supervisor, &session).await {
+            missed = !poll_with_retry(&owner, &supervisor, &mut session, next, missed).await;
             if missed {
-                async_std::task::sleep(MISSED_PAUSE).await;
+                async_std::task::sleep(MISSED_POLL_PAUSE).await;
             }
         }
     };
-    let _ = looking.timeout_at(stopped).await;
+    let _ = polling.timeout_at(stopped).await;
     // Closing the queue ends the lanes.
-    attendant.queue.close();
-    let mut attendants = owner.attendants.lock();
-    if attendants.get(&attendant.target.id).is_some_and(|now| Arc::ptr_eq(now, &attendant)) {
-        attendants.remove(&attendant.target.id);
+    supervisor.queue.close();
+    let mut supervisors = owner.supervisors.lock();
+    if supervisors.get(&supervisor.target.id).is_some_and(|now| Arc::ptr_eq(now, &supervisor)) {
+        supervisors.remove(&supervisor.target.id);
     }
 }
 
 #[derive(Clone, Copy)]
-struct Look {
+struct Poll {
     acknowledged: u64,
     /// The incarnation that numbered the acknowledged ends.
     incarnation: Option<Incarnation>,
@@ -191,13 +195,13 @@
 }
 
 /// Waits until the next look is due; none when the minion is no longer of interest.
-async fn next_look(owner: &Owner, attendant: &Attendant, session: &Session) -> Option<Look> {
-    let id = &attendant.target.id;
-    if !attendant.is_current(owner) {
+async fn next_poll(owner: &Owner, supervisor: &Supervisor, session: &Session) -> Option<Poll> {
+    let id = &supervisor.target.id;
+    if !supervisor.is_current(owner) {
         return None;
     }
     let state = || {
-        owner.with(|cell| {
+        owner.with_cell(|cell| {
             cell.minion(id).map(|minion| {
                 let ended = !minion.listed && minion.is_empty() && !minion.has_unkept();
                 let fresh = !minion.answered;
@@ -214,24 +218,27 @@
     // Unacknowledged ends are listed again at once, so a look before they are kept would only
     // repeat the last one.
     if unkept {
-        attendant.kick.wait(KEPT_WAIT).await;
+        supervisor.poll_wake.wait(MAX_PERSIST_WAIT).await;
     } else if !busy && !fresh && acknowledgement_sent {
-        let attended = owner.attendants.lock().len() as u32;
-        attendant.kick.wait(IDLE_LOOK.max(IDLE_LOOK_PER_MINION * attended)).await;
+        let supervised = owner.supervisors.lock().len() as u32;
+        supervisor
+            .poll_wake
+            .wait(MIN_IDLE_POLL_INTERVAL.max(IDLE_POLL_INTERVAL_PER_MINION * supervised))
+            .await;
     }
-    if !attendant.is_current(owner) {
+    if !supervisor.is_current(owner) {
         return None;
     }
     let (_, busy, fresh, unkept, _) = state()??;
-    let wait = if busy && !fresh && !unkept { LOOK_WAIT } else { Duration::ZERO };
-    let (incarnation, acknowledged) = acknowledgement(owner, attendant)?;
-    Some(Look { acknowledged, incarnation, wait })
+    let wait = if busy && !fresh && !unkept { POLL_WAIT } else { Duration::ZERO };
+    let (incarnation, acknowledged) = acknowledgement(owner, supervisor)?;
+    Some(Poll { acknowledged, incarnation, wait })
 }
 
 /// The incarnation of the minion, and the number up to which its ends can be acknowledged.
-fn acknowledgement(owner: &Owner, attendant: &Attendant) -> Option<(Option<Incarnation>, u64)> {
+fn acknowledgement(owner: &Owner, supervisor: &Supervisor) -> Option<(Option<Incarnation>, u64)> {
     let read = |minion: &Minion| (minion.incarnation, minion.acknowledged());
-    owner.with(|cell| cell.minion(&attendant.target.id).map(read)).flatten()
+    owner.with_cell(|cell| cell.minion(&supervisor.target.id).map(read)).flatten()
 }
 
 /// Looks, and again at once if there was no answer; true if the minion answered.
@@ -239,26 +246,26 @@
 /// Single calls go unanswered, or a connection goes silent, while the minion is well.  Taken for
 /// lost at the first miss, it would get no work until the next look, although nothing is wrong
 /// with it: at one call in ten, users saw two thirds of a burst come too late.
-async fn look_twice(
+async fn poll_with_retry(
     owner: &Arc<Owner>,
-    attendant: &Attendant,
+    supervisor: &Supervisor,
     session: &mut Session,
-    next: Look,
+    next: Poll,
     missed: bool,
 ) -> bool {
-    let again = Look { wait: Duration::ZERO, ..next };
-    match look(owner, attendant, Some(session), next, missed).await {
+    let again = Poll { wait: Duration::ZERO, ..next };
+    match poll(owner, supervisor, Some(session), next, missed).await {
         Ok(()) => return true,
         Err(reason) if missed => {
-            note_missed(owner, &attendant.target.id, &reason);
+            record_missed_poll(owner, &supervisor.target.id, &reason);
             return false;
         }
         Err(_) => {}
     }
-    match look(owner, attendant, Some(session), again, true).await {
+    match poll(owner, supervisor, Some(session), again, true).await {
         Ok(()) => true,
         Err(reason) => {
-            note_missed(owner, &attendant.target.id, &reason);
+            record_missed_poll(owner, &supervisor.target.id, &reason);
             false
         }
     }
@@ -268,23 +275,23 @@
 ///
 /// # Errors
 /// Why the minion didn't answer as it should.
-async fn look(
+async fn poll(
     owner: &Arc<Owner>,
-    attendant: &Attendant,
+    supervisor: &Supervisor,
     session: Option<&mut Session>,
-    look: Look,
+    poll: Poll,
     missed: bool,
 ) -> Result<(), String> {
-    let id = &attendant.target.id;
+    let id = &supervisor.target.id;
     // After a miss nothing is extended before the minion has answered: extending what doesn't
     // answer would put off its lapse for ever.
-    let deadline_ms = if missed { None } else { promise(owner, attendant) };
-    let wait = if missed { Duration::ZERO } else { look.wait };
-    let Look { acknowledged, incarnation, .. } = look;
+    let deadline_ms = if missed { None } else { grant_deadline(owner, supervisor) };
+    let wait = if missed { Duration::ZERO } else { poll.wait };
+    let Poll { acknowledged, incarnation, .. } = poll;
     let hold = Hold { token: owner.token, acknowledged, incarnation, deadline_ms, wait };
     let sent = clock::now();
     owner.node.metrics.count(Counter::Holds);
-    let (target, limit) = (&attendant.target, wait + ANSWER_LIMIT);
+    let (target, limit) = (&supervisor.target, wait + ANSWER_TIMEOUT);
     let answer = match session {
         Some(session) => session.hold(target, &hold, limit).await,
         None => owner.node.minion_client.hold(target, &hold, limit).await,
@@ -292,15 +299,15 @@
     match answer {
         Ok(Reply::Done(report, clock_ms)) => {
             let is_outdated = |minion: &Minion| minion.is_outdated(report.incarnation);
-            if owner.with(|cell| cell.minion(id).is_some_and(is_outdated)) == Some(true) {
+            if owner.with_cell(|cell| cell.minion(id).is_some_and(is_outdated)) == Some(true) {
                 return Ok(());
             }
-            update_clock(owner, attendant, clock_ms, sent);
-            take_report(owner, id, &report, sent);
+            update_clock(owner, supervisor, clock_ms, sent);
+            apply_report(owner, id, &report, sent);
             Ok(())
         }
         Ok(Reply::OtherLife) => {
-            bury(owner, attendant);
+            mark_ended(owner, supervisor);
             Ok(())
         }
         Ok(Reply::Refused(reason)) => Err(reason.to_string()),
@@ -310,14 +317,14 @@
 
 /// The deadline to give a minion, noted as a promise before it is sent; none while leases must
 /// not be extended or its clock is not known.
-fn promise(owner: &Owner, attendant: &Attendant) -> Option<u64> {
-    if !owner.node.may_extend() || owner.is_stopped() {
+fn grant_deadline(owner: &Owner, supervisor: &Supervisor) -> Option<u64> {
+    if !owner.node.may_extend_leases() || owner.is_stopped() {
         return None;
     }
-    let known = (*attendant.clock.lock())?;
+    let known = (*supervisor.clock.lock())?;
     let term_ms = owner.node.settings.run_lease.0.as_millis() as u64;
     let deadline_ms = known.now_ms(clock::now()) + term_ms;
-    owner.with(|cell| cell.promise(&attendant.target.id, known.passes(deadline_ms)));
+    owner.with_cell(|cell| cell.promise(&supervisor.target.id, known.passes(deadline_ms)));
     Some(deadline_ms)
 }
 
@@ -325,23 +332,24 @@
 ///
 /// In that case, the new process may have received deadlines on the former clock and shortened
 /// them to the lease limit, so leases are assumed to last that long.
-fn update_clock(owner: &Owner, attendant: &Attendant, clock_ms: u64, sent: Time) -> bool {
+fn update_clock(owner: &Owner, supervisor: &Supervisor, clock_ms: u64, sent: Time) -> bool {
     let now = clock::now();
-    let former = attendant.clock.lock().replace(MinionClock::new(clock_ms, now));
+    let former = supervisor.clock.lock().replace(MinionClock::new(clock_ms, now));
     let is_reset = former.is_some_and(|former| former.is_reset(clock_ms, sent));
     if is_reset {
         let until = now + lease::max_duration(owner.node.settings.lease_limit.0);
-        owner.with(|cell| cell.promise(&attendant.target.id, until));
+        owner.with_cell(|cell| cell.promise(&supervisor.target.id, until));
     }
     !is_reset
 }
 
-fn take_report(owner: &Arc<Owner>, id: &MinionId, report: &Report, sent: Time) {
-    let before = owner.with(|cell| cell.minion(id).map(|minion| minion.is_reachable())).flatten();
-    let orders = owner.with(|cell| cell.report(id, report, sent, clock::now()));
+fn apply_report(owner: &Arc<Owner>, id: &MinionId, report: &Report, sent: Time) {
+    let before =
+        owner.with_cell(|cell| cell.minion(id).map(|minion| minion.is_reachable())).flatten();
+    let orders = owner.with_cell(|cell| cell.report(id, report, sent, clock::now()));
     if before == Some(false) {
         let incarnation = report.incarnation.map_or(0, |incarnation| incarnation.0);
-        owner.node.journal.note(
+        owner.node.journal.info(
             "minion_answers",
             &[("minion", id), ("incarnation", &incarnation), ("running", &report.running.len())],
         );
@@ -350,33 +358,34 @@
     owner.plan_wake.wake();
 }
 
-fn note_missed(owner: &Owner, id: &MinionId, reason: &dyn std::fmt::Display) {
+fn record_missed_poll(owner: &Owner, id: &MinionId, reason: &dyn std::fmt::Display) {
     owner.node.metrics.count(Counter::HoldsMissed);
     owner.node.journal.warn("minion_missed", &[("minion", id), ("reason", reason)]);
-    owner.with(|cell| cell.missed(id, clock::now()));
+    owner.with_cell(|cell| cell.missed(id, clock::now()));
     owner.plan_wake.wake();
 }
 
 /// Records that the minion's life is over because another one answers at its address.
-fn bury(owner: &Owner, attendant: &Attendant) {
+fn mark_ended(owner: &Owner, supervisor: &Supervisor) {
     // An answer at a former address doesn't show that the minion is over.
-    if !attendant.is_current(owner) {
+    if !supervisor.is_current(owner) {
         return;
     }
-    let id = &attendant.target.id;
+    let id = &supervisor.target.id;
     owner.node.journal.warn("minion_over", &[("minion", id)]);
-    let incarnation = owner.with(|cell| cell.minion(id).map(Minion::known_incarnation)).flatten();
-    owner.buried.lock().insert(id.clone(), incarnation.flatten());
-    owner.with(|cell| cell.bury(id, clock::now()));
+    let incarnation =
+        owner.with_cell(|cell| cell.minion(id).map(Minion::known_incarnation)).flatten();
+    owner.ended_minions.lock().insert(id.clone(), incarnation.flatten());
+    owner.with_cell(|cell| cell.bury(id, clock::now()));
     owner.plan_wake.wake();
 }
 
-async fn give_orders(owner: Arc<Owner>, attendant: Arc<Attendant>) {
-    while let Ok(order) = attendant.queue.recv().await {
+async fn send_orders(owner: Arc<Owner>, supervisor: Arc<Supervisor>) {
+    while let Ok(order) = supervisor.queue.recv().await {
         match order {
             Order::Start { task, run, suspected, .. } => {
                 let began = clock::now();
-                let result = start(&owner, &attendant, &order).await;
+                let result = start_run(&owner, &supervisor, &order).await;
                 owner.node.metrics.time(Timing::Start, clock::now().since(began));
                 if result != StartResult::Started {
                     owner.node.journal.warn(
@@ -385,43 +394,43 @@
                             ("job", &task.job),
                             ("task", &task),
                             ("run", &run),
-                            ("minion", &attendant.target.id),
+                            ("minion", &supervisor.target.id),
                             ("result", &format_args!("{result:?}")),
                         ],
                     );
                 }
-                let id = &attendant.target.id;
-                owner.with(|cell| cell.start_result(id, &task, run, result, clock::now()));
+                let id = &supervisor.target.id;
+                owner.with_cell(|cell| cell.start_result(id, &task, run, result, clock::now()));
                 if result == StartResult::Unknown {
-                    look_at_once(&owner, &attendant).await;
+                    poll_now(&owner, &supervisor).await;
                 }
                 if result == StartResult::Started && suspected {
                     // What may not run beside it waits for a look that shows it to have outlived its trial.
                     async_std::task::sleep(TRIAL).await;
-                    look_at_once(&owner, &attendant).await;
+                    poll_now(&owner, &supervisor).await;
                 }
                 if result != StartResult::Started {
                     owner.plan_wake.wake();
                 }
             }
             Order::Pace { task, run, percent, .. } => {
-                let (to, client) = (&attendant.target, &owner.node.minion_client);
+                let (to, client) = (&supervisor.target, &owner.node.minion_client);
                 let token = owner.token;
-                let paced = client.pace(to, &task, run, percent, token, ORDER_LIMIT).await;
+                let paced = client.pace(to, &task, run, percent, token, ORDER_TIMEOUT).await;
                 if !matches!(paced, Ok(Reply::Done(..))) {
-                    owner.with(|cell| cell.pace_missed(&to.id, &task, run));
+                    owner.with_cell(|cell| cell.pace_missed(&to.id, &task, run));
                 }
             }
             Order::Stop { task, run, .. } => {
-                let (to, client) = (&attendant.target, &owner.node.minion_client);
-                let answer = client.stop(to, &task, run, owner.token, ORDER_LIMIT).await;
+                let (to, client) = (&supervisor.target, &owner.node.minion_client);
+                let answer = client.stop(to, &task, run, owner.token, ORDER_TIMEOUT).await;
                 match answer {
                     Ok(Reply::Done(..)) => {
                         let now = clock::now();
-                        owner.with(|cell| cell.stop_confirmed(&to.id, &task, run, now));
-                        look_at_once(&owner, &attendant).await;
+                        owner.with_cell(|cell| cell.stop_confirmed(&to.id, &task, run, now));
+                        poll_now(&owner, &supervisor).await;
                     }
-                    Ok(Reply::OtherLife) => bury(&owner, &attendant),
+                    Ok(Reply::OtherLife) => mark_ended(&owner, &supervisor),
                     // Ordered again by a later plan.
                     Ok(Reply::Refused(_)) | Err(_) => {}
                 }
@@ -436,14 +445,14 @@
 ///
 /// A look that is sent in the millisecond of what it is to settle can't be told from one sent before it,
 /// which settles nothing; so it is sent in the next one.
-async fn look_at_once(owner: &Arc<Owner>, attendant: &Attendant) {
-    async_std::task::sleep(CLOCK_STEP).await;
-    let next = Look { acknowledged: 0, incarnation: None, wait: Duration::ZERO };
+async fn poll_now(owner: &Arc<Owner>, supervisor: &Supervisor) {
+    async_std::task::sleep(CLOCK_RESOLUTION).await;
+    let next = Poll { acknowledged: 0, incarnation: None, wait: Duration::ZERO };
     // Without an answer the minion's own looks find out.
-    let _ = look(owner, attendant, None, next, false).await;
+    let _ = poll(owner, supervisor, None, next, false).await;
 }
 
-async fn start(owner: &Owner, attendant: &Attendant, order: &Order) -> StartResult {
+async fn start_run(owner: &Owner, supervisor: &Supervisor, order: &Order) -> StartResult {
     // What is queued may have waited; which jobs it is for was decided when it was planned.
     let allowed = match owner.node.permit() {
         Permit::All => true,
@@ -453,19 +462,19 @@
     if !allowed {
         return StartResult::Refused(Refusal::Unhealthy);
     }
-    let Some(deadline_ms) = promise(owner, attendant) else {
+    let Some(deadline_ms) = grant_deadline(owner, supervisor) else {
         return StartResult::Refused(Refusal::Unhealthy);
     };
-    let (to, client) = (&attendant.target, &owner.node.minion_client);
+    let (to, client) = (&supervisor.target, &owner.node.minion_client);
     let sent = clock::now();
-    match client.start(to, order, deadline_ms, owner.token, ORDER_LIMIT).await {
+    match client.start(to, order, deadline_ms, owner.token, ORDER_TIMEOUT).await {
         Ok(Reply::Done(StartResult::Unknown, _)) => {
             owner.node.metrics.count(Counter::StartsUnknown);
             StartResult::Unknown
         }
         Ok(Reply::Done(result, clock_ms)) => {
-            if !update_clock(owner, attendant, clock_ms, sent) {
-                attendant.kick.wake();
+            if !update_clock(owner, supervisor, clock_ms, sent) {
+                supervisor.poll_wake.wake();
             }
             result
         }
@@ -474,13 +483,13 @@
             StartResult::Refused(reason)
         }
         Ok(Reply::OtherLife) => {
-            bury(owner, attendant);
+            mark_ended(owner, supervisor);
             StartResult::Refused(Refusal::Unhealthy)
         }
         Err(Failure::NotSent { .. } | Failure::Unanswered { .. }) => {
             // Silence at an address that the minion has left says nothing of it.
-            if attendant.is_current(owner) {
-                owner.with(|cell| cell.missed(&to.id, clock::now()));
+            if supervisor.is_current(owner) {
+                owner.with_cell(|cell| cell.missed(&to.id, clock::now()));
             }
             StartResult::Refused(Refusal::Unhealthy)
         }
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -23,22 +23,22 @@
 
 /// Longest wait for a peer's answer: dialling takes some 10 ms and an exchange 6 ms at worst
 /// when the peer is well, and whoever asks has the store to fall back on.
-const ANSWER_LIMIT: Duration = Duration::from_millis(350);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// The same for an answer that only the owner can give and for which nobody waits: an owner that has
 /// taken a large cell over answers late, and without its demand its pool gets no machines.
-const PATIENT_LIMIT: Duration = Duration::from_millis(1200);
+const LOAD_ANSWER_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// Longest time for writing a job on behalf of a peer, within its wait for the answer.
-const SUBMIT_LIMIT: Duration = Duration::from_millis(250);
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// After a question that was not answered, a peer is not asked for this long.
-const REST: Duration = Duration::from_millis(1500);
+const BACKOFF: Duration = Duration::from_millis(1500);
 
 /// Why a peer gave no answer.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
-pub(crate) enum Silence {
+pub(crate) enum AskError {
     /// It certainly didn't get the question.
     NotAsked,
     /// It may have got the question.
@@ -48,7 +48,7 @@
 /// Questions in a row without an answer after which a link is given up: something in between may have
 /// forgotten it, so that it is silent for good, but an owner that answers late isn't helped by another
 /// handshake.
-const MISSES: u32 = 2;
+const MAX_CONSECUTIVE_MISSES: u32 = 2;
 
 /// A link that is being dialled; none if that failed.
 type Dial = Shared<BoxFuture<'static, Option<Link>>>;
@@ -65,7 +65,7 @@
     /// third of a second and begun anew a second later, they left owners of large cells without time for
     /// anything else, and the machines of their pools idle for six seconds.
     dials: Mutex<HashMap<SocketAddr, Dial>>,
-    resting: Mutex<HashMap<SocketAddr, std::time::Instant>>,
+    backing_off: Mutex<HashMap<SocketAddr, std::time::Instant>>,
     /// Questions in a row that were not answered.
     misses: Mutex<HashMap<SocketAddr, u32>>,
 }
@@ -94,7 +94,7 @@
         self.dials.lock().retain(|_, known| !known.ptr_eq(&dial));
         let link = link.filter(|link| !link.is_closed())?;
         self.links.lock().insert(address, link.clone());
-        self.resting.lock().remove(&address);
+        self.backing_off.lock().remove(&address);
         Some(link)
     }
 
@@ -112,9 +112,9 @@
     }
 
     /// Whether a peer isn't asked for now because it didn't answer lately, and no new link is there.
-    pub(crate) fn is_resting(&self, address: SocketAddr) -> bool {
+    pub(crate) fn is_backing_off(&self, address: SocketAddr) -> bool {
         let dialled = self.dials.lock().get(&address).is_some_and(|dial| dial.peek().is_some());
-        !dialled && self.rests(address)
+        !dialled && self.has_backoff(address)
     }
 
     /// Whether a link to a peer is open.
@@ -122,8 +122,8 @@
         self.links.lock().get(&address).is_some_and(|link| !link.is_closed())
     }
 
-    fn rests(&self, address: SocketAddr) -> bool {
-        self.resting.lock().get(&address).is_some_and(|since| since.elapsed() < REST)
+    fn has_backoff(&self, address: SocketAddr) -> bool {
+        self.backing_off.lock().get(&address).is_some_and(|since| since.elapsed() < BACKOFF)
     }
 
     /// Asks a peer.
@@ -134,17 +134,17 @@
         &self,
         address: SocketAddr,
         question: Question,
-    ) -> Result<Answer, Silence> {
-        if self.is_resting(address) {
-            return Err(Silence::NotAsked);
+    ) -> Result<Answer, AskError> {
+        if self.is_backing_off(address) {
+            return Err(AskError::NotAsked);
         }
-        let limit = limit(&question);
+        let limit = answer_timeout(&question);
         let began = std::time::Instant::now();
         let opening = async { self.link(address).await?.open().await.ok() };
         let opened = timeout(limit, opening).await.ok().flatten();
         let Some(mut channel) = opened else {
-            self.rest(address);
-            return Err(Silence::NotAsked);
+            self.start_backoff(address);
+            return Err(AskError::NotAsked);
         };
         let exchange = async {
             channel.send(&Frame::JobQuestion(question)).await.ok()?;
@@ -159,18 +159,18 @@
         if answer.is_some() {
             self.misses.lock().remove(&address);
         } else {
-            self.miss(address);
+            self.record_miss(address);
         }
-        answer.ok_or(Silence::Unanswered)
+        answer.ok_or(AskError::Unanswered)
     }
 
     /// Notes that a question was not answered.
-    fn miss(&self, address: SocketAddr) {
-        self.rest(address);
+    fn record_miss(&self, address: SocketAddr) {
+        self.start_backoff(address);
         let mut misses = self.misses.lock();
         let count = misses.entry(address).or_default();
         *count += 1;
-        if *count >= MISSES {
+        if *count >= MAX_CONSECUTIVE_MISSES {
             misses.remove(&address);
             if let Some(link) = self.links.lock().remove(&address) {
                 link.close();
@@ -179,16 +179,16 @@
     }
 
     /// Asks a peer nothing for a while.
-    fn rest(&self, address: SocketAddr) {
-        self.resting.lock().insert(address, std::time::Instant::now());
+    fn start_backoff(&self, address: SocketAddr) {
+        self.backing_off.lock().insert(address, std::time::Instant::now());
     }
 }
 
 /// How long a question's answer is waited for.
-fn limit(question: &Question) -> Duration {
+fn answer_timeout(question: &Question) -> Duration {
     match question {
-        Question::Load { .. } | Question::Release { .. } => PATIENT_LIMIT,
-        _ => ANSWER_LIMIT,
+        Question::Load { .. } | Question::Release { .. } => LOAD_ANSWER_TIMEOUT,
+        _ => ANSWER_TIMEOUT,
     }
 }
 
@@ -198,7 +198,7 @@
         return owner.answer(&question);
     }
     let (holder, address) = node.view.read().holder(service)?;
-    if holder == node.me {
+    if holder == node.entry_id {
         return None;
     }
     let answer = node.peers.ask(address, question).await.ok();
@@ -210,13 +210,13 @@
 }
 
 /// Writes a job for an entry that the store turns away.
-async fn submit(node: &Node, service: &str, id: Id, row: &[u8]) -> Answer {
-    if node.may_store_be_away() {
+async fn submit_for_peer(node: &Node, service: &str, id: Id, row: &[u8]) -> Answer {
+    if node.is_store_likely_down() {
         return Answer::Submitted(Submission::Refused);
     }
-    let until = clock::now() + SUBMIT_LIMIT;
+    let until = clock::now() + SUBMIT_TIMEOUT;
     let job = submit::Job { service, id, row, until };
-    Answer::Submitted(match submit::write_here(node, &job, SUBMIT_LIMIT).await {
+    Answer::Submitted(match submit::write_here(node, &job, SUBMIT_TIMEOUT).await {
         Written::Accepted(row) => Submission::Accepted { row },
         Written::Refused(_) => Submission::Refused,
         Written::Unknown => Submission::Unknown,
@@ -237,14 +237,14 @@
 
 async fn serve_link(node: Arc<Node>, link: Link) {
     while let Ok(channel) = link.accept().await {
-        async_std::task::spawn(serve(node.clone(), channel));
+        async_std::task::spawn(serve_channel(node.clone(), channel));
     }
 }
 
-async fn serve(node: Arc<Node>, mut channel: Channel) {
+async fn serve_channel(node: Arc<Node>, mut channel: Channel) {
     let Ok(Frame::JobQuestion(question)) = channel.receive().await else { return };
     let answer = match &question {
-        Question::Submit { service, id, row } => submit(&node, service, *id, row).await,
+        Question::Submit { service, id, row } => submit_for_peer(&node, service, *id, row).await,
         Question::Configuration { version } => in_force::answer(&node, *version),
         _ => node
             .owner(question.service())
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -133,16 +133,16 @@
 
 /// Partitions over which a service's jobs are spread.  At the sites' largest bursts, some 60 jobs
 /// a second, a slow store's four transactions a second for each of them are still enough.
-const SHARDS: u64 = 32;
+const SHARDS_PER_SERVICE: u64 = 32;
 
 /// The partition of a job.
 fn shard(service: &str, id: &Id) -> String {
-    let shard = celerythread_engine::ownership::rank(service, &id.to_string()) % SHARDS;
+    let shard = celerythread_engine::ownership::rank(service, &id.to_string()) % SHARDS_PER_SERVICE;
     format!("{service}/{shard}")
 }
 
 /// Start of the names of all partitions with jobs of a service.
-pub(crate) fn shards(service: &str) -> String {
+pub(crate) fn shard_prefix(service: &str) -> String {
     format!("{service}/")
 }
 
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -3,7 +3,7 @@
 use crate::clock;
 use crate::confirm::{self, Confirmed};
 use crate::node::Node;
-use crate::peers::Silence;
+use crate::peers::AskError;
 use crate::rows;
 use celerythread_adapter::store::{Error, Transaction};
 use celerythread_engine::job::Id;
@@ -69,7 +69,7 @@
         let attempt = Attempt {
             waited: clock::now().since(began),
             left: job.until.since(clock::now()),
-            silent: node.is_store_away(),
+            silent: node.is_store_down(),
             has_peers: peers.len() > 0,
             unanswered,
         };
@@ -136,10 +136,10 @@
         }
         Ok(Answer::Submitted(Submission::Refused)) => ("refused".to_owned(), refused_there()),
         Ok(_) => ("unknown".to_owned(), Written::Unknown),
-        Err(silence @ Silence::NotAsked) => (silence.to_string(), refused_there()),
-        Err(silence @ Silence::Unanswered) => (silence.to_string(), Written::Unknown),
+        Err(silence @ AskError::NotAsked) => (silence.to_string(), refused_there()),
+        Err(silence @ AskError::Unanswered) => (silence.to_string(), Written::Unknown),
     };
-    node.journal.note("job_relayed", &[("job", &job.id), ("peer", &peer), ("outcome", &outcome)]);
+    node.journal.info("job_relayed", &[("job", &job.id), ("peer", &peer), ("outcome", &outcome)]);
     written
 }
 
@@ -150,7 +150,7 @@
 /// Some other entries, at random, so that one that is turned away itself isn't asked each time.
 fn peers(node: &Node) -> Vec<SocketAddr> {
     let view = node.view.read();
-    let others = view.entry_rows.iter().filter(|(id, row)| **id != node.me && !row.stopping);
-    let awake = others.map(|(_, row)| row.peer).filter(|peer| !node.peers.is_resting(*peer));
+    let others = view.entry_rows.iter().filter(|(id, row)| **id != node.entry_id && !row.stopping);
+    let awake = others.map(|(_, row)| row.peer).filter(|peer| !node.peers.is_backing_off(*peer));
     awake.choose_multiple(&mut rand::rng(), PEERS)
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -103,7 +103,7 @@
         let mut current = settings.clone();
         let daemon = scheduler::Daemon::start(settings).await.context(SchedulerSnafu)?;
         let callers = daemon.caller_address();
-        daemon.journal().note("listening", &[("callers", &callers), ("entry", &daemon.id())]);
+        daemon.journal().info("listening", &[("callers", &callers), ("entry", &daemon.id())]);
         while let Ok(Ok(Signal::Reload)) | Err(_) = timeout(RELOAD_LOOK, signalled.recv()).await {
             reload(path, &mut current, &daemon);
         }
@@ -119,7 +119,7 @@
         Ok(Role::Scheduler(settings)) if *settings == *current => {}
         Ok(Role::Scheduler(settings)) => {
             *current = *settings;
-            daemon.journal().note("settings_changed", &[("path", &path.display())]);
+            daemon.journal().info("settings_changed", &[("path", &path.display())]);
         }
         Ok(Role::Entry(_)) => {
             daemon.journal().warn("settings_refused", &[("reason", &"the store is missing")]);
