--- a/crates/scheduler/src/front.rs
+++ b/crates/scheduler/src/front.rs
@@ -104,7 +104,8 @@
 
     fn readiness(&self) -> Response {
         let node = &self.node;
-        let ready = node.configuration().is_some() && !node.is_store_down() && !node.is_stopping();
+        let ready =
+            node.configuration().is_some() && !node.is_outage_ongoing() && !node.is_stopping();
         answer(if ready { StatusCode::Ok } else { StatusCode::ServiceUnavailable })
     }
 
@@ -315,7 +316,7 @@
         let state = match asked.await {
             Some(Answer::State(Some(state))) => Ok(Some(state)),
             // Nobody can tell now, and whoever asks does so again.
-            _ if self.node.is_store_down() => return refuse(context.left()),
+            _ if self.node.is_outage_ongoing() => return refuse(context.left()),
             // A job that the owner doesn't know may have been accepted a moment ago.
             _ => self.read_state(context, queue, id).await,
         };
@@ -392,7 +393,7 @@
             let attempt = Attempt {
                 waited: clock::now().since(began),
                 left: context.left(),
-                silent: node.is_store_down(),
+                silent: node.is_outage_ongoing(),
                 has_peers: false,
                 unanswered: true,
             };
--- a/crates/scheduler/src/in_force.rs
+++ b/crates/scheduler/src/in_force.rs
@@ -157,7 +157,7 @@
         if node.in_force.asking.wait(interval).timeout_at(node.stop.clone()).await.is_err() {
             return;
         }
-        if node.in_force.age() < ASK_AFTER && !node.is_store_likely_down() {
+        if node.in_force.age() < ASK_AFTER && !node.is_outage_suspected() {
             (peer, interval) = (None, ASK_INTERVAL);
             continue;
         }
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -298,12 +298,12 @@
     }
 
     /// Whether the store may be away.
-    pub(crate) fn is_store_likely_down(&self) -> bool {
+    pub(crate) fn is_outage_suspected(&self) -> bool {
         self.outage.lock().is_likely()
     }
 
     /// Whether the store is away, as far as this entry knows.
-    pub(crate) fn is_store_down(&self) -> bool {
+    pub(crate) fn is_outage_ongoing(&self) -> bool {
         self.outage.lock().is_on(clock::now())
     }
 
--- a/crates/scheduler/src/owner.rs
+++ b/crates/scheduler/src/owner.rs
@@ -65,9 +65,9 @@
 
 /// Minions whose life is over, with the incarnation that ended, if known.
 #[derive(Default)]
-pub(crate) struct EndedMinions(BTreeMap<Arc<str>, Option<Incarnation>>);
+pub(crate) struct TerminatedMinions(BTreeMap<Arc<str>, Option<Incarnation>>);
 
-impl EndedMinions {
+impl TerminatedMinions {
     /// Adds a minion; false if it was already present with this incarnation.
     pub(crate) fn insert(&mut self, id: Arc<str>, incarnation: Option<Incarnation>) -> bool {
         self.0.insert(id, incarnation) != Some(incarnation)
@@ -97,7 +97,7 @@
     pub(crate) roster: Mutex<BTreeSet<Arc<str>>>,
     pub(crate) supervisors: Mutex<BTreeMap<Arc<str>, Arc<Supervisor>>>,
     /// Minions whose life is over although they may still be listed.
-    pub(crate) ended_minions: Mutex<EndedMinions>,
+    pub(crate) terminated_minions: Mutex<TerminatedMinions>,
     pub(crate) plan_wake: Wake,
     pub(crate) persist_wake: Wake,
     /// Whether the minions, or which of them are to be emptied, may have changed since the last
@@ -129,7 +129,7 @@
             ledger: async_std::sync::Mutex::new(0),
             roster: Mutex::default(),
             supervisors: Mutex::default(),
-            ended_minions: Mutex::default(),
+            terminated_minions: Mutex::default(),
             plan_wake: Wake::default(),
             persist_wake: Wake::default(),
             minions_changed: AtomicBool::new(true),
@@ -257,12 +257,12 @@
     fn sync_minions(&self) {
         let view = self.node.view.read();
         let minions = self.node.minions.read();
-        let ended_minions = self.ended_minions.lock();
-        let has_ended =
-            |id: &str, entry: &Entry| ended_minions.contains(id, entry.listing.incarnation);
+        let terminated_minions = self.terminated_minions.lock();
+        let has_terminated =
+            |id: &str, entry: &Entry| terminated_minions.contains(id, entry.listing.incarnation);
         let mine = minions
             .iter()
-            .filter(|(id, entry)| entry.service == self.service && !has_ended(id, entry));
+            .filter(|(id, entry)| entry.service == self.service && !has_terminated(id, entry));
         self.with_cell(|cell| {
             let known: Vec<Arc<str>> = cell.minions().map(|minion| minion.id.clone()).collect();
             for (id, entry) in mine {
@@ -294,7 +294,7 @@
 async fn run_owner(owner: Arc<Owner>) {
     let Some(version) = load::take_over(&owner).await else { return };
     async_std::task::spawn(load::follow_jobs(owner.clone(), version));
-    async_std::task::spawn(load::mark_ended_until_settled(owner.clone()));
+    async_std::task::spawn(load::mark_terminated_until_settled(owner.clone()));
     async_std::task::spawn(persist::persist_forever(owner.clone()));
     async_std::task::spawn(quota::follow_splits(owner.clone()));
     plan_forever(owner).await;
--- a/crates/scheduler/src/owner/load.rs
+++ b/crates/scheduler/src/owner/load.rs
@@ -27,7 +27,7 @@
 const JOBS_READ_PAUSE: Duration = Duration::from_millis(400);
 
 /// Time between two looks for minions that are over, while a new owner waits for some, at the least.
-const MIN_ENDED_CHECK_INTERVAL: Duration = Duration::from_millis(400);
+const MIN_TERMINATED_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Machines in one answer of the platform's list.
 const MACHINES_PER_PAGE: usize = 200;
@@ -139,7 +139,7 @@
         cell.inherit(&id);
         owner.roster.lock().insert(id);
     }
-    mark_ended(&mut cell, find_ended_minions(owner).await.0);
+    mark_terminated(&mut cell, find_terminated_minions(owner).await.0);
     *owner.cell.lock() = Some(cell);
     if let Some(configuration) = owner.node.configuration() {
         owner.configure(&configuration);
@@ -171,29 +171,29 @@
 ///
 /// The lists show it only some time after: a machine that is ordered down while its cell changes
 /// hands was still listed with its minion when the cell was read.
-pub(crate) async fn mark_ended_until_settled(owner: Arc<Owner>) {
-    let mut interval = MIN_ENDED_CHECK_INTERVAL;
+pub(crate) async fn mark_terminated_until_settled(owner: Arc<Owner>) {
+    let mut interval = MIN_TERMINATED_CHECK_INTERVAL;
     while owner.pause(interval).await {
         if owner.with_cell(|cell| cell.is_settled(clock::now())).unwrap_or(true) {
             return;
         }
-        let (over, machines) = find_ended_minions(&owner).await;
-        owner.with_cell(|cell| mark_ended(cell, over));
+        let (over, machines) = find_terminated_minions(&owner).await;
+        owner.with_cell(|cell| mark_terminated(cell, over));
         let cells = owner.node.view.read().holdings.len();
         let reads = cells * machines.div_ceil(MACHINES_PER_PAGE);
-        interval = MIN_ENDED_CHECK_INTERVAL.max(INTERVAL_PER_LIST_READ * reads as u32);
+        interval = MIN_TERMINATED_CHECK_INTERVAL.max(INTERVAL_PER_LIST_READ * reads as u32);
         owner.plan_wake.wake();
     }
 }
 
-fn mark_ended(cell: &mut Cell, minions: Vec<Arc<str>>) {
+fn mark_terminated(cell: &mut Cell, minions: Vec<Arc<str>>) {
     for id in minions {
         cell.bury(&id, clock::now());
     }
 }
 
 /// Minions of the roster whose life is over, and how many machines there are.
-async fn find_ended_minions(owner: &Owner) -> (Vec<Arc<str>>, usize) {
+async fn find_terminated_minions(owner: &Owner) -> (Vec<Arc<str>>, usize) {
     let node = &owner.node;
     let Some(client) = &node.machines else { return (Vec::new(), 0) };
     // One of those that can't be read may have the minion that no other has.
@@ -212,7 +212,7 @@
     let over: Vec<Arc<str>> = inherited.into_iter().filter(is_over).collect();
     for id in &over {
         let incarnation = minions.get(id).and_then(|entry| entry.listing.incarnation);
-        if owner.ended_minions.lock().insert(id.clone(), incarnation) {
+        if owner.terminated_minions.lock().insert(id.clone(), incarnation) {
             node.journal.info("minion_over", &[("minion", id)]);
         }
     }
--- a/crates/scheduler/src/owner/supervisor.rs
+++ b/crates/scheduler/src/owner/supervisor.rs
@@ -307,7 +307,7 @@
             Ok(())
         }
         Ok(Reply::OtherLife) => {
-            mark_ended(owner, supervisor);
+            mark_terminated(owner, supervisor);
             Ok(())
         }
         Ok(Reply::Refused(reason)) => Err(reason.to_string()),
@@ -366,7 +366,7 @@
 }
 
 /// Records that the minion's life is over because another one answers at its address.
-fn mark_ended(owner: &Owner, supervisor: &Supervisor) {
+fn mark_terminated(owner: &Owner, supervisor: &Supervisor) {
     // An answer at a former address doesn't show that the minion is over.
     if !supervisor.is_current(owner) {
         return;
@@ -375,7 +375,7 @@
     owner.node.journal.warn("minion_over", &[("minion", id)]);
     let incarnation =
         owner.with_cell(|cell| cell.minion(id).map(Minion::known_incarnation)).flatten();
-    owner.ended_minions.lock().insert(id.clone(), incarnation.flatten());
+    owner.terminated_minions.lock().insert(id.clone(), incarnation.flatten());
     owner.with_cell(|cell| cell.bury(id, clock::now()));
     owner.plan_wake.wake();
 }
@@ -430,7 +430,7 @@
                         owner.with_cell(|cell| cell.stop_confirmed(&to.id, &task, run, now));
                         poll_now(&owner, &supervisor).await;
                     }
-                    Ok(Reply::OtherLife) => mark_ended(&owner, &supervisor),
+                    Ok(Reply::OtherLife) => mark_terminated(&owner, &supervisor),
                     // Ordered again by a later plan.
                     Ok(Reply::Refused(_)) | Err(_) => {}
                 }
@@ -483,7 +483,7 @@
             StartResult::Refused(reason)
         }
         Ok(Reply::OtherLife) => {
-            mark_ended(owner, supervisor);
+            mark_terminated(owner, supervisor);
             StartResult::Refused(Refusal::Unhealthy)
         }
         Err(Failure::NotSent { .. } | Failure::Unanswered { .. }) => {
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -211,7 +211,7 @@
 
 /// Writes a job for an entry that the store turns away.
 async fn submit_for_peer(node: &Node, service: &str, id: Id, row: &[u8]) -> Answer {
-    if node.is_store_likely_down() {
+    if node.is_outage_suspected() {
         return Answer::Submitted(Submission::Refused);
     }
     let until = clock::now() + SUBMIT_TIMEOUT;
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -69,7 +69,7 @@
         let attempt = Attempt {
             waited: clock::now().since(began),
             left: job.until.since(clock::now()),
-            silent: node.is_store_down(),
+            silent: node.is_outage_ongoing(),
             has_peers: peers.len() > 0,
             unanswered,
         };
