--- a/crates/scheduler/src/clock.rs
+++ b/crates/scheduler/src/clock.rs
@@ -4,14 +4,14 @@
 use rustix::time::{ClockId, clock_gettime};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Now, on a clock that also counts time in suspension: the steady clock stands still then, and
-/// leases judged by it would outlive their term.
+/// The current time, including time spent suspended.  The monotonic clock stops during suspension,
+/// so leases judged by it would outlive their term.
 pub(crate) fn now() -> Time {
     let time = clock_gettime(ClockId::Boottime);
     Time(time.tv_sec as u64 * 1000 + time.tv_nsec as u64 / 1_000_000)
 }
 
-/// The time of day in milliseconds since 1970.
+/// Wall-clock time in milliseconds since the Unix epoch.
 pub(crate) fn wall_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since.as_millis() as u64
--- a/crates/scheduler/src/confirm.rs
+++ b/crates/scheduler/src/confirm.rs
@@ -1,9 +1,10 @@
-//! Transactions whose answer is overdue, confirmed by reading.
+//! Confirmation of overdue transactions by reading their row.
 //!
-//! An overdue answer may be lost, with the transaction carried out, or on its way from a slow
-//! store.  Given up and sent again, each copy takes its partition's turn, and at a store that is a
-//! hundred times slower (0.4 s a turn) the copies soon leave no turn for anything else.  So the
-//! call stays open, and a read, which waits for no turn, tells whether the row is there.
+//! An overdue answer may be lost although the transaction was committed, or it may be on its way
+//! from a slow store.  If the transaction is abandoned and sent again, each copy queues in its
+//! partition, and with a store that is a hundred times slower (0.4 s per transaction) the copies
+//! soon block everything else.  So the call stays open, and a read, which doesn't queue, shows
+//! whether the row was written.
 
 use crate::clock;
 use crate::node::Node;
@@ -13,25 +14,24 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Longest wait for a read.  The store answers in some 4 ms, and in 400 ms when it is a hundred
-/// times slower.
+/// A read takes some 4 ms, and 400 ms when the store is a hundred times slower.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How a transaction is known to be carried out.
+/// Evidence that a transaction was committed.
 #[derive(Debug)]
 pub(crate) enum Confirmed {
-    /// The store said so.
+    /// The store answered.
     Answered,
-    /// This row was found.
+    /// A read found this row.
     Found(Row),
 }
 
-/// Commits a transaction that writes the row `name`; a row for which `is_done` holds shows that
-/// it was carried out.
+/// Commits a transaction that writes the row `name`.  `is_done` tells whether a row that was read
+/// shows that the transaction was committed.
 ///
 /// # Errors
-/// `Conflict` and `Refused` mean that nothing was done; `Unanswered` that nobody knows, after
-/// `limit`, or earlier when the transaction is lost by the measure of a read.
+/// `Conflict` and `Refused` mean that nothing was written.  `Unanswered` means that the outcome is
+/// unknown, after `limit` or earlier, when a read indicates that the transaction is lost.
 pub(crate) async fn commit(
     node: &Node,
     change: &Transaction,
@@ -42,7 +42,7 @@
     let began = clock::now();
     let mut answer = pin!(node.commit_with_timeout(change, limit));
     loop {
-        let wait = node.patience.lock().limit();
+        let wait = node.commit_timeout.lock().limit();
         let overdue = pin!(async_std::task::sleep(wait));
         let error = match select(answer.as_mut(), overdue).await {
             Either::Left((Err(error @ Error::Unanswered { .. }), _)) => Some(error),
@@ -50,16 +50,16 @@
             Either::Right(_) => None,
         };
         if let Some(error) = error {
-            // Its connection broke; the row may be there all the same.
+            // The connection broke, but the transaction may have been committed.
             let row = read_row(node, name).await.unwrap_or_default();
             return row.filter(is_done).map(Confirmed::Found).ok_or(error);
         }
-        node.patience.lock().unanswered();
+        node.commit_timeout.lock().unanswered();
         let asked = clock::now();
         let reading = pin!(read_row(node, name));
         match select(answer.as_mut(), reading).await {
             Either::Left((answer, _)) => return answer.map(|_| Confirmed::Answered),
-            // Neither is answered: another way may serve.
+            // Neither the commit nor the read is answered; another path may work.
             Either::Right((Err(error), _)) => return Err(unanswered_error(error.to_string())),
             Either::Right((Ok(row), _)) => {
                 if let Some(row) = row.filter(&is_done) {
@@ -67,14 +67,15 @@
                 }
                 let now = clock::now();
                 if is_lost(now.since(began), now.since(asked)) {
-                    return Err(unanswered_error("a read does not show it".into()));
+                    return Err(unanswered_error("a read did not find the row".into()));
                 }
             }
         }
     }
 }
 
-/// A read that is refused says nothing about the transaction, which may have been done.
+/// The error for an unknown outcome.  A failed read doesn't show that the transaction was not
+/// committed.
 fn unanswered_error(reason: String) -> Error {
     Error::Unanswered { reason }
 }
--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -1,8 +1,8 @@
-//! Structured log lines, bounded in number and never in the way.
+//! Structured log lines with bounded volume that never block.
 //!
-//! Each line is an event with fields.  A budget for each event and second keeps the volume
-//! bounded under load; what was left out is counted and told with the next line.  Lines go
-//! through a bounded queue to a thread of their own, so nobody waits when nobody reads them.
+//! Each line is an event with fields.  A budget per event and second bounds the volume under load;
+//! omitted lines are counted and reported with the next line.  Lines pass through a bounded queue
+//! to a writer thread, so nothing blocks when the output isn't read.
 
 use log::Level;
 use log::kv::ToValue;
@@ -13,11 +13,11 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::time::{Duration, Instant};
 
-/// Lines that may wait for the output.  A thousand lines of some 200 bytes are 200 KB.
+/// Lines that may wait for the writer thread.  A thousand lines of some 200 bytes take 200 KB.
 const QUEUE_CAPACITY: usize = 1000;
 
-/// Lines of one event in a second.  Thirty jobs a second with ten decisions each, spread over
-/// eight entries, stay below; a flood does not get above.
+/// Thirty jobs a second with ten decisions each, spread over eight entries, stay below this; a
+/// flood is cut off.
 const MAX_EVENT_LINES_PER_SECOND: u32 = 60;
 
 /// Field names and values of a line.
@@ -40,7 +40,7 @@
     budgets: HashMap<&'static str, Budget>,
 }
 
-/// Where events are noted.
+/// Non-blocking event log with a rate limit per event.
 pub struct Journal {
     sender: SyncSender<Line>,
     window: Mutex<Window>,
@@ -54,24 +54,24 @@
             .name("journal".into())
             .stack_size(64 * 1024)
             .spawn(move || write_lines(&receiver))
-            .expect("a thread can be started before anything else is");
+            .expect("failed to start the journal thread");
         let window = Window { began: Instant::now(), budgets: HashMap::new() };
         Self { sender, window: Mutex::new(window), dropped: AtomicU64::new(0) }
     }
 }
 
 impl Journal {
-    /// Notes an event.
+    /// Logs an event at level info.
     pub fn info(&self, event: &'static str, fields: &[(&'static str, &dyn Display)]) {
         self.write(Level::Info, event, fields);
     }
 
-    /// Notes an event that an operator should look at.
+    /// Logs an event that needs an operator's attention.
     pub fn warn(&self, event: &'static str, fields: &[(&'static str, &dyn Display)]) {
         self.write(Level::Warn, event, fields);
     }
 
-    /// Lines lost because the output was not read.
+    /// Number of lines lost because the output was not read.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Takes a line from the budget; returns how many were left out before it.
+    /// Consumes one line of the event's budget.  Returns how many lines were omitted before it;
+    /// none if the budget is used up.
     fn consume_budget(&self, event: &'static str) -> Option<u64> {
         let mut window = self.window.lock();
         if window.began.elapsed() >= Duration::from_secs(1) {
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,18 +1,20 @@
-//! The daemon on the users' platform, as a library.
+//! The scheduler daemon on the users' platform, as a library.
 //!
-//! A job's way: [`front`] reads it from its caller, has [`submit`] write its row and answers; the
-//! owner of its service's cell learns of it by a message or by following the table, and [`owner`]
-//! takes it through its runs with the decisions of `celerythread-engine`.
+//! Path of a job: [`front`] reads it from its caller, has [`submit`] write its row, and answers.
+//! The owner of its service's cell learns of it by a message or by following the table, and
+//! [`owner`] runs it with the decisions of `celerythread-engine`.
 //!
-//! What an entry knows and agrees on: [`membership`] renews its row, follows the others' and
-//! takes and gives cells; [`follow`] keeps the configuration, the waves and the minions as the
-//! platform lists them, [`in_force`] asks peers for it where the store doesn't tell; [`peers`] asks other entries; [`fleet`] carries maintenance waves and
-//! moves machines between pools.  [`confirm`] tells slow transactions from lost ones.  [`node`] is
-//! what all of them share, with the lock order; [`rows`] are the rows kept.
+//! State shared between entries: [`membership`] renews this entry's row, follows the other entries'
+//! rows, and takes over and hands over cells; [`follow`] follows the configuration, the waves and
+//! the minions that the platform lists; [`in_force`] asks peers for the configuration when the
+//! store doesn't provide it; [`peers`] sends questions to other entries; [`fleet`] carries out
+//! maintenance waves and moves machines between pools.  [`confirm`] tells slow transactions from
+//! lost ones.  [`node`] is the state that all of them share, with the lock order; [`rows`] defines
+//! the stored rows.
 //!
-//! [`settings`] is the checked INI file; [`daemon`] starts it all and stops it gracefully;
-//! [`journal`] and [`metrics`] are what is seen from outside, [`status`] reads what is agreed on for
-//! operators.
+//! [`settings`] is the validated INI file; [`daemon`] starts everything and shuts it down
+//! gracefully; [`journal`] and [`metrics`] are the output for monitoring; [`status`] reads the
+//! shared state for operators.
 
 mod clock;
 mod confirm;
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -1,4 +1,4 @@
-//! This entry's row, the others' rows, and who owns which cell.
+//! This entry's row, the other entries' rows, and the ownership of cells.
 
 mod control;
 
@@ -12,62 +12,61 @@
 use celerythread_adapter::store::{Error, Row, Transaction};
 use celerythread_engine::job::{decode, encode};
 use celerythread_engine::ownership::{self, Holding, Verdict};
-use control::Control;
+use control::ControlSink;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use stop_token::future::FutureExt;
 
-/// Longest wait for a transaction on the control table.
+/// For transactions on the control table.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Longest wait for a renewal.  At a store that is a hundred times slower it takes 0.8 s, and as
-/// much again after another one in a cell's partition; later it would be too old to help.
+/// With a store that is a hundred times slower, a renewal takes 0.8 s, and as much again when it
+/// queues behind another one in a cell's partition.  A later answer would be too old to help.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// Longest wait for a read.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time between two looks at who owns what: each is a comparison of a few rows in memory, and
-/// half of it is added to every takeover.
+/// Each check compares a few rows in memory; half of the interval is added to every takeover.
 const OWNERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two reads of changes: each entry's renewal is one, so without a pause every
+/// Pause between reads of changes.  Each entry's renewal is a change, so without a pause every
 /// entry would read as often as all of them write.
-const CONTROL_READ_PAUSE: Duration = Duration::from_millis(250);
+const CONTROL_BATCH_DELAY: Duration = Duration::from_millis(250);
 
-/// Longest wait of one read for a change, so that silence can be judged by reads that were
-/// answered: two of them fit into the shortest term.
-const CONTROL_POLL_TIMEOUT: Duration = Duration::from_millis(400);
+/// Longest wait of one read for a change.  Two reads fit into the shortest term, so that silence is
+/// judged by reads that were answered.
+const MAX_CONTROL_FEED_WAIT: Duration = Duration::from_millis(400);
 
-/// Silence after which an entry's row is dropped; long after its cells were taken.
+/// Silence after which an entry's row is dropped, long after its cells were taken over.
 const SILENT_ENTRY_RETENTION: Duration = Duration::from_secs(30);
 
-/// The table that entries agree by.
+/// The table that holds the state shared between entries.
 pub(crate) fn control_table() -> Table {
     Table {
         name: rows::CONTROL,
         has_parts: true,
         has_all_entries: true,
-        pause: CONTROL_READ_PAUSE,
-        idle_pause: CONTROL_READ_PAUSE,
-        wait: CONTROL_POLL_TIMEOUT,
+        pause: CONTROL_BATCH_DELAY,
+        idle_pause: CONTROL_BATCH_DELAY,
+        wait: MAX_CONTROL_FEED_WAIT,
     }
 }
 
 /// Renews this entry's row until the node stops.
 pub(crate) async fn renew_forever(node: Arc<Node>, peer: SocketAddr) {
     loop {
-        // One that failed leaves less time until others take over, so it is repeated sooner.
+        // A failed renewal leaves less time until other entries take over, so it is retried sooner.
         let began = clock::now();
         let done = renew(&node, peer).await;
         let interval = node.renewal_interval();
         let pause = if done { interval } else { interval / 5 };
-        // Reckoned from its sending: a slow store takes most of a second for a renewal, and with
-        // a pause after it the last one would be too old to start anything for a third of the
-        // time.
+        // Measured from the time of sending: a slow store takes most of a second for a renewal, and
+        // with a full pause after it, the last renewal would be too old to permit starts for a
+        // third of the time.
         let pause = pause.saturating_sub(clock::now().since(began));
-        // An entry that takes a cell renews at once: its row's term is that of one without cells.
+        // An entry that takes over a cell renews at once, because its row has the term of an entry
+        // without cells.
         let woken = node.renewal_due.wait(pause);
         if woken.timeout_at(node.stop.clone()).await.is_err() {
             return;
@@ -75,11 +74,11 @@
     }
 }
 
-/// Renews this entry's row once; true if it is certain.
+/// Renews this entry's row once; true if the renewal is certain to be committed.
 ///
-/// The renewal requires that this entry still holds each cell that it owns.  Without that, an
-/// owner that comes back from a cut would count as renewed before it reads that its cells were
-/// taken, and for that moment start tasks that its successor runs already.
+/// The renewal requires that this entry still holds each cell that it owns.  Otherwise an owner
+/// that returns from a network partition would count as renewed before it reads that its cells were
+/// taken over, and in between would start tasks that its successor already runs.
 pub(crate) async fn renew(node: &Arc<Node>, peer: SocketAddr) -> bool {
     let (number, term) = node.begin_renewal();
     let row = rows::Entry {
@@ -114,9 +113,10 @@
     }
 }
 
-/// Takes in the rows of cells that a renewal found to be held by others.
+/// Applies the rows of cells that a renewal found to be held by other entries, and stops owning
+/// these cells.
 fn release_lost_cells(node: &Arc<Node>, found: &[Row]) {
-    let control = Control(node.clone());
+    let control = ControlSink(node.clone());
     for row in found {
         let Some(cell) = row.key.strip_prefix(rows::CELL_PREFIX) else { continue };
         let mut view = node.view.write();
@@ -127,8 +127,8 @@
     }
 }
 
-/// Drops the rows of this instance's earlier processes: they are certainly gone, so their cells
-/// can be taken without waiting out their silence.
+/// Drops the rows of this instance's former processes.  They are certain to have ended, so their
+/// cells can be taken over without waiting for their silence to exceed the term.
 pub(crate) async fn drop_former_entries(node: &Node) {
     let former: Vec<String> = {
         let view = node.view.read();
@@ -152,12 +152,12 @@
     }
 }
 
-/// Looks again and again at who owns what, takes what is this entry's to take, and stops owning
-/// what it no longer holds.
+/// Checks the ownership of all cells periodically: takes over those that are due to this entry, and
+/// stops owning those that it no longer holds.
 pub(crate) async fn check_ownership_forever(node: Arc<Node>) {
     while node.pause(OWNERSHIP_CHECK_INTERVAL).await {
         for cell in expected_cells(&node) {
-            // One that was taken is worked on at once, not after the next pause.
+            // The owner of a cell that was taken over is started at once, not after the next pause.
             if check_cell(&node, &cell).await {
                 check_cell(&node, &cell).await;
             }
@@ -166,7 +166,8 @@
     }
 }
 
-/// All cells there should be: one for each service that is not the spare pool, and the maintenance.
+/// All cells that should exist, one for each service except the spare pool and one for the fleet,
+/// and all that are held.
 fn expected_cells(node: &Node) -> Vec<String> {
     let Some(configuration) = node.configuration() else { return Vec::new() };
     let mut cells: Vec<String> = configuration.serving().map(Into::into).collect();
@@ -180,7 +181,7 @@
     cells
 }
 
-/// Judges a cell, and does what follows; true if it was to be taken.
+/// Decides what to do about a cell and does it; true if a takeover was attempted.
 async fn check_cell(node: &Arc<Node>, cell: &str) -> bool {
     let settings = ownership::Settings::default();
     let (verdict, holding, row) = {
@@ -214,7 +215,7 @@
     false
 }
 
-/// Starts owning a cell that this entry holds.
+/// Starts the owner of a cell that this entry holds.
 fn start_owning(node: &Arc<Node>, cell: &str, holding: &Holding, row: &rows::Cell) {
     if node.is_stopping() {
         return;
@@ -243,7 +244,7 @@
     owner::start(owner);
 }
 
-/// Stops owning a cell that somebody else holds now.
+/// Stops the owner of a cell that another entry holds now.
 fn stop_owning(node: &Arc<Node>, cell: &str, holding: Option<&Holding>) {
     let Some(holding) = holding.filter(|holding| holding.holder != node.entry_id) else { return };
     let mut owners = node.owners.write();
@@ -261,8 +262,8 @@
     }
 }
 
-/// Takes a cell.  The row is written on condition that neither it nor its former holder's row
-/// has changed, so a holder that renewed meanwhile keeps it.
+/// Takes over a cell.  The write requires that neither the cell's row nor its former holder's row
+/// has changed, so a holder that renewed in the meantime keeps the cell.
 async fn take_cell_over(
     node: &Arc<Node>,
     cell: &str,
@@ -272,7 +273,8 @@
 ) {
     let name = rows::cell(cell);
     let generation = row.map_or(0, |row| row.generation + 1);
-    // A holder without a row was dropped by its own instance's next process, or long ago.
+    // The missing row of a holder was dropped by its own instance's next process, or after a long
+    // silence.
     let former_stopped = former.is_none();
     let value = rows::Cell { holder: node.entry_id.clone(), generation, former_stopped };
     let mut conditions = vec![(name.clone(), version)];
@@ -284,25 +286,25 @@
         ..Transaction::default()
     };
     match node.commit(&change, COMMIT_TIMEOUT).await {
-        // The row's own version is the token, and the answer may tell a newer one.
+        // The token is the version of the cell's row, and the answer may have a newer version.
         Ok(_) | Err(Error::Unanswered { .. }) => read_cell(node, cell).await,
         Err(Error::Conflict { .. }) => read_cell(node, cell).await,
         Err(_) => {}
     }
 }
 
-/// Reads a cell's row, ahead of the feed.
+/// Reads a cell's row without waiting for the feed.
 async fn read_cell(node: &Arc<Node>, cell: &str) {
     let name = rows::cell(cell);
     let result = node.store.get(rows::CONTROL, &name.part, &name.key, READ_TIMEOUT).await;
     node.record_store_result(&result);
     if let Ok(Some(row)) = result {
-        let control = Control(node.clone());
+        let control = ControlSink(node.clone());
         control.apply_cell(&mut node.view.write(), cell, &row);
     }
 }
 
-/// Hands a cell that this entry holds to another entry by name; true if it is certain.
+/// Hands over a cell that this entry holds to a named successor; true if the handover is certain.
 pub(crate) async fn hand_over(node: &Arc<Node>, cell: &str) -> bool {
     let (successor, holding, row) = {
         let view = node.view.read();
@@ -335,7 +337,7 @@
     is_certain
 }
 
-/// Drops the rows of entries that have been silent for long.
+/// Drops the rows of entries that have been silent for [`SILENT_ENTRY_RETENTION`].
 async fn drop_silent_entries(node: &Arc<Node>) {
     if node.owner(rows::FLEET_CELL).is_none() {
         return;
@@ -358,13 +360,13 @@
             drops: vec![name],
             ..Transaction::default()
         };
-        // Dropped by somebody else or renewed meanwhile: either way the feed tells.
+        // If another entry dropped the row, or it was renewed meanwhile, the feed shows it.
         let _ = node.commit(&change, COMMIT_TIMEOUT).await;
     }
 }
 
 /// Follows the control table until the node stops.
 pub(crate) async fn follow_control(node: Arc<Node>) {
-    let sink = Arc::new(Control(node.clone()));
+    let sink = Arc::new(ControlSink(node.clone()));
     follow::follow(node, control_table(), sink).await;
 }
--- a/crates/scheduler/src/membership/control.rs
+++ b/crates/scheduler/src/membership/control.rs
@@ -1,4 +1,4 @@
-//! Taking in the control table: entries, cells, machines to be emptied.
+//! Sink for the control table: entries, cells, and machines to be emptied.
 
 use crate::clock;
 use crate::follow::Sink;
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Takes in the control table.
-pub(crate) struct Control(pub(crate) Arc<Node>);
+/// Applies rows of the control table to the node's view.
+pub(crate) struct ControlSink(pub(crate) Arc<Node>);
 
-impl Control {
+impl ControlSink {
     fn apply_row(&self, view: &mut View, row: &Row) {
         let now = clock::now();
         let key = row.key.as_str();
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Takes in a cell's row, unless a newer one is known.
+    /// Applies a cell's row unless a newer one is known.
     pub(crate) fn apply_cell(&self, view: &mut View, cell: &str, row: &Row) {
         if row.dropped {
             view.holdings.remove(cell);
@@ -72,7 +72,7 @@
     }
 }
 
-impl Sink for Control {
+impl Sink for ControlSink {
     fn answered(&self) {
         self.0.view.write().record_read(clock::now());
     }
@@ -81,7 +81,7 @@
         let mut fresh = View { version, ..View::default() };
         rows.iter().for_each(|row| self.apply_row(&mut fresh, row));
         let mut view = self.0.view.write();
-        // An entry whose row has not changed is as silent as it was before.
+        // An unchanged row doesn't reset the silence of its entry.
         for (id, entry) in &mut fresh.entries {
             let Some(known) = view.entries.get(id) else { continue };
             entry.since = known.since;
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -1,9 +1,9 @@
-//! What all parts of the daemon share.
+//! State shared by all parts of the daemon.
 //!
 //! # Lock order
 //!
-//! `in_force` → `view` → `minions` → `waves` → `owners` → an owner's `cell` → `links`.  A lock is
-//! only taken while locks before it in this list are held, and none of them is held across an
+//! `in_force` → `view` → `minions` → `waves` → `owners` → an owner's `cell` → `links`.  A lock may
+//! only be taken while holding locks that precede it in this list, and no lock is held across an
 //! await.
 
 use crate::clock;
@@ -32,37 +32,38 @@
 use stop_token::StopToken;
 use stop_token::future::FutureExt;
 
-/// How long before a takeover is possible the owner stops starting tasks: longer than a plan
-/// takes to reach the network on a slow instance.
+/// How long before a possible takeover the owner stops starting tasks.  Longer than a plan takes to
+/// reach the network on a slow instance.
 const START_MARGIN: Duration = Duration::from_millis(300);
 
-/// How far a message that a minion is to be emptied may be ahead of its row: several reads of
-/// the control table.
+/// How long a message that a minion is to be emptied counts without its row: several reads of the
+/// control table.
 const RELEASE_VALIDITY: Duration = Duration::from_millis(1500);
 
-/// What entries agree on, as last read.
+/// State shared between entries, as last read.
 #[derive(Debug, Default)]
 pub(crate) struct View {
-    /// The version up to which it is complete.
+    /// Version up to which it is complete.
     pub(crate) version: u64,
     /// Entries as observed.
     pub(crate) entries: BTreeMap<String, ownership::Entry>,
-    /// What they wrote.
+    /// Rows of the entries.
     pub(crate) entry_rows: BTreeMap<String, rows::Entry>,
     /// Who holds each cell.
     pub(crate) holdings: BTreeMap<String, Holding>,
-    /// What is written of each cell.
+    /// Rows of the cells.
     pub(crate) cell_rows: BTreeMap<String, rows::Cell>,
     /// Machines to be emptied, with their minions.
     pub(crate) emptying: BTreeMap<String, String>,
-    /// Minions to be emptied by a message that is ahead of its row, and until when that counts.
+    /// Minions to be emptied by a message that arrived before its row, with the time until which it
+    /// counts.
     pub(crate) released: BTreeMap<String, Time>,
-    /// When a read of it was last answered.
+    /// When a read of the control table was last answered.
     pub(crate) read_at: Time,
 }
 
 impl View {
-    /// Notes that a read was answered, before what it brought is taken in.
+    /// Records that a read was answered; called before its rows are applied.
     pub(crate) fn record_read(&mut self, now: Time) {
         ownership::note_read(&mut self.entries, self.read_at, now);
         self.read_at = now;
@@ -77,7 +78,7 @@
         counts
     }
 
-    /// Where the holder of a cell is reached.
+    /// Id and address of the holder of a cell.
     pub(crate) fn holder(&self, cell: &str) -> Option<(String, SocketAddr)> {
         let holding = self.holdings.get(cell)?;
         let row = self.entry_rows.get(&holding.holder)?;
@@ -92,11 +93,11 @@
         rows.chain(released.map(|(minion, _)| minion.as_str())).collect()
     }
 
-    /// Takes in that minions are to be emptied, by a message ahead of their rows.
+    /// Records minions to be emptied, named by a message that arrived before their rows.
     ///
-    /// It counts only until the rows must have come.  A message can be held up until its rows
-    /// have been dropped again; counted for good, it would keep a minion idle for ever while
-    /// tasks wait for it.
+    /// This counts only until the rows must have been read.  A message can be delayed until its
+    /// rows have been dropped again; if it counted forever, it would keep a minion idle while tasks
+    /// wait for it.
     pub(crate) fn release(&mut self, minions: impl Iterator<Item = String>) {
         let now = clock::now();
         self.released.retain(|_, until| now < *until);
@@ -104,64 +105,57 @@
     }
 }
 
-/// The renewals of an entry's row.
+/// Renewals of this entry's row.
 #[derive(Clone, Copy, Debug, Default)]
 struct Renewal {
-    /// When the last successful one was sent.
+    /// When the last successful renewal was sent.
     sent: Time,
-    /// After what silence others may take this entry's cells over, at the least.
+    /// Shortest silence after which other entries may take over this entry's cells.
     term: Duration,
-    /// How long the last successful one took.
+    /// Duration of the last successful renewal.
     took: Duration,
-    /// How many were sent.
+    /// Number of renewals sent.
     count: u64,
 }
 
-/// The shared parts.
+/// Shared state of this process.
 pub(crate) struct Node {
-    /// This process's id, new with every start.
+    /// Id of this process, new at every start.
     pub(crate) entry_id: String,
-    /// What it was told.
     pub(crate) settings: Settings,
-    /// The store.
     pub(crate) store: store::Client,
-    /// The minions.
     pub(crate) minion_client: minion::Client,
-    /// The interface to machines.
+    /// Client of the machine API, if configured.
     pub(crate) machines: Option<machine::Client>,
-    /// The advice service, and the lock that keeps its calls one at a time.
+    /// Client of the advice service; the lock serializes its calls.
     pub(crate) advice: Option<async_std::sync::Mutex<advice::Client>>,
-    /// The configuration in force here.
+    /// The configuration in force on this entry.
     pub(crate) in_force: InForce,
-    /// What entries agree on.
+    /// State shared between entries.
     pub(crate) view: RwLock<View>,
     /// Minions as the platform lists them.
     pub(crate) minions: RwLock<BTreeMap<Arc<str>, minion::Entry>>,
-    /// Waves of maintenance that operators asked for.
+    /// Maintenance waves that operators requested.
     pub(crate) waves: RwLock<BTreeMap<u64, Wave>>,
-    /// Cells owned here.
+    /// Owners of the cells that this entry owns.
     pub(crate) owners: RwLock<BTreeMap<String, Arc<Owner>>>,
-    /// Woken when this entry begins to own a cell, for whoever follows the minions.
+    /// Woken when this entry starts owning a cell, for the task that follows the minions.
     pub(crate) cell_acquired: Wake,
-    /// The same, for whoever renews this entry's row.
+    /// The same, for the task that renews this entry's row.
     pub(crate) renewal_due: Wake,
-    /// The other entries.
     pub(crate) peers: Peers,
-    /// Log lines.
     pub(crate) journal: Arc<Journal>,
-    /// Figures.
     pub(crate) metrics: Arc<Metrics>,
-    /// How long transactions of the store are waited for.
-    pub(crate) patience: Mutex<Patience>,
-    /// What is known of the renewals of this entry's row.
+    /// Adapts the timeout of store transactions to recent answers.
+    pub(crate) commit_timeout: Mutex<Patience>,
     renewal: Mutex<Renewal>,
-    /// Whether the store is away.
+    /// Outage of the store.
     outage: Mutex<Outage>,
-    /// Whether the entry is about to stop.
+    /// Whether the entry is shutting down.
     pub(crate) stopping: AtomicBool,
-    /// Requests of callers being worked on.
+    /// Requests of callers being processed.
     pub(crate) in_flight: AtomicU64,
-    /// Ends the background tasks.
+    /// Stops the background tasks.
     pub(crate) stop: StopToken,
 }
 
@@ -190,7 +184,7 @@
             peers,
             journal: Arc::default(),
             metrics: Arc::default(),
-            patience: Mutex::default(),
+            commit_timeout: Mutex::default(),
             renewal: Mutex::default(),
             outage: Mutex::default(),
             stopping: AtomicBool::new(false),
@@ -199,17 +193,17 @@
         }
     }
 
-    /// Sleeps; tells whether the task should go on.
+    /// Sleeps; false if the node stops meanwhile.
     pub(crate) async fn pause(&self, time: Duration) -> bool {
         async_std::task::sleep(time).timeout_at(self.stop.clone()).await.is_ok()
     }
 
-    /// Whether no new work is taken any more.
+    /// Whether no new work is accepted any more.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// The configuration in force here.
+    /// The configuration in force on this entry.
     pub(crate) fn configuration(&self) -> Option<Arc<Configuration>> {
         self.in_force.get()
     }
@@ -227,10 +221,10 @@
         ownership::interval(self.settings.renew.0, entries, cells, owns)
     }
 
-    /// The number and the term of a renewal that is about to be sent.
+    /// Returns the number and the term of a renewal that is about to be sent.
     ///
-    /// Whether it is answered or not, others may go by it from now on, so nothing is started
-    /// beyond the shorter one of its term and the last one's.
+    /// Other entries may act on it from now on, whether it is answered or not, so nothing is
+    /// started beyond the shorter of its term and the last one's.
     pub(crate) fn begin_renewal(&self) -> (u64, Duration) {
         let interval = self.renewal_interval();
         let mut renewal = self.renewal.lock();
@@ -240,7 +234,7 @@
         (renewal.count, term)
     }
 
-    /// Notes a successful renewal that was sent at `sent` with this term.
+    /// Records a successful renewal with this term that was sent at `sent`.
     pub(crate) fn record_renewal(&self, sent: Time, term: Duration) {
         let took = clock::now().since(sent);
         let mut renewal = self.renewal.lock();
@@ -252,21 +246,21 @@
         clock::now().since(self.renewal.lock().sent)
     }
 
-    /// Whether leases on what runs may be extended.
+    /// Whether leases of running tasks may be extended.
     ///
-    /// An owner that can't renew its row may have lost its cells without knowing it.  Its
-    /// successor reckons that it extends nothing after this time.
+    /// An owner that can't renew its row may have lost its cells without knowing it.  Its successor
+    /// assumes that it extends no lease after this time.
     pub(crate) fn may_extend_leases(&self) -> bool {
         self.since_renewal() < self.settings.extend_alone.0
     }
 
     /// Which tasks may be started.
     ///
-    /// After the silence for which others wait before they take a cell over, a successor may
-    /// have adopted what this owner started.  An owner cut off with some of the minions would
-    /// see the rest lapse and start their tasks a second time, on minions that its successor
-    /// can't reach to fence; so from shortly before that moment on it starts only what was never
-    /// started.
+    /// After the silence for which other entries wait before they take over a cell, a successor may
+    /// have adopted what this owner started.  An owner that is cut off together with some of the
+    /// minions would see the other leases expire and start their tasks a second time, on minions
+    /// that its successor can't reach to fence.  So from shortly before that time on it starts only
+    /// tasks that were never started.
     pub(crate) fn permit(&self) -> Permit {
         let Renewal { sent, term, .. } = *self.renewal.lock();
         let silence = clock::now().since(sent) + START_MARGIN;
@@ -279,7 +273,7 @@
         }
     }
 
-    /// Takes note of how a call to the store went, and notes a change.
+    /// Records the outcome of a call to the store, and logs when an outage begins or ends.
     pub(crate) fn record_store_result<T>(&self, result: &Result<T, store::Error>) {
         let answered = matches!(
             result,
@@ -297,28 +291,28 @@
         }
     }
 
-    /// Whether the store may be away.
+    /// Whether the store may be unavailable.
     pub(crate) fn is_outage_suspected(&self) -> bool {
         self.outage.lock().is_likely()
     }
 
-    /// Whether the store is away, as far as this entry knows.
+    /// Whether the store is unavailable, as far as this entry knows.
     pub(crate) fn is_outage_ongoing(&self) -> bool {
         self.outage.lock().is_on(clock::now())
     }
 
-    /// Commits a transaction and takes note of how it went; waits at most `limit`, and less when
-    /// answers come fast.
+    /// Commits a transaction and records the outcome.  Waits at most `limit`, and less when recent
+    /// answers were fast.
     pub(crate) async fn commit(
         &self,
         change: &store::Transaction,
         limit: Duration,
     ) -> Result<u64, store::Error> {
-        let limit = limit.min(self.patience.lock().limit());
+        let limit = limit.min(self.commit_timeout.lock().limit());
         self.commit_with_timeout(change, limit).await
     }
 
-    /// The same, with the whole of `limit` to wait.
+    /// The same, but waits for the whole of `limit`.
     pub(crate) async fn commit_with_timeout(
         &self,
         change: &store::Transaction,
@@ -329,8 +323,8 @@
         let took = clock::now().since(began);
         self.metrics.time(crate::metrics::Timing::Commit, took);
         match &result {
-            Ok(_) | Err(store::Error::Conflict { .. }) => self.patience.lock().answered(took),
-            Err(store::Error::Unanswered { .. }) => self.patience.lock().unanswered(),
+            Ok(_) | Err(store::Error::Conflict { .. }) => self.commit_timeout.lock().answered(took),
+            Err(store::Error::Unanswered { .. }) => self.commit_timeout.lock().unanswered(),
             Err(_) => {}
         }
         self.record_store_result(&result);
--- a/crates/scheduler/src/owner.rs
+++ b/crates/scheduler/src/owner.rs
@@ -1,8 +1,9 @@
-//! The owner of a cell: takes it over, carries out the plans, keeps what must be kept.
+//! The owner of a cell: takes it over, carries out its plans, and persists its progress.
 //!
-//! [`load`] reads what was kept, [`attend`] talks to one minion, [`keep`] writes progress,
-//! [`advise`] asks for tickets, [`quota`] keeps within workspaces' limits, [`notes`] writes the log lines of what was given up.
-//! This file holds what they share, the planning loop and what others ask of the owner.
+//! [`load`] reads the stored rows, [`supervisor`] polls and commands one minion, [`persist`] writes
+//! progress, [`advice`] asks for tickets, [`quota`] enforces workspaces' limits, and [`notes`] logs
+//! the decisions of plans.  This file holds what they share, the planning loop, and the answers to
+//! other entries' questions.
 
 mod advice;
 pub(crate) mod load;
@@ -32,38 +33,38 @@
 use stop_token::{StopSource, StopToken};
 use supervisor::Supervisor;
 
-/// Longest time between two plans: for what only time changes, as leases that lapse.
+/// Longest time between two plans, for changes that only time causes, such as leases that expire.
 const MAX_PLAN_WAIT: Duration = Duration::from_millis(100);
 
-/// Shortest time between two plans, so that ends and jobs that come together are planned
+/// Shortest time between two plans, so that ended runs and jobs that arrive together are planned
 /// together; well below what a caller notices.
 const MIN_PLAN_PAUSE: Duration = Duration::from_millis(3);
 
-/// Times its own duration that a plan is followed by a pause.
+/// Pause after a plan, as a multiple of the plan's duration.
 ///
-/// The first plan with 5,000 jobs and 120 minions takes 15 ms of a core (the recovery bench, with the
-/// reading of their rows), so a tenth of a second on an eighth of one, and everything that happens asks
-/// for another.  Without a pause that grows with it, an overloaded owner does nothing but plan: what it
-/// goes by gets old, because nothing is left of the processor for taking in jobs, cancellations and
-/// answers.
+/// The first plan with 5,000 jobs and 120 minions takes 15 ms of a core (in the recovery bench,
+/// with the reading of their rows), so a tenth of a second on an eighth of a core, and every event
+/// requests another plan.  Without a pause that grows with the duration, an overloaded owner does
+/// nothing but plan, and its input becomes stale because no processor time is left for accepting
+/// jobs, cancellations and answers.
 const PLAN_PAUSE_FACTOR: u32 = 2;
 
-/// Longest time between two looks at whether the minions to be attended are other ones, where
-/// nothing said that they changed: a message that a minion is to be emptied counts for a time only.
+/// Longest time between updates of the cell's minions when no change was reported: a message that a
+/// minion is to be emptied counts only for a time.
 const MAX_MINION_SYNC_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What became of the former owner.
+/// How the former owner ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum FormerOwner {
     /// There was none.
     None,
-    /// It gave its last order before the cell was taken.
+    /// It sent its last order before the cell was taken over.
     Stopped,
-    /// It may go on giving orders until minions refuse them, and extending leases for a time.
+    /// It may continue to send orders until minions refuse them, and to extend leases for a time.
     Silent,
 }
 
-/// Minions whose life is over, with the incarnation that ended, if known.
+/// Minions that have terminated, with the incarnation that ended, if known.
 #[derive(Default)]
 pub(crate) struct TerminatedMinions(BTreeMap<Arc<str>, Option<Incarnation>>);
 
@@ -73,35 +74,34 @@
         self.0.insert(id, incarnation) != Some(incarnation)
     }
 
-    /// Whether the listed incarnation is over.  An entry without one is taken to be the former
-    /// entry.
+    /// Whether the listed incarnation has terminated.  A listing without an incarnation is assumed
+    /// to be the terminated one's.
     fn contains(&self, id: &str, listed: Option<Incarnation>) -> bool {
         self.0.get(id).is_some_and(|ended| listed.is_none() || *ended == listed)
     }
 }
 
-/// A cell in the hands of this entry.
+/// A cell that this entry owns.
 pub(crate) struct Owner {
     pub(crate) node: Arc<Node>,
-    /// The service.
     pub(crate) service: String,
-    /// The fencing token: every order carries it, and minions refuse lower ones.
+    /// Fencing token: every order carries it, and minions refuse lower ones.
     pub(crate) token: u64,
     pub(crate) generation: u32,
     pub(crate) former: FormerOwner,
-    /// The cell, once what was kept of it is read.
+    /// The cell, once its stored rows are read.
     pub(crate) cell: Mutex<Option<Cell>>,
-    /// Version of the ledger's row, and the lock that keeps the owner's transactions in order.
+    /// Version of the ledger's row; the lock keeps the owner's transactions in order.
     pub(crate) ledger: async_std::sync::Mutex<u64>,
-    /// Minions that the kept roster names.
+    /// Minions that the stored roster lists.
     pub(crate) roster: Mutex<BTreeSet<Arc<str>>>,
     pub(crate) supervisors: Mutex<BTreeMap<Arc<str>, Arc<Supervisor>>>,
-    /// Minions whose life is over although they may still be listed.
+    /// Minions that have terminated although they may still be listed.
     pub(crate) terminated_minions: Mutex<TerminatedMinions>,
     pub(crate) plan_wake: Wake,
     pub(crate) persist_wake: Wake,
     /// Whether the minions, or which of them are to be emptied, may have changed since the last
-    /// plan: otherwise the listings need not be copied again.
+    /// plan.  Otherwise the listings need not be copied again.
     minions_changed: AtomicBool,
     /// Whether a change of shares is being written.
     pub(crate) writing_shares: AtomicBool,
@@ -139,7 +139,7 @@
         })
     }
 
-    /// Gives no more orders.
+    /// Stops sending orders, and ends the owner's tasks.
     pub(crate) fn stop(&self) {
         self.stop_source.lock().take();
         self.supervisors.lock().clear();
@@ -147,22 +147,21 @@
         self.persist_wake.wake();
     }
 
-    /// Whether it gives no more orders.
     pub(crate) fn is_stopped(&self) -> bool {
         self.stop_source.lock().is_none()
     }
 
-    /// Sleeps; tells whether the task should go on.
+    /// Sleeps; false if the owner is stopped meanwhile.
     pub(crate) async fn pause(&self, time: Duration) -> bool {
         async_std::task::sleep(time).timeout_at(self.stopped.clone()).await.is_ok()
     }
 
-    /// Works on the cell, once it is loaded.
+    /// Calls `work` with the cell; none while the cell is not loaded.
     pub(crate) fn with_cell<T>(&self, work: impl FnOnce(&mut Cell) -> T) -> Option<T> {
         self.cell.lock().as_mut().map(work)
     }
 
-    /// Takes the queues of a configuration.
+    /// Applies the queues and the workspaces' limits of a configuration.
     pub(crate) fn configure(&self, configuration: &Configuration) {
         let mine = configuration.queues.iter().filter(|queue| queue.service == self.service);
         let queues = mine.map(|queue| {
@@ -185,7 +184,7 @@
         self.plan_wake.wake();
     }
 
-    /// Takes in an accepted job.
+    /// Adds an accepted job to the cell.
     pub(crate) fn add_job(&self, id: Id, row: &[u8]) {
         let accepted = match Accepted::decode(row) {
             Ok(accepted) => accepted,
@@ -206,13 +205,13 @@
         }
     }
 
-    /// Takes in a cancellation.
     pub(crate) fn cancel_job(&self, id: Id) {
         self.with_cell(|cell| cell.cancel(&id, clock::now()));
         self.plan_wake.wake();
     }
 
-    /// Answers another entry, or this one's own front; none while the cell is not loaded.
+    /// Answers a question of another entry or of this entry's own front; none while the cell is not
+    /// loaded.
     pub(crate) fn answer(&self, question: &Question) -> Option<Answer> {
         if self.is_stopped() || self.cell.lock().is_none() {
             return None;
@@ -229,7 +228,7 @@
             Question::State { id, origin, .. } => {
                 self.with_cell(|cell| Answer::State(cell.state_for(id, origin)))
             }
-            // Any entry can do that; it isn't the owner's.
+            // Any entry answers these, not only the owner.
             Question::Submit { .. } | Question::Configuration { .. } => None,
             Question::Load { .. } => self.with_cell(|cell| Answer::Load(cell.load(clock::now()))),
             Question::Release { machines, .. } => {
@@ -245,15 +244,13 @@
         }
     }
 
-    /// Notes that the minions as they are listed, or which of them are to be emptied, may have
-    /// changed.
+    /// Records that the listed minions, or which of them are to be emptied, may have changed.
     pub(crate) fn notify_minions_changed(&self) {
         self.minions_changed.store(true, Ordering::SeqCst);
         self.plan_wake.wake();
     }
 
-    /// Brings the cell's minions in line with the platform's list and the machines that are to
-    /// be emptied.
+    /// Updates the cell's minions from the platform's list and the machines that are to be emptied.
     fn sync_minions(&self) {
         let view = self.node.view.read();
         let minions = self.node.minions.read();
@@ -282,7 +279,7 @@
     }
 }
 
-/// Starts working on a cell that this entry holds.
+/// Starts the tasks of an owner.
 pub(crate) fn start(owner: Arc<Owner>) {
     if owner.service == rows::FLEET_CELL {
         async_std::task::spawn(fleet::carry(owner));
@@ -309,7 +306,7 @@
             synced = Some(began);
             owner.sync_minions();
             if !supervisor::sync_supervisors(&owner).await {
-                // Tried again with the next plan.
+                // Retried with the next plan.
                 owner.minions_changed.store(true, Ordering::SeqCst);
             }
         }
@@ -336,7 +333,7 @@
     }
 }
 
-/// The age of a job, and of what is known of a minion.
+/// Age of a job, and of the last report of a minion.
 fn ages(cell: &Cell, job: &Id, minion: &str) -> (Duration, Duration) {
     let now = clock::now();
     let job_age = cell.job(job).map(|job| now.since(job.since)).unwrap_or_default();
@@ -345,7 +342,7 @@
     (job_age, report_age)
 }
 
-/// Hands orders to the minions' attendants.
+/// Passes orders to the minions' supervisors.
 pub(crate) fn dispatch(owner: &Owner, orders: Vec<Order>) {
     let supervisors = owner.supervisors.lock();
     for order in orders {
@@ -380,9 +377,9 @@
     }
 }
 
-/// Takes a start back that nobody carries out, because its minion isn't attended.
+/// Takes back a start that can't be carried out because its minion has no supervisor.
 ///
-/// Left as ordered, its run would be neither listed nor answered by anybody: the task would count as
+/// Otherwise its run would be neither listed nor answered by anyone, and the task would count as
 /// placed for as long as the minion lives.
 fn revert_start(owner: &Owner, minion: &Arc<str>, task: &TaskName, run: u32) {
     let fields: [(&'static str, &dyn Display); 4] =
--- a/crates/scheduler/src/owner/advice.rs
+++ b/crates/scheduler/src/owner/advice.rs
@@ -1,4 +1,4 @@
-//! Asking the advice service for tickets.
+//! Queries for tickets to the advice service.
 
 use crate::clock;
 use crate::owner::Owner;
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for advice beyond the time that the service says it takes.
+/// Added to the time that the service is declared to take for an answer.
 const ADVICE_TIMEOUT_MARGIN: Duration = Duration::from_millis(800);
 
-/// Asks the advice service what the plan needs, one question after the other.
+/// Sends the queries that the plan needs, one after the other.
 pub(crate) fn send_queries(owner: &Arc<Owner>) {
     for query in owner.with_cell(|cell| cell.take_queries()).unwrap_or_default() {
         async_std::task::spawn(send_query(owner.clone(), query));
@@ -48,7 +48,7 @@
     owner.plan_wake.wake();
 }
 
-/// How long the service may take for a question, by the slowest queue of the service.
+/// Timeout for a query, by the slowest queue of the service.
 fn advice_timeout(owner: &Owner, asked: usize) -> Duration {
     let configuration = owner.node.configuration();
     let queues = configuration.iter().flat_map(|configuration| configuration.queues.iter());
--- a/crates/scheduler/src/owner/load.rs
+++ b/crates/scheduler/src/owner/load.rs
@@ -1,4 +1,4 @@
-//! Taking a cell over: fencing the former owner in the store, and reading what it kept.
+//! Takeover of a cell: fences the former owner in the store, and reads the cell's stored rows.
 
 use crate::clock;
 use crate::fleet;
@@ -16,24 +16,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for a call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Pause after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Pause between two reads of the jobs' changes.  Messages tell of them sooner; half a second later
+/// Pause between reads of the jobs' changes.  Messages report them sooner; a delay of half a second
 /// is far below what callers are promised.
-const JOBS_READ_PAUSE: Duration = Duration::from_millis(400);
+const JOBS_BATCH_DELAY: Duration = Duration::from_millis(400);
 
-/// Time between two looks for minions that are over, while a new owner waits for some, at the least.
+/// Shortest interval between checks for terminated minions while a new owner waits for some.
 const MIN_TERMINATED_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Machines in one answer of the platform's list.
 const MACHINES_PER_PAGE: usize = 200;
 
-/// Time that one read of the list stands for when every cell has a new owner at once: half of the
-/// platform's 64 reads a second for all of them.
+/// Check interval per page that the cells read, when every cell has a new owner at once: half of
+/// the platform's 64 reads a second for all of them.
 const INTERVAL_PER_LIST_READ: Duration = Duration::from_millis(31);
 
 /// Fences the former owner and reads the cell; returns the version to follow the jobs from.
@@ -56,7 +54,7 @@
 }
 
 /// Writes the ledger with this owner's token; from then on no transaction of a former owner
-/// goes through.
+/// succeeds.
 async fn claim_ledger(owner: &Arc<Owner>) -> Option<()> {
     let mut ledger = owner.ledger.lock().await;
     loop {
@@ -74,8 +72,7 @@
                 token if token > owner.token => return None,
                 _ => {
                     let _ = write_ledger(owner, known, Transaction::default()).await;
-                    // Read again rather than trust the answer's version: it tells the store's,
-                    // not the row's.
+                    // Read again, because the answer has the store's version, not the row's.
                     continue;
                 }
             }
@@ -99,15 +96,16 @@
     owner.node.commit(&change, CALL_TIMEOUT).await
 }
 
-/// When everything that the former owner ordered must have lapsed on minions that don't answer.
+/// When the leases of everything that the former owner ordered must have expired on minions that
+/// don't answer.
 fn former_lease_expiry(owner: &Owner) -> Option<celerythread_engine::time::Time> {
     let settings = &owner.node.settings;
     let lease = lease::max_duration(settings.run_lease.0);
     match owner.former {
         FormerOwner::None => None,
         FormerOwner::Stopped => Some(clock::now() + lease),
-        // Its last renewal was before its row was seen unchanged for the first time, so it
-        // stops extending before this.
+        // Its last renewal was before its row was first seen unchanged, so it stops extending
+        // leases before this.
         FormerOwner::Silent => {
             let extends = settings.extend_alone.0.saturating_sub(settings.takeover_after.0);
             Some(clock::now() + extends + lease)
@@ -120,7 +118,7 @@
     let lapse = former_lease_expiry(owner);
     read_emptying(owner).await?;
     let roster = store.get(rows::JOBS, service, rows::ROSTER_KEY, CALL_TIMEOUT).await?;
-    // The jobs first: what is accepted later is in the feed, and has no progress yet.
+    // Jobs are read first: those accepted later are in the feed, and have no progress yet.
     let jobs = store.whole(rows::JOBS, &rows::shard_prefix(service), CALL_TIMEOUT).await?;
     let progress = store.all(rows::PROGRESS, service, "", CALL_TIMEOUT).await?;
     let settings = Settings {
@@ -151,9 +149,9 @@
     Ok(version)
 }
 
-/// Reads which machines are to be emptied, ahead of the feed: whoever asked the former owner
-/// and was told that a machine is empty may order it down at any moment, so nothing may be
-/// started there.
+/// Reads which machines are to be emptied without waiting for the feed.  Whoever was told by the
+/// former owner that a machine is empty may order it down at any time, so nothing may be started
+/// there.
 async fn read_emptying(owner: &Owner) -> Result<(), Error> {
     let node = &owner.node;
     let page = node.store.all(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_TIMEOUT).await?;
@@ -167,10 +165,10 @@
     Ok(())
 }
 
-/// Looks again and again for minions whose life is over, until all others have answered.
+/// Checks for terminated minions until all others have answered.
 ///
-/// The lists show it only some time after: a machine that is ordered down while its cell changes
-/// hands was still listed with its minion when the cell was read.
+/// The lists show a termination only some time later: a machine that was ordered down while its
+/// cell changed hands was still listed with its minion when the cell was read.
 pub(crate) async fn mark_terminated_until_settled(owner: Arc<Owner>) {
     let mut interval = MIN_TERMINATED_CHECK_INTERVAL;
     while owner.pause(interval).await {
@@ -192,11 +190,11 @@
     }
 }
 
-/// Minions of the roster whose life is over, and how many machines there are.
+/// Minions of the roster that have terminated, and the number of machines.
 async fn find_terminated_minions(owner: &Owner) -> (Vec<Arc<str>>, usize) {
     let node = &owner.node;
     let Some(client) = &node.machines else { return (Vec::new(), 0) };
-    // One of those that can't be read may have the minion that no other has.
+    // A machine that can't be read may be the one with a minion that no other machine has.
     let list = fleet::list::fetch(node, client).await.filter(|list| list.unreadable == 0);
     let Some(list) = list else { return (Vec::new(), 0) };
     let machines: BTreeMap<String, Machine> =
@@ -219,7 +217,7 @@
     (over, machines.len())
 }
 
-/// Fills a cell with kept jobs; returns how many.
+/// Adds stored jobs to a cell; returns how many.
 fn add_jobs(owner: &Owner, cell: &mut Cell, jobs: Page, progress: Page) -> usize {
     let progress: BTreeMap<String, Progress> = progress
         .rows
@@ -250,7 +248,7 @@
     count
 }
 
-/// How far a job has come; none, with a line, if its row can't be read.
+/// Decodes a job's progress; none, with a log line, if its row can't be read.
 pub(crate) fn decode_progress(node: &Node, row: &Row) -> Option<Progress> {
     Progress::decode(&row.value)
         .inspect_err(|error| {
@@ -263,10 +261,10 @@
     row.key.strip_prefix(prefix)?.parse().ok()
 }
 
-/// Takes in the rows of this cell's jobs as they are written.
-struct Jobs(Arc<Owner>);
+/// Sink for the rows of this cell's jobs.
+struct JobSink(Arc<Owner>);
 
-impl Sink for Jobs {
+impl Sink for JobSink {
     fn replace(&self, rows: Vec<Row>, _: u64) {
         self.change(rows);
     }
@@ -284,19 +282,19 @@
     }
 }
 
-/// Follows the jobs that entries accept.  They also tell the owner at once; this brings what
-/// such a message did not.
+/// Follows the jobs that entries accept.  Entries also notify the owner at once; this finds the
+/// jobs whose message was lost.
 pub(crate) async fn follow_jobs(owner: Arc<Owner>, version: u64) {
     use stop_token::future::FutureExt;
     let table = Table {
         name: rows::JOBS,
         has_parts: true,
         has_all_entries: false,
-        pause: JOBS_READ_PAUSE,
-        idle_pause: JOBS_READ_PAUSE,
+        pause: JOBS_BATCH_DELAY,
+        idle_pause: JOBS_BATCH_DELAY,
         wait: follow::FEED_WAIT,
     };
-    let sink = Jobs(owner.clone());
+    let sink = JobSink(owner.clone());
     let mut version = version;
     let following = follow::follow_from(&owner.node, &table, &sink, &mut version);
     // Ends when the cell is lost.
--- a/crates/scheduler/src/owner/notes.rs
+++ b/crates/scheduler/src/owner/notes.rs
@@ -1,11 +1,11 @@
-//! Log lines for what a plan has given up or taken away.
+//! Log lines for the decisions of plans.
 
 use crate::clock;
 use crate::metrics::Counter;
 use crate::owner::Owner;
 use celerythread_engine::cell::Note;
 
-/// Writes a line for each decision that the cell has noted since.
+/// Logs each decision that the cell has recorded since the last call.
 pub(crate) fn log_all(owner: &Owner) {
     let (journal, now) = (&owner.node.journal, clock::now());
     for note in owner.with_cell(|cell| cell.take_notes()).unwrap_or_default() {
--- a/crates/scheduler/src/owner/persist.rs
+++ b/crates/scheduler/src/owner/persist.rs
@@ -1,4 +1,4 @@
-//! Writing progress before ends are acknowledged.
+//! Writes progress to the store before ended runs are acknowledged.
 
 use crate::clock;
 use crate::metrics::{Counter, Timing};
@@ -11,23 +11,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Jobs of one transaction; a transaction takes a hundred entries, one of them the ledger.
+/// Jobs of one transaction.  A transaction takes a hundred rows, one of them the ledger.
 const MAX_ROWS: usize = 90;
 
-/// Gathers ends for one transaction.  Every transaction costs a call to the store, and ends
-/// that end no job can wait this long without anybody noticing.
+/// Collects ended runs for one transaction.  Every transaction costs a call to the store, and ended
+/// runs that complete no job can wait this long without anybody noticing.
 const BATCH_WINDOW: Duration = Duration::from_millis(80);
 
-/// The same when a job has ended, for which its caller waits.
+/// The same when a job has ended, because its caller waits for it.
 const URGENT_BATCH_WINDOW: Duration = Duration::from_millis(8);
 
 /// Pause after a failed transaction.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Time between two looks for jobs whose retention is over.
+/// Time between checks for jobs whose retention is over.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Keeps whatever is to be kept until the cell is lost.
+/// Persists progress and drops expired jobs until the cell is lost.
 pub(crate) async fn persist_forever(owner: Arc<Owner>) {
     let mut expired_at = clock::now();
     while !owner.is_stopped() {
@@ -55,11 +55,11 @@
     }
 }
 
-/// Keeps everything that is to be kept now; true if it is all kept.
+/// Persists all pending progress; true if all of it is persisted.
 ///
-/// What is written is taken from the cell only under the ledger's lock: two callers that took it
-/// before could write in the other order, and the older progress would replace the newer one
-/// after its ends were acknowledged.  A later owner would then run done tasks again.
+/// A batch is taken from the cell only under the ledger's lock.  Two calls that took their batches
+/// before it could write in the other order, and the older progress would replace the newer one
+/// after its ended runs were acknowledged.  A later owner would then run completed tasks again.
 pub(crate) async fn persist_all(owner: &Owner) -> bool {
     loop {
         {
@@ -90,16 +90,16 @@
     Transaction { writes: batch.rows.iter().map(row).collect(), ..Transaction::default() }
 }
 
-/// Commits a change under the ledger; true if it is certain to be done.
+/// Commits a change under the ledger; true if it is certain to be committed.
 pub(crate) async fn commit_fenced(owner: &Owner, change: Transaction) -> bool {
     let mut ledger = owner.ledger.lock().await;
     commit_locked(owner, &mut ledger, change).await
 }
 
-/// Commits a change under the locked ledger; true if it is certain to be done.
+/// Commits a change under the locked ledger; true if it is certain to be committed.
 ///
-/// After an unanswered one the ledger's version is not known.  The next one then conflicts if
-/// the lost one was carried out, and tells the version to go on from.
+/// After an unanswered commit the ledger's version is unknown.  If that commit was carried out, the
+/// next one conflicts and returns the version to continue from.
 async fn commit_locked(owner: &Owner, ledger: &mut u64, change: Transaction) -> bool {
     match write_ledger(owner, *ledger, change).await {
         Ok(version) => {
--- a/crates/scheduler/src/owner/quota.rs
+++ b/crates/scheduler/src/owner/quota.rs
@@ -1,4 +1,4 @@
-//! The workspaces' limits: following how they are split, and writing this cell's shares.
+//! Workspaces' limits: follows how they are split, and writes this cell's shares.
 
 use crate::clock;
 use crate::follow::{self, Sink, Table};
@@ -13,13 +13,12 @@
 use std::time::Duration;
 use stop_token::future::FutureExt;
 
-/// Pause between two reads of changes: each cell's change is one for every other cell's owner.
-const SPLITS_READ_PAUSE: Duration = Duration::from_millis(50);
+/// Pause between reads of changes: the owner of every other cell reads each cell's change.
+const SPLITS_BATCH_DELAY: Duration = Duration::from_millis(50);
 
-/// Time between two looks whether there is a limit to follow.
+/// Time between checks whether any workspace has a limit.
 const LIMIT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Longest wait for a transaction.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Follows the splits while any workspace has a limit, until the cell is lost.
@@ -33,20 +32,20 @@
         name: rows::SPLITS,
         has_parts: false,
         has_all_entries: false,
-        pause: SPLITS_READ_PAUSE,
-        idle_pause: SPLITS_READ_PAUSE,
+        pause: SPLITS_BATCH_DELAY,
+        idle_pause: SPLITS_BATCH_DELAY,
         wait: follow::FEED_WAIT,
     };
-    let sink = Arc::new(Splits(owner.clone()));
+    let sink = Arc::new(SplitSink(owner.clone()));
     let following = follow::follow(owner.node.clone(), table, sink);
     // Ends when the cell is lost.
     let _ = following.timeout_at(owner.stopped.clone()).await;
 }
 
-/// Takes in the splits as they are written.
-struct Splits(Arc<Owner>);
+/// Sink for the splits.
+struct SplitSink(Arc<Owner>);
 
-impl Sink for Splits {
+impl Sink for SplitSink {
     fn replace(&self, rows: Vec<Row>, _: u64) {
         apply_splits(&self.0, &rows);
     }
@@ -67,8 +66,8 @@
     owner.plan_wake.wake();
 }
 
-/// A split as it is kept; none, with a line, if it can't be read.  Nothing of its workspace is started then, since
-/// what others use isn't known.
+/// Decodes a stored split; none, with a log line, if it can't be read.  Nothing of its workspace is
+/// started then, because the use by other cells is unknown.
 fn decode_split(owner: &Owner, row: &Row) -> Option<(Box<str>, u64, Split)> {
     if row.dropped || row.version == 0 {
         return Some((row.key.as_str().into(), row.version, Split::default()));
@@ -84,7 +83,7 @@
     }
 }
 
-/// Writes the changes of this cell's shares that are due; one transaction at a time.
+/// Writes the due changes of this cell's shares, one transaction at a time.
 pub(crate) fn write_shares(owner: &Arc<Owner>) {
     if owner.writing_shares.swap(true, Ordering::SeqCst) {
         return;
@@ -124,7 +123,7 @@
         Err(Error::Refused { .. } | Error::HistoryGone) => {
             owner.with_cell(|cell| cell.splits_refused(changes));
         }
-        // It may be carried out yet, and until the row has changed the smaller size counts.
+        // It may still be committed, and until the row has changed the smaller size counts.
         Err(Error::Unanswered { .. } | Error::Unreadable { .. }) => {}
     }
     for change in changes {
--- a/crates/scheduler/src/owner/supervisor.rs
+++ b/crates/scheduler/src/owner/supervisor.rs
@@ -1,4 +1,4 @@
-//! Attending one minion: looking at it, extending its leases, giving it orders.
+//! Supervision of one minion: polls it, extends its leases, and sends it orders.
 
 use crate::clock;
 use crate::metrics::{Counter, Timing};
@@ -22,56 +22,56 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a look waits for an end while something runs.  It bounds the age of what is known
-/// of progress.
+/// How long a poll waits for a run to end while something runs.  It bounds the age of the reported
+/// progress.
 const POLL_WAIT: Duration = Duration::from_millis(1000);
 
-/// Time between two looks at a minion on which nothing runs, at the least.
+/// Shortest time between two polls of a minion on which nothing runs.
 const MIN_IDLE_POLL_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Added for each minion of the cell beyond what that allows: at most 170 such looks a second, a tenth
-/// of a core.  At 600 minions, which a pool has in its turn, 400 a second took half of what the strongest
-/// entries have.
+/// Idle poll interval for each minion of the cell, if that is longer: at most 170 such polls a
+/// second, which take a tenth of a core.  At 600 minions, which a pool has in its turn, 400 a
+/// second took half of what the strongest entries have.
 const IDLE_POLL_INTERVAL_PER_MINION: Duration = Duration::from_millis(6);
 
-/// Longest wait for an answer beyond the wait asked for.  Round trips take some 6 ms, and ten
-/// times that on an instance that is slowed down.
+/// Longest wait for an answer beyond the wait that was asked for.  Round trips take some 6 ms, and
+/// ten times that on an instance that is slowed down.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest wait for the answer to an order; one that is not answered in this time is reckoned
+/// Longest wait for the answer to an order.  An order that is not answered in this time is assumed
 /// to be carried out late or never.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Pause after a look without an answer.
+/// Pause after a poll without an answer.
 const MISSED_POLL_PAUSE: Duration = Duration::from_millis(250);
 
-/// Longest wait for ends to be kept before looking again all the same.
+/// Longest wait for ended runs to be persisted before polling anyway.
 const MAX_PERSIST_WAIT: Duration = Duration::from_millis(500);
 
-/// The step in which the process's clock counts.
+/// Resolution of [`clock::now`].
 const CLOCK_RESOLUTION: Duration = Duration::from_millis(1);
 
-/// Orders given to one minion at a time: one that isn't answered must not hold up the rest.
+/// Orders sent to one minion at a time, so that an unanswered one doesn't hold up the others.
 const MAX_CONCURRENT_ORDERS: usize = 3;
 
-/// What the owner holds of a minion that is attended.
+/// The owner's state of one supervised minion.
 pub(crate) struct Supervisor {
     target: Target,
     orders: channel::Sender<Order>,
     queue: channel::Receiver<Order>,
-    /// Wakes its look.
+    /// Wakes the polling task.
     pub(crate) poll_wake: Wake,
     clock: Mutex<Option<MinionClock>>,
 }
 
 impl Supervisor {
-    /// Whether it has not been replaced or removed.
+    /// Whether this supervisor has not been replaced or removed.
     fn is_current(&self, owner: &Owner) -> bool {
         let supervisors = owner.supervisors.lock();
         supervisors.get(&self.target.id).is_some_and(|now| std::ptr::eq(now.as_ref(), self))
     }
 
-    /// Queues an order, and looks soon at what comes of it; false if nobody carries it out any more.
+    /// Queues an order, and polls soon for its effect; false if nobody carries it out any more.
     pub(crate) fn order(&self, order: Order) -> bool {
         let queued = self.orders.try_send(order).is_ok();
         self.poll_wake.wake();
@@ -79,8 +79,9 @@
     }
 }
 
-/// Attends each minion of the cell, after the roster that names it is kept: a later owner must
-/// know where something may run.  False if the roster could not be kept, so that some aren't attended.
+/// Supervises each minion of the cell, after the roster that lists it is written: a later owner
+/// must know where something may run.  False if the roster could not be written, so that some
+/// minions have no supervisor.
 pub(crate) async fn sync_supervisors(owner: &Arc<Owner>) -> bool {
     let wanted: Vec<MinionId> = owner
         .with_cell(|cell| cell.minions().map(|minion| minion.id.clone()).collect())
@@ -106,7 +107,7 @@
     true
 }
 
-/// Minions without an attendant at their listed address.  The address can change in a restart.
+/// Minions without a supervisor at their listed address.  The address can change in a restart.
 fn unsupervised(owner: &Owner, wanted: &[MinionId]) -> Vec<MinionId> {
     let minions = owner.node.minions.read();
     let supervisors = owner.supervisors.lock();
@@ -118,7 +119,7 @@
     wanted.iter().filter(|id| !is_supervised(id)).cloned().collect()
 }
 
-/// Wakes the looks at minions whose listed incarnation differs from the one that answered last.
+/// Wakes the polls of minions whose listed incarnation differs from the one that answered last.
 /// Nothing is started on them until both agree.
 fn poll_restarted(owner: &Owner) {
     let restarted = |minion: &&Minion| !minion.has_current_listing();
@@ -163,7 +164,7 @@
     async_std::task::spawn(poll_forever(owner.clone(), supervisor));
 }
 
-/// Looks at a minion until it is gone or the cell is lost.
+/// Polls a minion until it is gone or the cell is lost.
 async fn poll_forever(owner: Arc<Owner>, supervisor: Arc<Supervisor>) {
     use stop_token::future::FutureExt;
     let stopped = owner.stopped.clone();
@@ -178,7 +179,7 @@
         }
     };
     let _ = polling.timeout_at(stopped).await;
-    // Closing the queue ends the lanes.
+    // Closing the queue ends the tasks that send orders.
     supervisor.queue.close();
     let mut supervisors = owner.supervisors.lock();
     if supervisors.get(&supervisor.target.id).is_some_and(|now| Arc::ptr_eq(now, &supervisor)) {
@@ -189,12 +190,12 @@
 #[derive(Clone, Copy)]
 struct Poll {
     acknowledged: u64,
-    /// The incarnation that numbered the acknowledged ends.
+    /// The incarnation that numbered the acknowledged ended runs.
     incarnation: Option<Incarnation>,
     wait: Duration,
 }
 
-/// Waits until the next look is due; none when the minion is no longer of interest.
+/// Waits until the next poll is due; none when the minion needs no supervision any more.
 async fn next_poll(owner: &Owner, supervisor: &Supervisor, session: &Session) -> Option<Poll> {
     let id = &supervisor.target.id;
     if !supervisor.is_current(owner) {
@@ -215,8 +216,8 @@
     if ended && acknowledgement_sent {
         return None;
     }
-    // Unacknowledged ends are listed again at once, so a look before they are kept would only
-    // repeat the last one.
+    // Unacknowledged ended runs are reported again at once, so a poll before they are persisted
+    // would only repeat the last one.
     if unkept {
         supervisor.poll_wake.wait(MAX_PERSIST_WAIT).await;
     } else if !busy && !fresh && acknowledgement_sent {
@@ -235,17 +236,17 @@
     Some(Poll { acknowledged, incarnation, wait })
 }
 
-/// The incarnation of the minion, and the number up to which its ends can be acknowledged.
+/// The incarnation of the minion, and the number up to which its ended runs can be acknowledged.
 fn acknowledgement(owner: &Owner, supervisor: &Supervisor) -> Option<(Option<Incarnation>, u64)> {
     let read = |minion: &Minion| (minion.incarnation, minion.acknowledged());
     owner.with_cell(|cell| cell.minion(&supervisor.target.id).map(read)).flatten()
 }
 
-/// Looks, and again at once if there was no answer; true if the minion answered.
+/// Polls, and again at once if there was no answer; true if the minion answered.
 ///
-/// Single calls go unanswered, or a connection goes silent, while the minion is well.  Taken for
-/// lost at the first miss, it would get no work until the next look, although nothing is wrong
-/// with it: at one call in ten, users saw two thirds of a burst come too late.
+/// Single calls go unanswered, or a connection goes silent, while the minion is healthy.  If it
+/// were considered lost at the first miss, it would get no work until the next poll: with one call
+/// in ten unanswered, users saw two thirds of a burst come too late.
 async fn poll_with_retry(
     owner: &Arc<Owner>,
     supervisor: &Supervisor,
@@ -271,10 +272,10 @@
     }
 }
 
-/// Looks once.  Ends are acknowledged only if a session is given.
+/// Polls once.  Ended runs are acknowledged only if a session is given.
 ///
 /// # Errors
-/// Why the minion didn't answer as it should.
+/// Why the minion didn't answer as expected.
 async fn poll(
     owner: &Arc<Owner>,
     supervisor: &Supervisor,
@@ -283,8 +284,8 @@
     missed: bool,
 ) -> Result<(), String> {
     let id = &supervisor.target.id;
-    // After a miss nothing is extended before the minion has answered: extending what doesn't
-    // answer would put off its lapse for ever.
+    // After a miss no lease is extended until the minion has answered: extending leases on a minion
+    // that doesn't answer would postpone their expiry forever.
     let deadline_ms = if missed { None } else { grant_deadline(owner, supervisor) };
     let wait = if missed { Duration::ZERO } else { poll.wait };
     let Poll { acknowledged, incarnation, .. } = poll;
@@ -315,8 +316,8 @@
     }
 }
 
-/// The deadline to give a minion, noted as a promise before it is sent; none while leases must
-/// not be extended or its clock is not known.
+/// The lease deadline to send to a minion, recorded as a promise beforehand; none while leases must
+/// not be extended or its clock is unknown.
 fn grant_deadline(owner: &Owner, supervisor: &Supervisor) -> Option<u64> {
     if !owner.node.may_extend_leases() || owner.is_stopped() {
         return None;
@@ -365,9 +366,9 @@
     owner.plan_wake.wake();
 }
 
-/// Records that the minion's life is over because another one answers at its address.
+/// Records that the minion has terminated because another one answers at its address.
 fn mark_terminated(owner: &Owner, supervisor: &Supervisor) {
-    // An answer at a former address doesn't show that the minion is over.
+    // An answer at a former address doesn't show that the minion has terminated.
     if !supervisor.is_current(owner) {
         return;
     }
@@ -405,7 +406,8 @@
                     poll_now(&owner, &supervisor).await;
                 }
                 if result == StartResult::Started && suspected {
-                    // What may not run beside it waits for a look that shows it to have outlived its trial.
+                    // Tasks that may not run beside it wait for a poll which shows that it has
+                    // outlived its trial.
                     async_std::task::sleep(TRIAL).await;
                     poll_now(&owner, &supervisor).await;
                 }
@@ -439,21 +441,22 @@
     }
 }
 
-/// Looks at once: after a start without an answer, to learn whether it runs, and after a confirmed
-/// stop, since only a report from after it tells that such a start never ran.  The look under way may
-/// wait a second for an end.
+/// Polls at once: after a start without an answer, to learn whether it runs, and after a confirmed
+/// stop, since only a report from after it shows that such a start never ran.  The poll under way
+/// may wait a second for a run to end.
 ///
-/// A look that is sent in the millisecond of what it is to settle can't be told from one sent before it,
-/// which settles nothing; so it is sent in the next one.
+/// A poll that is sent in the same millisecond as what it is to settle can't be told from one sent
+/// before it, which settles nothing; so it is sent in the next one.
 async fn poll_now(owner: &Arc<Owner>, supervisor: &Supervisor) {
     async_std::task::sleep(CLOCK_RESOLUTION).await;
     let next = Poll { acknowledged: 0, incarnation: None, wait: Duration::ZERO };
-    // Without an answer the minion's own looks find out.
+    // Without an answer, the regular polls find out.
     let _ = poll(owner, supervisor, None, next, false).await;
 }
 
 async fn start_run(owner: &Owner, supervisor: &Supervisor, order: &Order) -> StartResult {
-    // What is queued may have waited; which jobs it is for was decided when it was planned.
+    // Checked again, because the order may have waited in the queue.  The plan has decided for
+    // which jobs it may start something.
     let allowed = match owner.node.permit() {
         Permit::All => true,
         Permit::Fresh { .. } => matches!(order, Order::Start { first: true, .. }),
@@ -487,7 +490,7 @@
             StartResult::Refused(Refusal::Unhealthy)
         }
         Err(Failure::NotSent { .. } | Failure::Unanswered { .. }) => {
-            // Silence at an address that the minion has left says nothing of it.
+            // Silence at an address that the minion has left says nothing about the minion.
             if supervisor.is_current(owner) {
                 owner.with_cell(|cell| cell.missed(&to.id, clock::now()));
             }
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -1,7 +1,7 @@
 //! Questions to other entries, and their answers.
 //!
-//! Only what can also be read from the store travels here, so a peer that doesn't answer costs
-//! time and nothing else.
+//! Everything sent here can also be read from the store, so a peer that doesn't answer costs only
+//! time.
 
 use crate::clock;
 use crate::in_force;
@@ -21,33 +21,34 @@
 use std::time::Duration;
 use strum::Display;
 
-/// Longest wait for a peer's answer: dialling takes some 10 ms and an exchange 6 ms at worst
-/// when the peer is well, and whoever asks has the store to fall back on.
+/// Longest wait for a peer's answer.  Dialling takes some 10 ms and an exchange 6 ms at worst when
+/// the peer is healthy, and the asking entry can fall back on the store.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// The same for an answer that only the owner can give and for which nobody waits: an owner that has
-/// taken a large cell over answers late, and without its demand its pool gets no machines.
+/// The same for an answer that only the owner can give and for which nobody waits.  An owner that
+/// has taken over a large cell answers late, and while its demand is unknown its pool gets no
+/// machines.
 const LOAD_ANSWER_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Longest time for writing a job on behalf of a peer, within its wait for the answer.
+/// Longest time for writing a job on behalf of a peer, within the peer's wait for the answer.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// After a question that was not answered, a peer is not asked for this long.
+/// How long a peer is not asked after an unanswered question.
 const BACKOFF: Duration = Duration::from_millis(1500);
 
 /// Why a peer gave no answer.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub(crate) enum AskError {
-    /// It certainly didn't get the question.
+    /// The peer certainly didn't get the question.
     NotAsked,
-    /// It may have got the question.
+    /// The peer may have got the question.
     Unanswered,
 }
 
-/// Questions in a row without an answer after which a link is given up: something in between may have
-/// forgotten it, so that it is silent for good, but an owner that answers late isn't helped by another
-/// handshake.
+/// Consecutive unanswered questions after which a link is closed.  A device on the path may have
+/// dropped its state, so that the link stays silent for good; but another handshake doesn't help an
+/// owner that answers late.
 const MAX_CONSECUTIVE_MISSES: u32 = 2;
 
 /// A link that is being dialled; none if that failed.
@@ -58,15 +59,16 @@
 pub(crate) struct Peers {
     endpoint: RwLock<Option<Arc<Endpoint>>>,
     links: Mutex<HashMap<SocketAddr, Link>>,
-    /// Goes on when whoever asked for the link has given up.
+    /// Dials in progress.  They continue after the question that started them has timed out.
     ///
-    /// After all entries have lost power, all of them dial the few new owners at once.  Each handshake
-    /// takes some milliseconds of an owner that has half of a core; dropped with the question after a
-    /// third of a second and begun anew a second later, they left owners of large cells without time for
-    /// anything else, and the machines of their pools idle for six seconds.
+    /// After all entries have lost power, all of them dial the few new owners at once.  Each
+    /// handshake takes some milliseconds of an owner that has half of a core.  When dials were
+    /// dropped with the question after a third of a second and started anew a second later, owners
+    /// of large cells had no time for anything else, and the machines of their pools were idle for
+    /// six seconds.
     dials: Mutex<HashMap<SocketAddr, Dial>>,
     backing_off: Mutex<HashMap<SocketAddr, std::time::Instant>>,
-    /// Questions in a row that were not answered.
+    /// Consecutive unanswered questions.
     misses: Mutex<HashMap<SocketAddr, u32>>,
 }
 
@@ -98,7 +100,7 @@
         Some(link)
     }
 
-    /// The dial that is under way to a peer, or a new one.
+    /// The dial in progress to a peer, or a new one.
     fn dial(&self, address: SocketAddr) -> Option<Dial> {
         let endpoint = self.endpoint.read().clone()?;
         let mut dials = self.dials.lock();
@@ -111,7 +113,8 @@
         Some(dial)
     }
 
-    /// Whether a peer isn't asked for now because it didn't answer lately, and no new link is there.
+    /// Whether a peer isn't asked for now because it didn't answer recently and no dial has
+    /// completed since.
     pub(crate) fn is_backing_off(&self, address: SocketAddr) -> bool {
         let dialled = self.dials.lock().get(&address).is_some_and(|dial| dial.peek().is_some());
         !dialled && self.has_backoff(address)
@@ -129,7 +132,7 @@
     /// Asks a peer.
     ///
     /// # Errors
-    /// When it doesn't answer in time, with what that says of the question.
+    /// When it doesn't answer in time, with whether it may have got the question.
     pub(crate) async fn ask(
         &self,
         address: SocketAddr,
@@ -164,7 +167,7 @@
         answer.ok_or(AskError::Unanswered)
     }
 
-    /// Notes that a question was not answered.
+    /// Records an unanswered question.
     fn record_miss(&self, address: SocketAddr) {
         self.start_backoff(address);
         let mut misses = self.misses.lock();
@@ -178,13 +181,11 @@
         }
     }
 
-    /// Asks a peer nothing for a while.
     fn start_backoff(&self, address: SocketAddr) {
         self.backing_off.lock().insert(address, std::time::Instant::now());
     }
 }
 
-/// How long a question's answer is waited for.
 fn answer_timeout(question: &Question) -> Duration {
     match question {
         Question::Load { .. } | Question::Release { .. } => LOAD_ANSWER_TIMEOUT,
@@ -192,7 +193,7 @@
     }
 }
 
-/// Asks the owner of a service's cell, wherever it is; none when it can't be asked.
+/// Asks the owner of a service's cell, on any entry; none when it can't be asked or doesn't answer.
 pub(crate) async fn ask_owner(node: &Node, service: &str, question: Question) -> Option<Answer> {
     if let Some(owner) = node.owner(service) {
         return owner.answer(&question);
@@ -209,7 +210,7 @@
     answer
 }
 
-/// Writes a job for an entry that the store turns away.
+/// Writes a job on behalf of an entry whose requests the store refuses.
 async fn submit_for_peer(node: &Node, service: &str, id: Id, row: &[u8]) -> Answer {
     if node.is_outage_suspected() {
         return Answer::Submitted(Submission::Refused);
@@ -251,7 +252,7 @@
             .and_then(|owner| owner.answer(&question))
             .unwrap_or(Answer::NotOwner),
     };
-    // A peer that has gone meanwhile has given up waiting, too.
+    // A peer that has disconnected waits for no answer.
     let _ = channel.send(&Frame::JobAnswer(answer)).await;
     channel.finish();
 }
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -1,35 +1,37 @@
-//! The rows that entries keep in the platform's store: tables, keys and values.
+//! Rows that entries keep in the platform's store: tables, keys and values.
 //!
-//! Table `control`: an entry's row (`entry/ID`) and a cell's (`cell/SERVICE`), each in a
-//! partition of its own; machines to be emptied (`emptying/MACHINE`) and the entries' certificate
-//! authority (`authority`) in the empty one.  All entries follow this table.
+//! Table `control`: an entry's row (`entry/ID`) and a cell's (`cell/SERVICE`), each in a partition
+//! of its own; machines to be emptied (`emptying/MACHINE`) and the entries' certificate authority
+//! (`authority`) in the empty one.  All entries follow this table.
 //!
-//! Table `fleet`, which only the holder of the fleet's duty reads: waves (`wave/N`), the machines
-//! whose maintenance has begun (`begun/N/MACHINE`), and the pools' turns (`turns`).  In the control
-//! table, and as one row a wave, each machine of a wave of 583 brought all 147 entries all names.
+//! Table `fleet`, which only the fleet controller reads: waves (`wave/N`), the machines whose
+//! maintenance has begun (`begun/N/MACHINE`), and the pools' turns (`turns`).  In the control
+//! table, and with one row per wave, the progress of each machine in a wave of 583 sent all machine
+//! names to all 147 entries.
 //!
 //! Table `jobs`: accepted jobs (`job/ID`) and cancellations (`cancel/ID`), in partitions
 //! `SERVICE/SHARD`; the owner's ledger (`ledger`) and the minions that it uses (`roster`) in the
 //! partition `SERVICE`.  Table `progress`, partition `SERVICE`: each job's progress (`ID`).
 //!
-//! Table `splits`: how each workspace's limit is split between the cells (`WORKSPACE`), in the empty partition.
+//! Table `splits`: how each workspace's limit is split between the cells (`WORKSPACE`), in the
+//! empty partition.
 //!
 //! A partition carries out its transactions one after another.  When the store is slow, at a
-//! quarter of a second each, that is four a second: with renewals and submissions in common
-//! partitions, entries lost their cells and callers were refused for as long as that lasted.
+//! quarter of a second each, that is four a second.  When renewals and submissions shared
+//! partitions, entries lost their cells and callers were refused for as long as the store was slow.
 
 use celerythread_adapter::store::Name;
 use celerythread_engine::job::Id;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What entries agree on.
+/// State shared between entries.
 pub(crate) const CONTROL: &str = "control";
-/// What the holder of the fleet's duty keeps for the next one.
+/// What the fleet controller stores for its successor.
 pub(crate) const FLEET: &str = "fleet";
 /// Accepted jobs.
 pub(crate) const JOBS: &str = "jobs";
-/// How far jobs are.
+/// Progress of jobs.
 pub(crate) const PROGRESS: &str = "progress";
 /// How workspaces' limits are split.
 pub(crate) const SPLITS: &str = "splits";
@@ -46,24 +48,24 @@
 pub(crate) const LEDGER_KEY: &str = "ledger";
 pub(crate) const ROSTER_KEY: &str = "roster";
 
-/// The cell whose owner carries the duty for the fleet.  No service has such a name: the
-/// platform's begin with a letter.
+/// The cell whose owner is the fleet controller.  No service has such a name: the platform's begin
+/// with a letter.
 pub(crate) const FLEET_CELL: &str = "~fleet";
 
 /// An entry's row, rewritten at each renewal.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Entry {
-    /// The instance's name, the same over restarts.
+    /// Name of the instance, stable over restarts.
     pub(crate) name: String,
-    /// Where peers reach it.
+    /// Address for peers.
     pub(crate) peer: SocketAddr,
-    /// Thousandths of a processor core that it has.
+    /// Processor capacity in millicores.
     pub(crate) power: u32,
     /// Milliseconds of silence after which its cells may be taken over.
     pub(crate) term_ms: u32,
-    /// Counts its renewals, so that a read tells which one was carried out last.
+    /// Number of the renewal, so that a read shows which one was committed last.
     pub(crate) renewal: u64,
-    /// Whether it is about to stop.
+    /// Whether the entry is shutting down.
     pub(crate) stopping: bool,
 }
 
@@ -72,15 +74,15 @@
 pub(crate) struct Cell {
     /// The entry that holds it.
     pub(crate) holder: String,
-    /// How many holders it had before.
+    /// Number of earlier holders.
     pub(crate) generation: u32,
-    /// Whether the former holder had certainly stopped giving orders before this was written.
+    /// Whether the former holder had certainly sent its last order before this was written.
     pub(crate) former_stopped: bool,
 }
 
-/// The ledger of a cell: each of its owner's transactions rewrites it on condition of its
-/// version, so a transaction that the store carries out late can't undo a newer one, and one of
-/// a former owner can't be carried out at all.
+/// Ledger of a cell.  Each of its owner's transactions rewrites it on condition of its version, so
+/// a transaction that the store commits late can't undo a newer one, and one of a former owner
+/// can't be committed at all.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Ledger {
     /// The owner's fencing token.
@@ -90,7 +92,6 @@
 /// The minions on which an owner may have started something.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Roster {
-    /// Their ids.
     pub(crate) minions: Vec<String>,
 }
 
@@ -103,12 +104,12 @@
     pub(crate) key: String,
 }
 
-/// A row of the control table in its common partition.
+/// A row of the control table in the empty partition.
 pub(crate) fn control(prefix: &str, key: &str) -> Name {
     Name::new(CONTROL, "", format!("{prefix}{key}"))
 }
 
-/// The row that says that a machine's maintenance in a wave has begun.
+/// The row that records that a machine's maintenance in a wave has begun.
 pub(crate) fn begun(wave: u64, machine: &str) -> Name {
     Name::new(FLEET, "", format!("{BEGUN_PREFIX}{wave}/{machine}"))
 }
@@ -131,8 +132,8 @@
     Name::new(CONTROL, &key, key.clone())
 }
 
-/// Partitions over which a service's jobs are spread.  At the sites' largest bursts, some 60 jobs
-/// a second, a slow store's four transactions a second for each of them are still enough.
+/// Partitions for a service's jobs.  At the sites' largest bursts, some 60 jobs a second, a slow
+/// store's four transactions a second for each partition still suffice.
 const SHARDS_PER_SERVICE: u64 = 32;
 
 /// The partition of a job.
@@ -141,7 +142,7 @@
     format!("{service}/{shard}")
 }
 
-/// Start of the names of all partitions with jobs of a service.
+/// Prefix of all partitions with jobs of a service.
 pub(crate) fn shard_prefix(service: &str) -> String {
     format!("{service}/")
 }
@@ -156,7 +157,7 @@
     Name::new(JOBS, &shard(service, id), format!("{CANCEL_PREFIX}{id}"))
 }
 
-/// The row of how a workspace's limit is split.
+/// The row that holds the split of a workspace's limit.
 pub(crate) fn split(workspace: &str) -> Name {
     Name::new(SPLITS, "", workspace)
 }
