--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -16,8 +16,8 @@
             (
                 "store refuses, is silent, loses answers",
                 &[
-                    "a_store_that_refuses_leads_to_refusals_that_are_true",
-                    "a_silent_store_leaves_nothing_half_accepted",
+                    "jobs_refused_while_the_store_refuses_never_run",
+                    "a_silent_store_leaves_no_job_half_accepted",
                     "lost_answers_of_the_store_are_not_taken_for_refusals",
                 ],
             ),
@@ -32,7 +32,7 @@
                 &[
                     "every_fault_at_every_call_with_minions_that_keep_their_ids",
                     "several_faults_with_minions_that_keep_their_ids",
-                    "a_worker_that_starts_again_under_its_id_runs_nothing_twice",
+                    "a_worker_restarted_under_its_id_runs_nothing_twice",
                 ],
             ),
             (
@@ -198,22 +198,25 @@
     Promise {
         name: "On the platform: what is accepted is done, what is refused as not run never runs",
         cells: &[
-            ("the same job again", &["a_job_that_arrives_again_stays_one_job"]),
-            ("bad requests", &["what_is_not_a_job_is_refused_with_its_reason"]),
-            ("a cancelled job", &["a_cancelled_job_ends_and_stays_so"]),
+            ("the same job again", &["a_job_submitted_again_runs_once"]),
+            ("bad requests", &["an_invalid_job_is_refused_with_the_matching_status"]),
+            ("a cancelled job", &["a_cancelled_job_ends_and_stays_cancelled"]),
             ("a hopeless job", &["a_job_that_always_fails_is_shown_as_failed"]),
-            ("history forgotten", &["a_forgotten_history_is_made_good_by_reading_again"]),
-            ("the store is a hundred times slower", &["a_slow_store_takes_in_a_burst"]),
+            ("history forgotten", &["a_lost_feed_history_is_recovered_by_rereading"]),
+            (
+                "the store is a hundred times slower",
+                &["a_burst_is_accepted_while_the_store_is_slow"],
+            ),
             (
                 "the store is away for a time",
                 &[
-                    "while_the_store_is_away_callers_are_told_that_nothing_ran",
+                    "jobs_are_refused_during_a_store_outage",
                     "what_was_never_started_is_started_while_the_store_is_away",
                 ],
             ),
             (
                 "entries of another writer",
-                &["entries_of_another_writer_name_no_minions", "decoders_take_any_bytes"],
+                &["minion_entries_of_another_writer_are_ignored", "decoders_take_any_bytes"],
             ),
             ("the store turns one entry away", NOT),
         ],
@@ -226,7 +229,7 @@
             (
                 "nothing is sent to a store that is away",
                 "scheduler::submit::write",
-                "while_the_store_is_away_callers_are_told_that_nothing_ran",
+                "jobs_are_refused_during_a_store_outage",
             ),
             ("one answer ends an outage", "engine::outage", "one_answer_ends_an_outage"),
             (
@@ -267,7 +270,7 @@
             (
                 "an overdue write is looked for before it is sent again",
                 "scheduler::confirm::commit",
-                "a_slow_store_takes_in_a_burst",
+                "a_burst_is_accepted_while_the_store_is_slow",
             ),
             (
                 "a write is lost only by the measure of a read",
@@ -425,7 +428,7 @@
             (
                 "the rows of any number of machines are dropped",
                 "scheduler::fleet::emptying::drop_each",
-                "any_number_of_machines_is_released",
+                "any_number_of_stale_emptying_rows_is_dropped",
             ),
             (
                 "a large remainder doesn't take all machines",
@@ -458,7 +461,10 @@
                 "the store away for longer than a term",
                 &["an_outage_of_the_store_is_nobodys_silence"],
             ),
-            ("the store is a hundred times slower", &["a_slow_store_keeps_its_owners_at_work"]),
+            (
+                "the store is a hundred times slower",
+                &["owners_keep_their_cells_while_the_store_is_slow"],
+            ),
             ("a holder that renews at the last moment, over the store", NOT),
         ],
         guards: &[
--- a/tests/all/site/idle.rs
+++ b/tests/all/site/idle.rs
@@ -4,10 +4,10 @@
 
 /// Resident memory of an idle entry, without the program's text, which a debug build makes several
 /// times larger.
-const MOST_RESIDENT_KB: u64 = 20_000;
+const MAX_RESIDENT_KB: u64 = 20_000;
 
 /// Time over which the processor time is read.
-const SPAN: Duration = Duration::from_secs(5);
+const CPU_SAMPLE_TIME: Duration = Duration::from_secs(5);
 
 /// A field of a process's `stat`, counted from 1, as the manual of `proc` has it.
 fn stat(process: u32, field: usize) -> u64 {
@@ -27,16 +27,16 @@
 /// Resident memory is checked; processor time, which a busy machine changes, is printed: with
 /// renewals each 0.1 s, three times as many as by default.
 #[async_std::test]
-async fn an_idle_entry_is_small() {
+async fn an_idle_entry_uses_little_memory() {
     let deployment = Deployment::start("idle", 2, 2).await;
     let ticks = |entry: &Entry| stat(entry.child.id(), 14) + stat(entry.child.id(), 15);
     let before: Vec<u64> = deployment.entries.iter().map(ticks).collect();
-    task::sleep(SPAN).await;
+    task::sleep(CPU_SAMPLE_TIME).await;
     for (entry, before) in deployment.entries.iter().zip(before) {
         let resident = resident_kb(entry.child.id());
         // A tick is a hundredth of a second.
-        let percent = (ticks(entry) - before) as f64 / SPAN.as_secs_f64();
+        let percent = (ticks(entry) - before) as f64 / CPU_SAMPLE_TIME.as_secs_f64();
         println!("{resident} KB resident, {percent:.1} % of a core");
-        assert!(resident < MOST_RESIDENT_KB, "{resident} KB resident");
+        assert!(resident < MAX_RESIDENT_KB, "{resident} KB resident");
     }
 }
--- a/tests/all/site/jobs.rs
+++ b/tests/all/site/jobs.rs
@@ -21,7 +21,7 @@
 }
 
 #[async_std::test]
-async fn what_is_not_a_job_is_refused_with_its_reason() {
+async fn an_invalid_job_is_refused_with_the_matching_status() {
     let deployment = Deployment::start("refusals", 1, 1).await;
     let entry = deployment.entries[0].callers;
     let status = async |method, path: &str, body| call(entry, method, path, body).await.unwrap().0;
@@ -41,7 +41,7 @@
 
 /// The answer to a submission is lost, and its caller sends it again at another entry.
 #[async_std::test]
-async fn a_job_that_arrives_again_stays_one_job() {
+async fn a_job_submitted_again_runs_once() {
     let deployment = Deployment::start("again", 2, 2).await;
     assert_eq!(deployment.submit(0, &id(1), 2, "ms=100").await, 200);
     assert_eq!(deployment.submit(1, &id(1), 7, "ms=100 other").await, 200);
@@ -56,7 +56,7 @@
 /// same id has another content and finds the row.  The owner is told of it first by that request;
 /// it must run what is stored, or a later owner would run something else under the same id.
 #[async_std::test]
-async fn the_owner_runs_what_is_stored_and_not_what_came_second() {
+async fn the_owner_runs_the_stored_job_and_not_a_later_submission() {
     let mut deployment = Deployment::start("second", 3, 2).await;
     let owner = deployment.owner().unwrap();
     let others: Vec<usize> = (0..3).filter(|index| *index != owner).collect();
@@ -82,7 +82,7 @@
 }
 
 #[async_std::test]
-async fn a_cancelled_job_ends_and_stays_so() {
+async fn a_cancelled_job_ends_and_stays_cancelled() {
     let deployment = Deployment::start("cancel", 2, 1).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "ms=60000").await, 200);
     deployment.until(0, &id(1), "running").await;
@@ -106,7 +106,7 @@
 }
 
 #[async_std::test]
-async fn the_count_of_waiting_jobs_is_told_by_every_entry() {
+async fn every_entry_reports_the_number_of_pending_jobs() {
     let deployment = Deployment::start("pending", 2, 1).await;
     for number in 1..=3 {
         assert_eq!(deployment.submit(0, &id(number), 16, "ms=30000").await, 200);
--- a/tests/all/site/loss.rs
+++ b/tests/all/site/loss.rs
@@ -194,7 +194,7 @@
 
 /// Guards against repeated runs and jobs that never end after workers restart under the same id.
 #[async_std::test]
-async fn a_worker_that_starts_again_under_its_id_runs_nothing_twice() {
+async fn a_worker_restarted_under_its_id_runs_nothing_twice() {
     let mut deployment = Deployment::start("restart", 2, 2).await;
     let mut answers = BTreeMap::new();
     for number in 100..110 {
@@ -211,7 +211,7 @@
 
 /// Guards against leaving out a worker for good once another one has answered at its address.
 #[async_std::test]
-async fn a_worker_that_was_over_is_used_again_once_it_is_back_under_its_id() {
+async fn a_terminated_worker_is_used_again_after_a_restart_under_its_id() {
     let mut deployment = Deployment::start("back", 2, 1).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "crash").await, 200);
     eventually("the worker is known to be over", async || {
@@ -227,7 +227,7 @@
 
 /// Guards against orders being sent to the former address of a worker that restarted at another.
 #[async_std::test]
-async fn a_worker_that_starts_again_at_another_address_is_used_there() {
+async fn a_worker_restarted_at_another_address_is_used_there() {
     let mut deployment = Deployment::start("elsewhere", 2, 1).await;
     assert_eq!(deployment.submit(0, &id(1), 2, "ms=50").await, 200);
     deployment.until(0, &id(1), "completed").await;
--- a/tests/all/site/store.rs
+++ b/tests/all/site/store.rs
@@ -5,7 +5,10 @@
 use celerythread_standin::site::store::Trouble;
 
 /// Jobs sent one after the other with the store in trouble from the tenth to the thirtieth.
-async fn through(test: &'static str, trouble: Trouble) -> (Deployment, BTreeMap<String, u16>) {
+async fn submit_during(
+    test: &'static str,
+    trouble: Trouble,
+) -> (Deployment, BTreeMap<String, u16>) {
     let deployment = Deployment::start(test, 2, 2).await;
     let mut answers = BTreeMap::new();
     for number in 0..40 {
@@ -22,7 +25,7 @@
 
 /// What was refused never ran, what was accepted is done once; a job whose fate its caller
 /// wasn't told may be either.
-async fn check_all(deployment: &Deployment, answers: &BTreeMap<String, u16>) {
+async fn check_outcomes(deployment: &Deployment, answers: &BTreeMap<String, u16>) {
     for (job, _) in answers.iter().filter(|(_, status)| **status == 200) {
         deployment.until(0, job, "completed").await;
     }
@@ -36,28 +39,28 @@
 }
 
 #[async_std::test]
-async fn a_store_that_refuses_leads_to_refusals_that_are_true() {
-    let (deployment, answers) = through("store-refuses", Trouble::Refuses).await;
+async fn jobs_refused_while_the_store_refuses_never_run() {
+    let (deployment, answers) = submit_during("store-refuses", Trouble::Refuses).await;
     assert!(answers.values().any(|status| *status == 503), "{answers:?}");
-    check_all(&deployment, &answers).await;
+    check_outcomes(&deployment, &answers).await;
 }
 
 #[async_std::test]
-async fn a_silent_store_leaves_nothing_half_accepted() {
-    let (deployment, answers) = through("store-silent", Trouble::Silent).await;
-    check_all(&deployment, &answers).await;
+async fn a_silent_store_leaves_no_job_half_accepted() {
+    let (deployment, answers) = submit_during("store-silent", Trouble::Silent).await;
+    check_outcomes(&deployment, &answers).await;
 }
 
 /// Transactions are carried out and their answers lost: callers hear that nobody knows, never
 /// that the job doesn't run.
 #[async_std::test]
 async fn lost_answers_of_the_store_are_not_taken_for_refusals() {
-    let (deployment, answers) = through("store-loses", Trouble::LosesAnswers).await;
-    check_all(&deployment, &answers).await;
+    let (deployment, answers) = submit_during("store-loses", Trouble::LosesAnswers).await;
+    check_outcomes(&deployment, &answers).await;
 }
 
 #[async_std::test]
-async fn a_forgotten_history_is_made_good_by_reading_again() {
+async fn a_lost_feed_history_is_recovered_by_rereading() {
     let deployment = Deployment::start("store-forgets", 2, 2).await;
     for version in 2..6 {
         deployment.site.store.forget_history();
@@ -72,10 +75,10 @@
 /// unanswered write was sent again, each copy took its partition's turn, and soon no write was
 /// answered within its caller's time.
 #[async_std::test]
-async fn a_slow_store_takes_in_a_burst() {
+async fn a_burst_is_accepted_while_the_store_is_slow() {
     const JOBS: u32 = 60;
     /// Each partition gets two of the jobs, and carries out two and a half in this time.
-    const GAP: Duration = Duration::from_millis(40);
+    const SUBMIT_INTERVAL: Duration = Duration::from_millis(40);
     let deployment = Deployment::start("store-slow", 2, 2).await;
     deployment.site.store.trouble(Trouble::Slow);
     let mut sent = Vec::new();
@@ -86,24 +89,24 @@
             let status = submit(entry, &job, 2, "ms=50").await.unwrap_or(0);
             (job, status)
         }));
-        task::sleep(GAP).await;
+        task::sleep(SUBMIT_INTERVAL).await;
     }
     let mut answers = BTreeMap::new();
-    for one in sent {
-        let (job, status) = one.await;
+    for submission in sent {
+        let (job, status) = submission.await;
         answers.insert(job, status);
     }
     deployment.site.store.trouble(Trouble::None);
     let accepted = answers.values().filter(|status| **status == 200).count();
     assert!(accepted as u32 >= JOBS * 9 / 10, "{accepted} of {JOBS}: {answers:?}");
-    check_all(&deployment, &answers).await;
+    check_outcomes(&deployment, &answers).await;
 }
 
 /// Nothing is started for as long as the store is slow, and cells change hands.  A renewal that
 /// was given up and sent again took its cell's partition's turn several times over, so that none
 /// of them was answered before the last one was too old to start anything by.
 #[async_std::test]
-async fn a_slow_store_keeps_its_owners_at_work() {
+async fn owners_keep_their_cells_while_the_store_is_slow() {
     let deployment = Deployment::start("store-slow-owner", 2, 2).await;
     let owner = deployment.owner();
     deployment.site.store.trouble(Trouble::Slow);
@@ -121,7 +124,7 @@
 /// another type, states that nobody knows, keys that no header can hold, and bytes that can't be read,
 /// and nothing of that page is taken in; or tasks are sent to minions that aren't there.
 #[async_std::test]
-async fn entries_of_another_writer_name_no_minions() {
+async fn minion_entries_of_another_writer_are_ignored() {
     let deployment = Deployment::start("store-others", 2, 2).await;
     let entry = |state: &str| {
         json!({
@@ -148,7 +151,7 @@
 /// Machines that were to be emptied once get no work any more.  A former holder of the duty left more
 /// rows than one transaction may drop; the next one sent it all the same, and it was refused each time.
 #[async_std::test]
-async fn any_number_of_machines_is_released() {
+async fn any_number_of_stale_emptying_rows_is_dropped() {
     let deployment = Deployment::start("store-many", 1, 2).await;
     for number in 0..130 {
         let key = format!("emptying/old-{number}");
@@ -165,7 +168,7 @@
 /// jobs run, because each was sent to the store although it was known to be away, and they could not ask
 /// again.  Told that it didn't run, they come back and are served.
 #[async_std::test]
-async fn while_the_store_is_away_callers_are_told_that_nothing_ran() {
+async fn jobs_are_refused_during_a_store_outage() {
     let deployment = Deployment::start("store-away", 2, 2).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "ms=50").await, 200);
     deployment.site.store.trouble(Trouble::Silent);
