--- a/tests/all/site/idle.rs
+++ b/tests/all/site/idle.rs
@@ -1,18 +1,18 @@
-//! What an entry costs that has nothing to do.
+//! Resource use of an idle entry.
 
 use super::*;
 
-/// Resident memory of an idle entry, without the program's text, which a debug build makes several
-/// times larger.
+/// Anonymous resident memory of an idle entry.  The program's text isn't counted: a debug build
+/// makes it several times larger.
 const MAX_RESIDENT_KB: u64 = 20_000;
 
-/// Time over which the processor time is read.
+/// Time over which processor time is measured.
 const CPU_SAMPLE_TIME: Duration = Duration::from_secs(5);
 
-/// A field of a process's `stat`, counted from 1, as the manual of `proc` has it.
+/// A field of a process's `stat`, counted from 1 as in proc(5).
 fn stat(process: u32, field: usize) -> u64 {
     let text = fs::read_to_string(format!("/proc/{process}/stat")).unwrap();
-    // The name of the program may hold blanks; what follows it doesn't.
+    // The program's name may contain spaces; the fields after it don't.
     let (_, rest) = text.rsplit_once(") ").unwrap();
     rest.split(' ').nth(field - 3).unwrap().parse().unwrap()
 }
@@ -24,8 +24,8 @@
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-/// Resident memory is checked; processor time, which a busy machine changes, is printed: with
-/// renewals each 0.1 s, three times as many as by default.
+/// Only memory is checked.  Processor time, which varies on a busy machine, is printed: with
+/// renewals every 0.1 s, three times as many as by default.
 #[async_std::test]
 async fn an_idle_entry_uses_little_memory() {
     let deployment = Deployment::start("idle", 2, 2).await;
--- a/tests/all/site/jobs.rs
+++ b/tests/all/site/jobs.rs
@@ -1,4 +1,4 @@
-//! A job's life, end to end.
+//! Lifecycle of a job, end to end.
 
 use super::*;
 use celerythread_standin::site::check;
@@ -39,7 +39,8 @@
     assert_eq!(status(Method::Get, &path, None).await, 410);
 }
 
-/// The answer to a submission is lost, and its caller sends it again at another entry.
+/// Guards against running a job twice: the answer to its submission is lost, and its caller sends
+/// it again to another entry.
 #[async_std::test]
 async fn a_job_submitted_again_runs_once() {
     let deployment = Deployment::start("again", 2, 2).await;
@@ -52,9 +53,10 @@
     assert_eq!(history.len(), 2, "{history:?}");
 }
 
-/// An entry writes a job and is lost before it tells the owner; the caller's next request with the
-/// same id has another content and finds the row.  The owner is told of it first by that request;
-/// it must run what is stored, or a later owner would run something else under the same id.
+/// Guards against running a job other than the stored one, so that a later owner would run
+/// something else under the same id.  An entry writes a job and is lost before it notifies the
+/// owner.  The caller's next request with the same id has other content, finds the row, and is the
+/// first to notify the owner.
 #[async_std::test]
 async fn the_owner_runs_the_stored_job_and_not_a_later_submission() {
     let mut deployment = Deployment::start("second", 3, 2).await;
--- a/tests/all/site/loss.rs
+++ b/tests/all/site/loss.rs
@@ -1,10 +1,10 @@
-//! Losing owners and workers.
+//! Loss of owners and workers.
 
 use super::*;
 use celerythread_standin::site::check;
 use celerythread_standin::site::worker::Trouble;
 
-/// Submits one job after the other to entries that answer, while `fault` does its work.
+/// Submits jobs one after the other to entries that answer, while `fault` injects faults.
 async fn submit_through(
     deployment: &mut Deployment,
     count: u32,
@@ -17,7 +17,7 @@
         fault(deployment, number);
         let job = id(number);
         for entry in deployment.entries.iter().cycle().skip(number as usize).take(6) {
-            // A job whose fate is not known is sent again, as callers do.
+            // A job whose outcome is unknown is submitted again, as callers do.
             if let Some(status) = submit(entry.callers, &job, tasks, spec).await {
                 answers.insert(job.clone(), status);
                 if status == 200 {
@@ -43,8 +43,9 @@
     assert_eq!(check::all_done(&history, &accepted(answers, tasks)), Vec::<String>::new());
 }
 
-/// The owner is killed while tasks run and ends are underway.  A caller sees its job go on: the
-/// successor finds what runs, keeps what has ended, and runs nothing a second time.
+/// Guards against lost and repeated runs when the owner is killed while tasks run and reports of
+/// ended runs are under way.  The successor must adopt what runs, keep what has ended, and run
+/// nothing a second time.
 #[async_std::test]
 async fn a_killed_owner_is_replaced_and_nothing_runs_twice() {
     let mut deployment = Deployment::start("kill", 3, 3).await;
@@ -59,8 +60,8 @@
     assert_once(&deployment, &answers, 3);
 }
 
-/// The owner is paused for longer than others wait, and wakes without knowing it.  Its orders
-/// carry a token that minions refuse by then.
+/// Guards against repeated runs when the owner is paused for longer than the takeover term and
+/// resumes without knowing it.  Minions must refuse its orders by their fencing token.
 #[async_std::test]
 async fn a_paused_owner_that_wakes_runs_nothing_twice() {
     let mut deployment = Deployment::start("pause", 3, 3).await;
@@ -69,7 +70,7 @@
         if number == 8 {
             paused = deployment.owner().unwrap();
             deployment.entries[paused].signal("-STOP");
-            // Its callers would wait for it; a balancer would have taken it out.
+            // Its callers would wait for it; a load balancer would have removed it.
             let owner = deployment.entries.remove(paused);
             deployment.entries.push(owner);
         }
@@ -82,8 +83,8 @@
     assert_once(&deployment, &answers, 3);
 }
 
-/// A planned stop hands the cell over by name: the successor takes over in a fraction of the
-/// time that a silent owner's would take, and the process ends by itself without a fault.
+/// A planned stop hands the cell over to a named successor, which takes over in a fraction of the
+/// time that a silent owner's takeover needs.  The process exits successfully.
 #[async_std::test]
 async fn a_stopping_owner_hands_over_and_ends() {
     let mut deployment = Deployment::start("term", 2, 2).await;
@@ -106,7 +107,8 @@
     assert_eq!(deployment.site.history().len(), 2, "both runs went on");
 }
 
-/// Everything is killed at once and started again: what was accepted is in the rows alone.
+/// Guards against losing accepted jobs when all entries are killed at once and restarted: only the
+/// stored rows remain.
 #[async_std::test]
 async fn accepted_jobs_survive_the_loss_of_all_entries() {
     let mut deployment = Deployment::start("all", 3, 2).await;
@@ -132,8 +134,9 @@
     assert_once(&deployment, &answers, 3);
 }
 
-/// A worker carries starts out and its answers are lost, or carries them out long after.  The
-/// task must not be started elsewhere before its first start can no longer take effect.
+/// Guards against starting a task elsewhere before its first start can no longer take effect.  A
+/// worker carries out starts and its answers are lost, or it carries them out long after they were
+/// sent.
 #[async_std::test]
 async fn unanswered_starts_run_nothing_twice() {
     let mut deployment = Deployment::start("late", 2, 3).await;
@@ -152,7 +155,8 @@
     assert_once(&deployment, &answers, 2);
 }
 
-/// A worker is cut off and runs on; what it had is restarted only after its lease has lapsed.
+/// A worker is cut off and continues to run; its tasks are restarted only after their leases have
+/// expired.
 #[async_std::test]
 async fn a_silent_worker_keeps_its_tasks_until_their_lease_lapses() {
     let mut deployment = Deployment::start("cut", 2, 2).await;
@@ -170,8 +174,8 @@
     assert_eq!(check::once(&history), Vec::<String>::new());
 }
 
-/// A task takes down each worker that starts it, and its owner is killed right after the first time.  The job's caller
-/// hears that it failed after a few workers, and everybody else's jobs are done.
+/// Guards against a task that crashes every worker that starts it, with its owner killed after the
+/// first crash.  The job must fail after a few workers, and all other jobs must complete.
 #[async_std::test]
 async fn a_task_that_crashes_its_workers_is_given_up_whoever_owns_it() {
     let mut deployment = Deployment::start("crashing", 3, 8).await;
@@ -209,7 +213,7 @@
     assert_once(&deployment, &answers, 3);
 }
 
-/// Guards against leaving out a worker for good once another one has answered at its address.
+/// Guards against ignoring a worker for good once another one has answered at its address.
 #[async_std::test]
 async fn a_terminated_worker_is_used_again_after_a_restart_under_its_id() {
     let mut deployment = Deployment::start("back", 2, 1).await;
--- a/tests/all/site/store.rs
+++ b/tests/all/site/store.rs
@@ -1,10 +1,10 @@
-//! The platform's store in trouble.
+//! Faults of the platform's store.
 
 use super::*;
 use celerythread_standin::site::check;
 use celerythread_standin::site::store::Trouble;
 
-/// Jobs sent one after the other with the store in trouble from the tenth to the thirtieth.
+/// Submits jobs one after the other, with the store in trouble from the tenth to the thirtieth.
 async fn submit_during(
     test: &'static str,
     trouble: Trouble,
@@ -23,8 +23,8 @@
     (deployment, answers)
 }
 
-/// What was refused never ran, what was accepted is done once; a job whose fate its caller
-/// wasn't told may be either.
+/// Refused jobs never ran, and accepted jobs ran once.  A job whose caller wasn't told the outcome
+/// may be either.
 async fn check_outcomes(deployment: &Deployment, answers: &BTreeMap<String, u16>) {
     for (job, _) in answers.iter().filter(|(_, status)| **status == 200) {
         deployment.until(0, job, "completed").await;
@@ -51,8 +51,8 @@
     check_outcomes(&deployment, &answers).await;
 }
 
-/// Transactions are carried out and their answers lost: callers hear that nobody knows, never
-/// that the job doesn't run.
+/// Guards against reporting a job as refused when its transaction was committed and the answer
+/// lost.  Callers must be told that the outcome is unknown.
 #[async_std::test]
 async fn lost_answers_of_the_store_are_not_taken_for_refusals() {
     let (deployment, answers) = submit_during("store-loses", Trouble::LosesAnswers).await;
@@ -71,13 +71,13 @@
     }
 }
 
-/// Callers of a burst are refused or left in doubt for as long as the store is slow.  Each
-/// unanswered write was sent again, each copy took its partition's turn, and soon no write was
-/// answered within its caller's time.
+/// Guards against refusing callers of a burst, or leaving them in doubt, for as long as the store
+/// is slow.  Each unanswered write was sent again and each copy queued in its partition, until no
+/// write was answered in time for its caller.
 #[async_std::test]
 async fn a_burst_is_accepted_while_the_store_is_slow() {
     const JOBS: u32 = 60;
-    /// Each partition gets two of the jobs, and carries out two and a half in this time.
+    /// Each partition gets two of the jobs, and executes two and a half in this time.
     const SUBMIT_INTERVAL: Duration = Duration::from_millis(40);
     let deployment = Deployment::start("store-slow", 2, 2).await;
     deployment.site.store.trouble(Trouble::Slow);
@@ -102,9 +102,9 @@
     check_outcomes(&deployment, &answers).await;
 }
 
-/// Nothing is started for as long as the store is slow, and cells change hands.  A renewal that
-/// was given up and sent again took its cell's partition's turn several times over, so that none
-/// of them was answered before the last one was too old to start anything by.
+/// Guards against owners that start nothing and lose their cells for as long as the store is slow.
+/// Renewals that timed out and were sent again queued several times in the cell's partition, so
+/// that none was answered before the last one was too old to permit starts.
 #[async_std::test]
 async fn owners_keep_their_cells_while_the_store_is_slow() {
     let deployment = Deployment::start("store-slow-owner", 2, 2).await;
@@ -120,9 +120,10 @@
     assert!(deployment.entries.iter().all(|entry| !entry.noted("cell_lost")));
 }
 
-/// Callers wait for good: another writer's entries stand among the minions', with fields missing or of
-/// another type, states that nobody knows, keys that no header can hold, and bytes that can't be read,
-/// and nothing of that page is taken in; or tasks are sent to minions that aren't there.
+/// Guards against callers that wait forever because of another writer's entries among the minions':
+/// with missing fields, fields of another type, unknown states, keys that no header can hold, or
+/// unreadable bytes.  Either nothing of their page was applied, or tasks were sent to minions that
+/// don't exist.
 #[async_std::test]
 async fn minion_entries_of_another_writer_are_ignored() {
     let deployment = Deployment::start("store-others", 2, 2).await;
@@ -148,8 +149,9 @@
     assert_eq!(check::once(&history), Vec::<String>::new());
 }
 
-/// Machines that were to be emptied once get no work any more.  A former holder of the duty left more
-/// rows than one transaction may drop; the next one sent it all the same, and it was refused each time.
+/// Guards against machines that get no work after they were once to be emptied.  A former fleet
+/// controller left more rows than one transaction may drop; the next one sent them all the same,
+/// and the transaction was refused each time.
 #[async_std::test]
 async fn any_number_of_stale_emptying_rows_is_dropped() {
     let deployment = Deployment::start("store-many", 1, 2).await;
@@ -164,9 +166,9 @@
     }
 }
 
-/// The store is away for some seconds at a turn's peak.  Callers were told that nobody knows whether their
-/// jobs run, because each was sent to the store although it was known to be away, and they could not ask
-/// again.  Told that it didn't run, they come back and are served.
+/// Guards against reporting unknown outcomes while the store is unavailable for some seconds at a
+/// turn's peak.  Each job was sent to the store although it was known to be unavailable, so callers
+/// could not submit it again.  Callers that are told that it didn't run retry and are served.
 #[async_std::test]
 async fn jobs_are_refused_during_a_store_outage() {
     let deployment = Deployment::start("store-away", 2, 2).await;
