--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -207,7 +207,7 @@
         }
         Verdict::Leave => stop_owning(node, cell, holding.as_ref()),
         Verdict::Take { cell: version, former } if !node.is_stopping() => {
-            take_cell_over(node, cell, version, former, row).await;
+            take_over_cell(node, cell, version, former, row).await;
             return true;
         }
         Verdict::Take { .. } => {}
@@ -264,7 +264,7 @@
 
 /// Takes over a cell.  The write requires that neither the cell's row nor its former holder's row
 /// has changed, so a holder that renewed in the meantime keeps the cell.
-async fn take_cell_over(
+async fn take_over_cell(
     node: &Arc<Node>,
     cell: &str,
     version: u64,
