--- a/crates/scheduler/src/owner.rs
+++ b/crates/scheduler/src/owner.rs
@@ -1,22 +1,23 @@
 //! The owner of a cell: takes it over, carries out its plans, and persists its progress.
 //!
-//! [`load`] reads the stored rows, [`supervisor`] polls and commands one minion, [`persist`] writes
+//! [`load`] reads the stored rows, [`attend`] polls and commands one minion, [`persist`] writes
 //! progress, [`advice`] asks for tickets, [`quota`] enforces workspaces' limits, and [`notes`] logs
 //! the decisions of plans.  This file holds what they share, the planning loop, and the answers to
 //! other entries' questions.
 
 mod advice;
+pub(crate) mod attend;
 pub(crate) mod load;
 mod notes;
 pub(crate) mod persist;
 mod quota;
-pub(crate) mod supervisor;
 
 use crate::clock;
 use crate::fleet;
 use crate::metrics::Counter;
 use crate::node::Node;
 use crate::rows;
+use attend::Supervisor;
 use celerythread_adapter::configuration::Configuration;
 use celerythread_adapter::minion::Entry;
 use celerythread_engine::cell::{Cell, Incarnation, Order, Queue, Refusal, StartResult};
@@ -31,7 +32,6 @@
 use std::time::Duration;
 use stop_token::future::FutureExt;
 use stop_token::{StopSource, StopToken};
-use supervisor::Supervisor;
 
 /// Longest time between two plans, for changes that only time causes, such as leases that expire.
 const MAX_PLAN_WAIT: Duration = Duration::from_millis(100);
@@ -157,7 +157,7 @@
     }
 
     /// Calls `work` with the cell; none while the cell is not loaded.
-    pub(crate) fn with_cell<T>(&self, work: impl FnOnce(&mut Cell) -> T) -> Option<T> {
+    pub(crate) fn with<T>(&self, work: impl FnOnce(&mut Cell) -> T) -> Option<T> {
         self.cell.lock().as_mut().map(work)
     }
 
@@ -177,7 +177,7 @@
         });
         let workspaces = configuration.workspaces.iter();
         let limits = workspaces.map(|workspace| (workspace.name.as_str().into(), workspace.limit));
-        self.with_cell(|cell| {
+        self.with(|cell| {
             cell.configure(queues);
             cell.configure_limits(limits, configuration.version, clock::now());
         });
@@ -195,7 +195,7 @@
         };
         let job_age = Duration::from_millis(clock::wall_ms().saturating_sub(accepted.at_ms));
         let now = clock::now();
-        let added = self.with_cell(|cell| cell.add_job(id, accepted, None, false, job_age, now));
+        let added = self.with(|cell| cell.add_job(id, accepted, None, false, job_age, now));
         if added == Some(true) {
             self.node.journal.info(
                 "job_known",
@@ -206,7 +206,7 @@
     }
 
     pub(crate) fn cancel_job(&self, id: Id) {
-        self.with_cell(|cell| cell.cancel(&id, clock::now()));
+        self.with(|cell| cell.cancel(&id, clock::now()));
         self.plan_wake.wake();
     }
 
@@ -226,20 +226,20 @@
                 Some(Answer::Noted)
             }
             Question::State { id, origin, .. } => {
-                self.with_cell(|cell| Answer::State(cell.state_for(id, origin)))
+                self.with(|cell| Answer::State(cell.state_for(id, origin)))
             }
             // Any entry answers these, not only the owner.
             Question::Submit { .. } | Question::Configuration { .. } => None,
-            Question::Load { .. } => self.with_cell(|cell| Answer::Load(cell.load(clock::now()))),
+            Question::Load { .. } => self.with(|cell| Answer::Load(cell.load(clock::now()))),
             Question::Release { machines, .. } => {
                 let minions = machines.iter().map(|(_, minion)| minion.clone());
                 self.node.view.write().release(minions);
                 self.sync_minions();
                 self.plan_wake.wake();
-                self.with_cell(|cell| Answer::Load(cell.load(clock::now())))
+                self.with(|cell| Answer::Load(cell.load(clock::now())))
             }
             Question::Pending { queue, .. } => {
-                self.with_cell(|cell| Answer::Pending(cell.pending(queue) as u32))
+                self.with(|cell| Answer::Pending(cell.pending(queue) as u32))
             }
         }
     }
@@ -260,7 +260,7 @@
         let mine = minions
             .iter()
             .filter(|(id, entry)| entry.service == self.service && !has_terminated(id, entry));
-        self.with_cell(|cell| {
+        self.with(|cell| {
             let known: Vec<Arc<str>> = cell.minions().map(|minion| minion.id.clone()).collect();
             for (id, entry) in mine {
                 cell.list(id, entry.listing.clone());
@@ -305,7 +305,7 @@
         if changed || synced.is_none_or(|at| began.since(at) >= MAX_MINION_SYNC_INTERVAL) {
             synced = Some(began);
             owner.sync_minions();
-            if !supervisor::sync_supervisors(&owner).await {
+            if !attend::sync_supervisors(&owner).await {
                 // Retried with the next plan.
                 owner.minions_changed.store(true, Ordering::SeqCst);
             }
@@ -316,12 +316,12 @@
             let now = clock::now();
             let permit = owner.node.permit();
             let plan = |cell: &mut Cell| cell.plan(now, clock::wall_ms(), permit);
-            let orders = owner.with_cell(plan).unwrap_or_default();
+            let orders = owner.with(plan).unwrap_or_default();
             dispatch(&owner, orders);
             notes::log_all(&owner);
             advice::send_queries(&owner);
             quota::write_shares(&owner);
-            if owner.with_cell(|cell| cell.has_unkept()).unwrap_or(false) {
+            if owner.with(|cell| cell.has_unkept()).unwrap_or(false) {
                 owner.persist_wake.wake();
             }
         }
@@ -356,7 +356,7 @@
         | Order::Pace { task, run, .. }) = order;
         owner.node.metrics.count(counter);
         let (job_age, report_age) =
-            owner.with_cell(|cell| ages(cell, &task.job, minion)).unwrap_or_default();
+            owner.with(|cell| ages(cell, &task.job, minion)).unwrap_or_default();
         owner.node.journal.info(
             event,
             &[
@@ -386,5 +386,5 @@
         [("job", &task.job), ("task", task), ("run", &run), ("minion", minion)];
     owner.node.journal.warn("start_given_back", &fields);
     let refused = StartResult::Refused(Refusal::Unhealthy);
-    owner.with_cell(|cell| cell.start_result(minion, task, run, refused, clock::now()));
+    owner.with(|cell| cell.start_result(minion, task, run, refused, clock::now()));
 }
--- a/crates/scheduler/src/owner/advice.rs
+++ b/crates/scheduler/src/owner/advice.rs
@@ -11,7 +11,7 @@
 
 /// Sends the queries that the plan needs, one after the other.
 pub(crate) fn send_queries(owner: &Arc<Owner>) {
-    for query in owner.with_cell(|cell| cell.take_queries()).unwrap_or_default() {
+    for query in owner.with(|cell| cell.take_queries()).unwrap_or_default() {
         async_std::task::spawn(send_query(owner.clone(), query));
     }
 }
@@ -31,15 +31,15 @@
         Some(Ok(tickets)) => {
             let outcome = format!("{} of {asked} may run it", tickets.good.len());
             let until = now + tickets.valid;
-            owner.with_cell(|cell| cell.advised(&query, tickets.good, until));
+            owner.with(|cell| cell.advised(&query, tickets.good, until));
             outcome
         }
         Some(Err(failure)) => {
-            owner.with_cell(|cell| cell.advice_missed(&query, now));
+            owner.with(|cell| cell.advice_missed(&query, now));
             failure.to_string()
         }
         None => {
-            owner.with_cell(|cell| cell.advice_missed(&query, now));
+            owner.with(|cell| cell.advice_missed(&query, now));
             "no address is set".into()
         }
     };
--- a/crates/scheduler/src/owner/supervisor.rs
+++ b/crates/scheduler/src/owner/attend.rs
@@ -84,7 +84,7 @@
 /// minions have no supervisor.
 pub(crate) async fn sync_supervisors(owner: &Arc<Owner>) -> bool {
     let wanted: Vec<MinionId> = owner
-        .with_cell(|cell| cell.minions().map(|minion| minion.id.clone()).collect())
+        .with(|cell| cell.minions().map(|minion| minion.id.clone()).collect())
         .unwrap_or_default();
     poll_restarted(owner);
     let fresh = unsupervised(owner, &wanted);
@@ -124,9 +124,7 @@
 fn poll_restarted(owner: &Owner) {
     let restarted = |minion: &&Minion| !minion.has_current_listing();
     let ids: Vec<MinionId> = owner
-        .with_cell(|cell| {
-            cell.minions().filter(restarted).map(|minion| minion.id.clone()).collect()
-        })
+        .with(|cell| cell.minions().filter(restarted).map(|minion| minion.id.clone()).collect())
         .unwrap_or_default();
     let supervisors = owner.supervisors.lock();
     ids.iter()
@@ -202,7 +200,7 @@
         return None;
     }
     let state = || {
-        owner.with_cell(|cell| {
+        owner.with(|cell| {
             cell.minion(id).map(|minion| {
                 let ended = !minion.listed && minion.is_empty() && !minion.has_unkept();
                 let fresh = !minion.answered;
@@ -239,7 +237,7 @@
 /// The incarnation of the minion, and the number up to which its ended runs can be acknowledged.
 fn acknowledgement(owner: &Owner, supervisor: &Supervisor) -> Option<(Option<Incarnation>, u64)> {
     let read = |minion: &Minion| (minion.incarnation, minion.acknowledged());
-    owner.with_cell(|cell| cell.minion(&supervisor.target.id).map(read)).flatten()
+    owner.with(|cell| cell.minion(&supervisor.target.id).map(read)).flatten()
 }
 
 /// Polls, and again at once if there was no answer; true if the minion answered.
@@ -300,7 +298,7 @@
     match answer {
         Ok(Reply::Done(report, clock_ms)) => {
             let is_outdated = |minion: &Minion| minion.is_outdated(report.incarnation);
-            if owner.with_cell(|cell| cell.minion(id).is_some_and(is_outdated)) == Some(true) {
+            if owner.with(|cell| cell.minion(id).is_some_and(is_outdated)) == Some(true) {
                 return Ok(());
             }
             update_clock(owner, supervisor, clock_ms, sent);
@@ -325,7 +323,7 @@
     let known = (*supervisor.clock.lock())?;
     let term_ms = owner.node.settings.run_lease.0.as_millis() as u64;
     let deadline_ms = known.now_ms(clock::now()) + term_ms;
-    owner.with_cell(|cell| cell.promise(&supervisor.target.id, known.passes(deadline_ms)));
+    owner.with(|cell| cell.promise(&supervisor.target.id, known.passes(deadline_ms)));
     Some(deadline_ms)
 }
 
@@ -339,15 +337,14 @@
     let is_reset = former.is_some_and(|former| former.is_reset(clock_ms, sent));
     if is_reset {
         let until = now + lease::max_duration(owner.node.settings.lease_limit.0);
-        owner.with_cell(|cell| cell.promise(&supervisor.target.id, until));
+        owner.with(|cell| cell.promise(&supervisor.target.id, until));
     }
     !is_reset
 }
 
 fn apply_report(owner: &Arc<Owner>, id: &MinionId, report: &Report, sent: Time) {
-    let before =
-        owner.with_cell(|cell| cell.minion(id).map(|minion| minion.is_reachable())).flatten();
-    let orders = owner.with_cell(|cell| cell.report(id, report, sent, clock::now()));
+    let before = owner.with(|cell| cell.minion(id).map(|minion| minion.is_reachable())).flatten();
+    let orders = owner.with(|cell| cell.report(id, report, sent, clock::now()));
     if before == Some(false) {
         let incarnation = report.incarnation.map_or(0, |incarnation| incarnation.0);
         owner.node.journal.info(
@@ -362,7 +359,7 @@
 fn record_missed_poll(owner: &Owner, id: &MinionId, reason: &dyn std::fmt::Display) {
     owner.node.metrics.count(Counter::HoldsMissed);
     owner.node.journal.warn("minion_missed", &[("minion", id), ("reason", reason)]);
-    owner.with_cell(|cell| cell.missed(id, clock::now()));
+    owner.with(|cell| cell.missed(id, clock::now()));
     owner.plan_wake.wake();
 }
 
@@ -374,10 +371,9 @@
     }
     let id = &supervisor.target.id;
     owner.node.journal.warn("minion_over", &[("minion", id)]);
-    let incarnation =
-        owner.with_cell(|cell| cell.minion(id).map(Minion::known_incarnation)).flatten();
+    let incarnation = owner.with(|cell| cell.minion(id).map(Minion::known_incarnation)).flatten();
     owner.terminated_minions.lock().insert(id.clone(), incarnation.flatten());
-    owner.with_cell(|cell| cell.bury(id, clock::now()));
+    owner.with(|cell| cell.bury(id, clock::now()));
     owner.plan_wake.wake();
 }
 
@@ -401,7 +397,7 @@
                     );
                 }
                 let id = &supervisor.target.id;
-                owner.with_cell(|cell| cell.start_result(id, &task, run, result, clock::now()));
+                owner.with(|cell| cell.start_result(id, &task, run, result, clock::now()));
                 if result == StartResult::Unknown {
                     poll_now(&owner, &supervisor).await;
                 }
@@ -420,7 +416,7 @@
                 let token = owner.token;
                 let paced = client.pace(to, &task, run, percent, token, ORDER_TIMEOUT).await;
                 if !matches!(paced, Ok(Reply::Done(..))) {
-                    owner.with_cell(|cell| cell.pace_missed(&to.id, &task, run));
+                    owner.with(|cell| cell.pace_missed(&to.id, &task, run));
                 }
             }
             Order::Stop { task, run, .. } => {
@@ -429,7 +425,7 @@
                 match answer {
                     Ok(Reply::Done(..)) => {
                         let now = clock::now();
-                        owner.with_cell(|cell| cell.stop_confirmed(&to.id, &task, run, now));
+                        owner.with(|cell| cell.stop_confirmed(&to.id, &task, run, now));
                         poll_now(&owner, &supervisor).await;
                     }
                     Ok(Reply::OtherLife) => mark_terminated(&owner, &supervisor),
@@ -492,7 +488,7 @@
         Err(Failure::NotSent { .. } | Failure::Unanswered { .. }) => {
             // Silence at an address that the minion has left says nothing about the minion.
             if supervisor.is_current(owner) {
-                owner.with_cell(|cell| cell.missed(&to.id, clock::now()));
+                owner.with(|cell| cell.missed(&to.id, clock::now()));
             }
             StartResult::Refused(Refusal::Unhealthy)
         }
--- a/crates/scheduler/src/owner/load.rs
+++ b/crates/scheduler/src/owner/load.rs
@@ -172,11 +172,11 @@
 pub(crate) async fn mark_terminated_until_settled(owner: Arc<Owner>) {
     let mut interval = MIN_TERMINATED_CHECK_INTERVAL;
     while owner.pause(interval).await {
-        if owner.with_cell(|cell| cell.is_settled(clock::now())).unwrap_or(true) {
+        if owner.with(|cell| cell.is_settled(clock::now())).unwrap_or(true) {
             return;
         }
         let (over, machines) = find_terminated_minions(&owner).await;
-        owner.with_cell(|cell| mark_terminated(cell, over));
+        owner.with(|cell| mark_terminated(cell, over));
         let cells = owner.node.view.read().holdings.len();
         let reads = cells * machines.div_ceil(MACHINES_PER_PAGE);
         interval = MIN_TERMINATED_CHECK_INTERVAL.max(INTERVAL_PER_LIST_READ * reads as u32);
--- a/crates/scheduler/src/owner/notes.rs
+++ b/crates/scheduler/src/owner/notes.rs
@@ -8,7 +8,7 @@
 /// Logs each decision that the cell has recorded since the last call.
 pub(crate) fn log_all(owner: &Owner) {
     let (journal, now) = (&owner.node.journal, clock::now());
-    for note in owner.with_cell(|cell| cell.take_notes()).unwrap_or_default() {
+    for note in owner.with(|cell| cell.take_notes()).unwrap_or_default() {
         match &note {
             Note::Ended { minion, end } => journal.info(
                 "run_ended",
--- a/crates/scheduler/src/owner/persist.rs
+++ b/crates/scheduler/src/owner/persist.rs
@@ -32,7 +32,7 @@
     let mut expired_at = clock::now();
     while !owner.is_stopped() {
         owner.persist_wake.wait(Duration::from_millis(500)).await;
-        let Some(unkept) = owner.with_cell(|cell| cell.has_unkept()) else { continue };
+        let Some(unkept) = owner.with(|cell| cell.has_unkept()) else { continue };
         if unkept {
             wait_for_batch(&owner).await;
             persist_all(&owner).await;
@@ -48,7 +48,7 @@
     let began = clock::now();
     while clock::now().since(began) < BATCH_WINDOW {
         owner.pause(URGENT_BATCH_WINDOW).await;
-        let urgent = owner.with_cell(|cell| cell.is_keeping_urgent()).unwrap_or(false);
+        let urgent = owner.with(|cell| cell.is_keeping_urgent()).unwrap_or(false);
         if urgent || owner.is_stopped() {
             return;
         }
@@ -64,9 +64,7 @@
     loop {
         {
             let mut ledger = owner.ledger.lock().await;
-            let Some(Some(batch)) = owner.with_cell(|cell| cell.unkept(MAX_ROWS)) else {
-                return true;
-            };
+            let Some(Some(batch)) = owner.with(|cell| cell.unkept(MAX_ROWS)) else { return true };
             if owner.is_stopped() {
                 return false;
             }
@@ -126,10 +124,10 @@
 }
 
 fn finish_batch(owner: &Owner, batch: &Batch) {
-    owner.with_cell(|cell| cell.kept(batch));
+    owner.with(|cell| cell.kept(batch));
     for (id, change, progress) in &batch.rows {
         if let Some(outcome) = progress.outcome {
-            let age = owner.with_cell(|cell| cell.job(id).map(|job| clock::now().since(job.since)));
+            let age = owner.with(|cell| cell.job(id).map(|job| clock::now().since(job.since)));
             owner.node.metrics.time(Timing::Job, age.flatten().unwrap_or_default());
             let service = &owner.service;
             owner.node.journal.info(
@@ -147,7 +145,7 @@
 }
 
 async fn drop_expired(owner: &Owner) {
-    let expired = owner.with_cell(|cell| cell.expire(clock::now())).unwrap_or_default();
+    let expired = owner.with(|cell| cell.expire(clock::now())).unwrap_or_default();
     for chunk in expired.chunks(MAX_ROWS / 3) {
         let drops = chunk
             .iter()
--- a/crates/scheduler/src/owner/quota.rs
+++ b/crates/scheduler/src/owner/quota.rs
@@ -23,7 +23,7 @@
 
 /// Follows the splits while any workspace has a limit, until the cell is lost.
 pub(crate) async fn follow_splits(owner: Arc<Owner>) {
-    while !owner.with_cell(|cell| cell.has_limits()).unwrap_or(false) {
+    while !owner.with(|cell| cell.has_limits()).unwrap_or(false) {
         if !owner.pause(LIMIT_CHECK_INTERVAL).await {
             return;
         }
@@ -55,14 +55,14 @@
     }
 
     fn taken(&self) {
-        self.0.with_cell(|cell| cell.confirm_splits(clock::now()));
+        self.0.with(|cell| cell.confirm_splits(clock::now()));
     }
 }
 
 fn apply_splits(owner: &Owner, rows: &[Row]) {
     let splits: Vec<(Box<str>, u64, Split)> =
         rows.iter().filter_map(|row| decode_split(owner, row)).collect();
-    owner.with_cell(|cell| cell.take_splits(splits, clock::now()));
+    owner.with(|cell| cell.take_splits(splits, clock::now()));
     owner.plan_wake.wake();
 }
 
@@ -88,7 +88,7 @@
     if owner.writing_shares.swap(true, Ordering::SeqCst) {
         return;
     }
-    let changes = owner.with_cell(|cell| cell.split_changes(clock::now())).unwrap_or_default();
+    let changes = owner.with(|cell| cell.split_changes(clock::now())).unwrap_or_default();
     if changes.is_empty() {
         owner.writing_shares.store(false, Ordering::SeqCst);
         return;
@@ -113,15 +113,15 @@
     let now = clock::now();
     match &outcome {
         Ok(version) => {
-            owner.with_cell(|cell| cell.splits_written(changes, *version, now));
+            owner.with(|cell| cell.splits_written(changes, *version, now));
         }
         Err(Error::Conflict { rows }) => {
             owner.node.metrics.count(Counter::ShareConflicts);
-            owner.with_cell(|cell| cell.splits_refused(changes));
+            owner.with(|cell| cell.splits_refused(changes));
             apply_splits(owner, rows);
         }
         Err(Error::Refused { .. } | Error::HistoryGone) => {
-            owner.with_cell(|cell| cell.splits_refused(changes));
+            owner.with(|cell| cell.splits_refused(changes));
         }
         // It may still be committed, and until the row has changed the smaller size counts.
         Err(Error::Unanswered { .. } | Error::Unreadable { .. }) => {}
