--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -32,7 +32,7 @@
                 &[
                     "every_fault_at_every_call_with_minions_that_keep_their_ids",
                     "several_faults_with_minions_that_keep_their_ids",
-                    "a_worker_restarted_under_its_id_runs_nothing_twice",
+                    "a_worker_that_starts_again_under_its_id_runs_nothing_twice",
                 ],
             ),
             (
@@ -203,10 +203,7 @@
             ("a cancelled job", &["a_cancelled_job_ends_and_stays_cancelled"]),
             ("a hopeless job", &["a_job_that_always_fails_is_shown_as_failed"]),
             ("history forgotten", &["a_lost_feed_history_is_recovered_by_rereading"]),
-            (
-                "the store is a hundred times slower",
-                &["a_burst_is_accepted_while_the_store_is_slow"],
-            ),
+            ("the store is a hundred times slower", &["a_slow_store_takes_in_a_burst"]),
             (
                 "the store is away for a time",
                 &[
@@ -270,7 +267,7 @@
             (
                 "an overdue write is looked for before it is sent again",
                 "scheduler::confirm::commit",
-                "a_burst_is_accepted_while_the_store_is_slow",
+                "a_slow_store_takes_in_a_burst",
             ),
             (
                 "a write is lost only by the measure of a read",
@@ -461,10 +458,7 @@
                 "the store away for longer than a term",
                 &["an_outage_of_the_store_is_nobodys_silence"],
             ),
-            (
-                "the store is a hundred times slower",
-                &["owners_keep_their_cells_while_the_store_is_slow"],
-            ),
+            ("the store is a hundred times slower", &["a_slow_store_keeps_its_owners_at_work"]),
             ("a holder that renews at the last moment, over the store", NOT),
         ],
         guards: &[
--- a/tests/all/site/jobs.rs
+++ b/tests/all/site/jobs.rs
@@ -58,7 +58,7 @@
 /// owner.  The caller's next request with the same id has other content, finds the row, and is the
 /// first to notify the owner.
 #[async_std::test]
-async fn the_owner_runs_the_stored_job_and_not_a_later_submission() {
+async fn the_owner_runs_what_is_stored_and_not_what_came_second() {
     let mut deployment = Deployment::start("second", 3, 2).await;
     let owner = deployment.owner().unwrap();
     let others: Vec<usize> = (0..3).filter(|index| *index != owner).collect();
--- a/tests/all/site/loss.rs
+++ b/tests/all/site/loss.rs
@@ -198,7 +198,7 @@
 
 /// Guards against repeated runs and jobs that never end after workers restart under the same id.
 #[async_std::test]
-async fn a_worker_restarted_under_its_id_runs_nothing_twice() {
+async fn a_worker_that_starts_again_under_its_id_runs_nothing_twice() {
     let mut deployment = Deployment::start("restart", 2, 2).await;
     let mut answers = BTreeMap::new();
     for number in 100..110 {
--- a/tests/all/site/store.rs
+++ b/tests/all/site/store.rs
@@ -75,7 +75,7 @@
 /// is slow.  Each unanswered write was sent again and each copy queued in its partition, until no
 /// write was answered in time for its caller.
 #[async_std::test]
-async fn a_burst_is_accepted_while_the_store_is_slow() {
+async fn a_slow_store_takes_in_a_burst() {
     const JOBS: u32 = 60;
     /// Each partition gets two of the jobs, and executes two and a half in this time.
     const SUBMIT_INTERVAL: Duration = Duration::from_millis(40);
@@ -106,7 +106,7 @@
 /// Renewals that timed out and were sent again queued several times in the cell's partition, so
 /// that none was answered before the last one was too old to permit starts.
 #[async_std::test]
-async fn owners_keep_their_cells_while_the_store_is_slow() {
+async fn a_slow_store_keeps_its_owners_at_work() {
     let deployment = Deployment::start("store-slow-owner", 2, 2).await;
     let owner = deployment.owner();
     deployment.site.store.trouble(Trouble::Slow);
