--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -152,7 +152,7 @@
     }
 }
 
-/// Checks the ownership of all cells periodically: takes over those that are due to this entry, and
+/// Checks the ownership of all cells periodically: takes over those assigned to this entry, and
 /// stops owning those that it no longer holds.
 pub(crate) async fn check_ownership_forever(node: Arc<Node>) {
     while node.pause(OWNERSHIP_CHECK_INTERVAL).await {
--- a/crates/scheduler/src/owner/attend.rs
+++ b/crates/scheduler/src/owner/attend.rs
@@ -24,7 +24,7 @@
 
 /// How long a poll waits for a run to end while something runs.  It bounds the age of the reported
 /// progress.
-const POLL_WAIT: Duration = Duration::from_millis(1000);
+const MAX_POLL_WAIT: Duration = Duration::from_millis(1000);
 
 /// Shortest time between two polls of a minion on which nothing runs.
 const MIN_IDLE_POLL_INTERVAL: Duration = Duration::from_millis(1500);
@@ -229,7 +229,7 @@
         return None;
     }
     let (_, busy, fresh, unkept, _) = state()??;
-    let wait = if busy && !fresh && !unkept { POLL_WAIT } else { Duration::ZERO };
+    let wait = if busy && !fresh && !unkept { MAX_POLL_WAIT } else { Duration::ZERO };
     let (incarnation, acknowledged) = acknowledgement(owner, supervisor)?;
     Some(Poll { acknowledged, incarnation, wait })
 }
--- a/crates/scheduler/src/owner/persist.rs
+++ b/crates/scheduler/src/owner/persist.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Jobs of one transaction.  A transaction takes a hundred rows, one of them the ledger.
+/// Jobs of one transaction.  A transaction takes a hundred items, one of them the ledger.
 const MAX_ROWS: usize = 90;
 
 /// Collects ended runs for one transaction.  Every transaction costs a call to the store, and ended
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -34,7 +34,7 @@
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long a peer is not asked after an unanswered question.
-const BACKOFF: Duration = Duration::from_millis(1500);
+const UNANSWERED_BACKOFF: Duration = Duration::from_millis(1500);
 
 /// Why a peer gave no answer.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
@@ -126,7 +126,10 @@
     }
 
     fn has_backoff(&self, address: SocketAddr) -> bool {
-        self.backing_off.lock().get(&address).is_some_and(|since| since.elapsed() < BACKOFF)
+        self.backing_off
+            .lock()
+            .get(&address)
+            .is_some_and(|since| since.elapsed() < UNANSWERED_BACKOFF)
     }
 
     /// Asks a peer.
--- a/tests/all/site/loss.rs
+++ b/tests/all/site/loss.rs
@@ -218,7 +218,7 @@
 async fn a_terminated_worker_is_used_again_after_a_restart_under_its_id() {
     let mut deployment = Deployment::start("back", 2, 1).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "crash").await, 200);
-    eventually("the worker is known to be over", async || {
+    eventually("the worker is known to have terminated", async || {
         deployment.entries.iter().any(|entry| entry.noted("minion_over")).then_some(())
     })
     .await;
