--- a/crates/scheduler/src/confirm.rs
+++ b/crates/scheduler/src/confirm.rs
@@ -67,7 +67,7 @@
                 }
                 let now = clock::now();
                 if is_lost(now.since(began), now.since(asked)) {
-                    return Err(unanswered_error("a read did not find the row".into()));
+                    return Err(unanswered_error("a read does not show the row".into()));
                 }
             }
         }
--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -54,7 +54,7 @@
             .name("journal".into())
             .stack_size(64 * 1024)
             .spawn(move || write_lines(&receiver))
-            .expect("failed to start the journal thread");
+            .expect("the journal thread can be started");
         let window = Window { began: Instant::now(), budgets: HashMap::new() };
         Self { sender, window: Mutex::new(window), dropped: AtomicU64::new(0) }
     }
