--- a/crates/scheduler/src/daemon.rs
+++ b/crates/scheduler/src/daemon.rs
@@ -7,7 +7,7 @@
 use crate::journal::Journal;
 use crate::membership;
 use crate::node::Node;
-use crate::owner::keep;
+use crate::owner::persist;
 use crate::peers::{self, Peers};
 use crate::rows;
 use crate::settings::Settings;
@@ -109,7 +109,7 @@
 
     /// The id of this process: the instance's name with a random suffix.
     pub fn id(&self) -> &str {
-        &self.node.me
+        &self.node.entry_id
     }
 
     /// The address at which callers reach it.
@@ -151,24 +151,24 @@
         let node = &self.node;
         let began = clock::now();
         let bound = node.settings.stop_bound.0.saturating_sub(PROCESS_EXIT_MARGIN);
-        node.journal.note("stopping", &[("entry", &node.me)]);
+        node.journal.info("stopping", &[("entry", &node.entry_id)]);
         node.stopping.store(true, Ordering::SeqCst);
         drop(self.closing);
         // While the store is unavailable the handover never completes.  Without a timeout the
         // process would be killed with callers' requests in flight.
         if timeout(bound / 2, hand_over_cells(node)).await.is_err() {
-            node.journal.warn("handover_incomplete", &[("entry", &node.me)]);
+            node.journal.warn("handover_incomplete", &[("entry", &node.entry_id)]);
         }
         node.owners.read().values().for_each(|owner| owner.stop());
         let remaining = |limit: Duration| limit.saturating_sub(clock::now().since(began));
         async_std::task::sleep(remaining(BALANCER_DRAIN_TIME.min(bound))).await;
-        while node.flying.load(Ordering::SeqCst) > 0 && !remaining(bound).is_zero() {
+        while node.in_flight.load(Ordering::SeqCst) > 0 && !remaining(bound).is_zero() {
             async_std::task::sleep(STOP_POLL_INTERVAL).await;
         }
         drop(self.ended);
         async_std::task::sleep(STOP_POLL_INTERVAL * 2).await;
         node.peers.close();
-        node.journal.note("stopped", &[("unanswered", &node.flying.load(Ordering::SeqCst))]);
+        node.journal.info("stopped", &[("unanswered", &node.in_flight.load(Ordering::SeqCst))]);
         drop(self.stop);
         // Lets the journal's thread write the last line.
         async_std::task::sleep(STOP_POLL_INTERVAL).await;
@@ -181,14 +181,14 @@
     loop {
         let held: Vec<String> = {
             let view = node.view.read();
-            let mine = view.holdings.iter().filter(|(_, holding)| holding.holder == node.me);
+            let mine = view.holdings.iter().filter(|(_, holding)| holding.holder == node.entry_id);
             mine.map(|(cell, _)| cell.clone()).collect()
         };
         let mut incomplete = false;
         for cell in held {
             let owner = node.owner(&cell);
             if let Some(owner) = &owner {
-                keep::keep_all(owner).await;
+                persist::persist_all(owner).await;
                 owner.stop();
             }
             if membership::hand_over(node, &cell).await {
@@ -248,10 +248,10 @@
             return;
         }
     }
-    membership::clear_former(&node).await;
+    membership::drop_former_entries(&node).await;
     async_std::task::spawn(membership::renew_forever(node.clone(), peer));
-    node.journal.note("joined", &[("entry", &node.me), ("peer", &peer)]);
-    membership::judge_forever(node).await;
+    node.journal.info("joined", &[("entry", &node.entry_id), ("peer", &peer)]);
+    membership::check_ownership_forever(node).await;
 }
 
 /// Issues this entry's identity with the certificate authority that the first entry created and
@@ -267,7 +267,7 @@
 }
 
 fn issue(node: &Node, authority: &Pair) -> Option<Identity> {
-    let made = authority::issue(authority, &node.me).and_then(|own| {
+    let made = authority::issue(authority, &node.entry_id).and_then(|own| {
         Identity::from_pem(
             authority.certificate.as_bytes(),
             own.certificate.as_bytes(),
@@ -286,7 +286,7 @@
 /// Reads the stored authority.  If there is none, tries to store a new one and returns none.
 async fn read_or_create_authority(node: &Node) -> Option<Pair> {
     let row = node.store.get(rows::CONTROL, "", rows::AUTHORITY_KEY, STORE_CALL_TIMEOUT).await;
-    node.store_result(&row);
+    node.record_store_result(&row);
     match row.ok()? {
         Some(row) => {
             let stored: rows::Authority = decode(&row.value).ok()?;
--- a/crates/scheduler/src/fleet.rs
+++ b/crates/scheduler/src/fleet.rs
@@ -204,7 +204,7 @@
     async fn restore(&self) -> bool {
         let node = self.node();
         let rows = node.store.all(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_TIMEOUT).await;
-        node.store_result(&rows);
+        node.record_store_result(&rows);
         let Ok(rows) = rows else { return false };
         for row in &rows.rows {
             if let Some(machine) = row.key.strip_prefix(rows::EMPTYING_PREFIX) {
@@ -229,7 +229,7 @@
 
     /// The holder and fencing token that orders carry.
     pub(crate) fn authority(&self) -> Authority {
-        Authority { holder: self.node().me.clone(), token: self.owner.token }
+        Authority { holder: self.node().entry_id.clone(), token: self.owner.token }
     }
 }
 
--- a/crates/scheduler/src/fleet/emptying.rs
+++ b/crates/scheduler/src/fleet/emptying.rs
@@ -69,7 +69,7 @@
         let mut view = node.view.write();
         for Target { machine, minion, .. } in chunk {
             view.emptying.insert(machine.clone(), minion.clone());
-            node.journal.note("machine_emptying", &[("machine", machine), ("minion", minion)]);
+            node.journal.info("machine_emptying", &[("machine", machine), ("minion", minion)]);
             written.insert(machine.clone());
         }
     }
--- a/crates/scheduler/src/fleet/maintenance.rs
+++ b/crates/scheduler/src/fleet/maintenance.rs
@@ -22,9 +22,9 @@
 pub(crate) async fn restore(controller: &Controller) -> bool {
     let node = controller.node();
     let waves = node.store.all(rows::FLEET, "", rows::WAVE_PREFIX, CALL_TIMEOUT).await;
-    node.store_result(&waves);
+    node.record_store_result(&waves);
     let begun = node.store.all(rows::FLEET, "", rows::BEGUN_PREFIX, CALL_TIMEOUT).await;
-    node.store_result(&begun);
+    node.record_store_result(&begun);
     let (Ok(waves), Ok(begun)) = (waves, begun) else { return false };
     let mut state = controller.state.lock();
     for row in &waves.rows {
@@ -220,7 +220,7 @@
     let by = controller.authority();
     let answer = controller.client.upkeep(machine, wave, &by, CALL_TIMEOUT).await;
     let (ordered, outcome) = OrderOutcome::from_answer(answer);
-    node.journal.note(
+    node.journal.info(
         "maintenance_ordered",
         &[("machine", &machine), ("wave", &wave), ("token", &by.token), ("outcome", &outcome)],
     );
@@ -280,7 +280,7 @@
     let written = node.commit(&change, CALL_TIMEOUT).await.is_ok();
     if written {
         node.journal
-            .note("wave_reported", &[("wave", &number), ("state", &format_args!("{state:?}"))]);
+            .info("wave_reported", &[("wave", &number), ("state", &format_args!("{state:?}"))]);
     }
     written
 }
@@ -303,7 +303,7 @@
             .waves
             .wave(number)
             .map_or(0, |wave| (wave.seen_ms + wave.window_ms).saturating_sub(clock::wall_ms()));
-        controller.node().journal.note(
+        controller.node().journal.info(
             "wave_progress",
             &[
                 ("wave", &number),
--- a/crates/scheduler/src/fleet/pools.rs
+++ b/crates/scheduler/src/fleet/pools.rs
@@ -33,7 +33,7 @@
 pub(crate) async fn restore(controller: &Controller) -> bool {
     let node = controller.node();
     let row = node.store.get(rows::FLEET, "", rows::TURNS_KEY, CALL_TIMEOUT).await;
-    node.store_result(&row);
+    node.record_store_result(&row);
     match row.map(|row| row.map(|row| decode::<History>(&row.value))) {
         Ok(Some(Ok(history))) => {
             let ago = Duration::from_millis(clock::wall_ms().saturating_sub(history.began_ms));
@@ -51,7 +51,7 @@
 /// Stores the turns for the next holder.
 async fn save_turns(node: &Node, history: &History) {
     let pool = history.turns.last().map(String::as_str).unwrap_or_default();
-    node.journal.note("turn_began", &[("pool", &pool), ("turns", &history.turns.len())]);
+    node.journal.info("turn_began", &[("pool", &pool), ("turns", &history.turns.len())]);
     let name = Name::new(rows::FLEET, "", rows::TURNS_KEY);
     let change = Transaction { writes: vec![(name, encode(history))], ..Transaction::default() };
     // If this is lost, the next holder lacks one turn until it has observed it itself.
@@ -200,7 +200,7 @@
     let answer = controller.client.change_pool(&plan.machine, &plan.to, &by, CALL_TIMEOUT).await;
     let (ordered, outcome) = OrderOutcome::from_answer(answer);
     let waited = clock::now().since(plan.since);
-    node.journal.note(
+    node.journal.info(
         "move_ordered",
         &[
             ("machine", &plan.machine),
@@ -234,7 +234,7 @@
     for plan in overdue {
         let mut state = controller.state.lock();
         state.pools.abandon(&plan.machine);
-        node.journal.note("move_given_up", &[("machine", &plan.machine), ("to", &plan.to)]);
+        node.journal.info("move_given_up", &[("machine", &plan.machine), ("to", &plan.to)]);
         // A machine that may have been ordered keeps its row for the lease.
         if !state.has_recent_order(&plan.machine) {
             rows.push(plan.machine.clone());
@@ -253,7 +253,7 @@
         if !limiter.record_change(pool.clone(), balance) {
             continue;
         }
-        controller.node().journal.note(
+        controller.node().journal.info(
             "pool_balance",
             &[
                 ("pool", &pool),
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -78,10 +78,10 @@
         let idle_batch_delay = table.idle_batch_delay.saturating_sub(table.batch_delay);
         // A table without an idle delay must not consume the wake-up meant for the others.
         if !idle_batch_delay.is_zero() && node.owners.read().is_empty() {
-            node.owning.wait(idle_batch_delay).await;
+            node.cell_acquired.wait(idle_batch_delay).await;
         }
         let result = node.store.feed(table.name, *version, table.max_wait).await;
-        node.store_result(&result);
+        node.record_store_result(&result);
         match result {
             Ok(page) => {
                 sink.read_answered();
@@ -130,7 +130,7 @@
         } else {
             node.store.all(table.name, "", "", READ_TIMEOUT).await
         };
-        node.store_result(&result);
+        node.record_store_result(&result);
         if let Ok(page) = result {
             sink.read_answered();
             note_unreadable(node, table, &page);
@@ -172,7 +172,7 @@
         match Wave::decode(&row.value) {
             _ if row.dropped => {}
             Some(wave) => {
-                node.journal.note(
+                node.journal.info(
                     "wave_seen",
                     &[
                         ("wave", &wave.number),
@@ -219,7 +219,7 @@
             }
             let known = node.minions.write().remove(&id).is_some();
             if known {
-                node.journal.note("minion_gone", &[("minion", &id), ("version", &row.version)]);
+                node.journal.info("minion_gone", &[("minion", &id), ("version", &row.version)]);
             }
             return known;
         };
@@ -238,7 +238,7 @@
         if !is_logged {
             let event = if draining { "minion_draining" } else { "minion_seen" };
             let incarnation = incarnation.map_or(0, |incarnation| incarnation.0);
-            node.journal.note(
+            node.journal.info(
                 event,
                 &[
                     ("minion", &id),
@@ -253,7 +253,7 @@
 
     fn notify_owners(&self) {
         for owner in self.0.owners.read().values() {
-            owner.minions_changed();
+            owner.notify_minions_changed();
         }
     }
 }
--- a/crates/scheduler/src/front.rs
+++ b/crates/scheduler/src/front.rs
@@ -3,7 +3,7 @@
 use crate::clock;
 use crate::metrics::{Counter, Timing};
 use crate::node::Node;
-use crate::owner::load::read_progress;
+use crate::owner::load::decode_progress;
 use crate::peers;
 use crate::rows;
 use crate::submit::{self, Job, WriteOutcome};
@@ -47,14 +47,14 @@
 
 impl<'a> InFlight<'a> {
     fn new(node: &'a Node) -> Self {
-        node.flying.fetch_add(1, Ordering::SeqCst);
+        node.in_flight.fetch_add(1, Ordering::SeqCst);
         Self(node)
     }
 }
 
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
-        self.0.flying.fetch_sub(1, Ordering::SeqCst);
+        self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
@@ -104,7 +104,8 @@
 
     fn readiness(&self) -> Response {
         let node = &self.node;
-        let ready = node.configuration().is_some() && !node.is_store_away() && !node.is_stopping();
+        let ready =
+            node.configuration().is_some() && !node.is_outage_ongoing() && !node.is_stopping();
         status_response(if ready { StatusCode::Ok } else { StatusCode::ServiceUnavailable })
     }
 
@@ -178,7 +179,7 @@
         let request = last_value(head, submission::REQUEST_HEADER).unwrap_or("-");
         let age_ms = self.node.in_force.age().as_millis();
         let job = head.url().path()[queue.path.len()..].to_owned();
-        self.node.journal.note(
+        self.node.journal.info(
             "key_refused",
             &[
                 ("job", &job),
@@ -199,7 +200,7 @@
     fn refuse_unconfirmed(&self, head: &http_types::Request, queue: &Queue) -> Response {
         let request = last_value(head, submission::REQUEST_HEADER).unwrap_or("-");
         let age_ms = self.node.in_force.age().as_millis();
-        self.node.journal.note(
+        self.node.journal.info(
             "keys_unconfirmed",
             &[("request", &request), ("queue", &queue.name), ("configuration_age_ms", &age_ms)],
         );
@@ -256,7 +257,7 @@
             WriteOutcome::Refused(error) => error.to_string(),
             _ => String::new(),
         };
-        node.journal.note(
+        node.journal.info(
             event,
             &[
                 ("job", &id),
@@ -295,7 +296,7 @@
         reason: &dyn std::fmt::Display,
     ) -> Response {
         self.node.metrics.count(Counter::JobsRefused);
-        self.node.journal.note(
+        self.node.journal.info(
             "job_rejected",
             &[
                 ("job", &id),
@@ -328,7 +329,7 @@
         let state = match asked.await {
             Some(Answer::State(Some(state))) => Ok(Some(state)),
             // The state cannot be determined now; the caller asks again.
-            _ if self.node.is_store_away() => return unavailable_response(context.remaining()),
+            _ if self.node.is_outage_ongoing() => return unavailable_response(context.remaining()),
             // A job that the owner does not know may just have been accepted.
             _ => self.read_state(context, queue, id).await,
         };
@@ -339,7 +340,7 @@
                 response
             }
             Ok(None) => {
-                self.node.journal.note(
+                self.node.journal.info(
                     "job_not_found",
                     &[("job", &id), ("request", &context.request_id), ("queue", &queue.name)],
                 );
@@ -365,7 +366,7 @@
         let (node, service) = (&self.node, &queue.service);
         let get = async |name: celerythread_adapter::store::Name| {
             let row = node.store.get(&name.table, &name.part, &name.key, READ_TIMEOUT).await;
-            node.store_result(&row);
+            node.record_store_result(&row);
             row
         };
         let Some(job) = get(rows::job(service, &id)).await? else { return Ok(None) };
@@ -373,7 +374,7 @@
             return Ok(None);
         }
         let progress = get(rows::progress(service, &id)).await?;
-        let progress = progress.and_then(|row| read_progress(node, &row));
+        let progress = progress.and_then(|row| decode_progress(node, &row));
         if let Some(outcome) = progress.as_ref().and_then(|progress| progress.outcome) {
             return Ok(Some(outcome));
         }
@@ -390,7 +391,7 @@
         let service = &queue.service;
         let name = rows::job(service, &id);
         let row = node.store.get(&name.table, &name.part, &name.key, READ_TIMEOUT).await;
-        node.store_result(&row);
+        node.record_store_result(&row);
         match row {
             Ok(Some(row)) if self.may_access(context, id, &row.value) => {}
             Ok(_) => return status_response(StatusCode::Gone),
@@ -405,7 +406,7 @@
             let attempt = Attempt {
                 waited: clock::now().since(began),
                 left: context.remaining(),
-                silent: node.is_store_away(),
+                silent: node.is_outage_ongoing(),
                 has_peers: false,
                 unanswered: true,
             };
@@ -417,7 +418,7 @@
             }
             async_std::task::sleep(RETRY_DELAY.min(context.remaining())).await;
         };
-        node.journal.note(
+        node.journal.info(
             "job_cancelled",
             &[("job", &id), ("request", &context.request_id), ("written", &written)],
         );
@@ -458,7 +459,7 @@
     }
 
     fn refuse(&self, fault: &Fault) -> Response {
-        self.node.journal.note("request_unreadable", &[("reason", fault)]);
+        self.node.journal.info("request_unreadable", &[("reason", fault)]);
         let status = match fault {
             Fault::BodyTooLarge { .. } => StatusCode::PayloadTooLarge,
             Fault::HeadTooLarge { .. } => StatusCode::RequestHeaderFieldsTooLarge,
--- a/crates/scheduler/src/in_force.rs
+++ b/crates/scheduler/src/in_force.rs
@@ -130,7 +130,7 @@
         return;
     }
     let (version, queues) = (read.version, read.queues.len());
-    node.journal.note(
+    node.journal.info(
         "configuration_in_force",
         &[
             ("version", &version),
@@ -165,7 +165,7 @@
         if node.in_force.query_wake.wait(interval).timeout_at(node.stop.clone()).await.is_err() {
             return;
         }
-        if node.in_force.age() < PEER_QUERY_AGE && !node.may_store_be_away() {
+        if node.in_force.age() < PEER_QUERY_AGE && !node.is_outage_suspected() {
             (peer, interval) = (None, PEER_QUERY_INTERVAL);
             continue;
         }
@@ -198,8 +198,9 @@
 fn choose_peer(node: &Node) -> Option<SocketAddr> {
     let view = node.view.read();
     let others = || {
-        let rows = view.entry_rows.iter().filter(|(id, row)| **id != node.me && !row.stopping);
-        rows.map(|(_, row)| row.peer).filter(|peer| !node.peers.is_resting(*peer))
+        let rows =
+            view.entry_rows.iter().filter(|(id, row)| **id != node.entry_id && !row.stopping);
+        rows.map(|(_, row)| row.peer).filter(|peer| !node.peers.is_backing_off(*peer))
     };
     let linked = others().filter(|peer| node.peers.is_linked(*peer)).choose(&mut rand::rng());
     linked.or_else(|| others().choose(&mut rand::rng()))
--- a/crates/scheduler/src/owner.rs
+++ b/crates/scheduler/src/owner.rs
@@ -1,14 +1,15 @@
-//! The owner of a cell: takes it over, carries out the plans, keeps what must be kept.
+//! The owner of a cell: takes it over, carries out its plans, and persists its progress.
 //!
-//! [`load`] reads what was kept, [`attend`] talks to one minion, [`keep`] writes progress,
-//! [`advise`] asks for tickets, [`quota`] keeps within workspaces' limits, [`notes`] writes the log lines of what was given up.
-//! This file holds what they share, the planning loop and what others ask of the owner.
+//! [`load`] reads the stored rows, [`attend`] polls and commands one minion, [`persist`] writes
+//! progress, [`advice`] asks for tickets, [`quota`] enforces workspaces' limits, and [`notes`] logs
+//! the decisions of plans.  This file holds what they share, the planning loop, and the answers to
+//! other entries' questions.
 
-mod advise;
+mod advice;
 pub(crate) mod attend;
-pub(crate) mod keep;
 pub(crate) mod load;
 mod notes;
+pub(crate) mod persist;
 mod quota;
 
 use crate::clock;
@@ -16,7 +17,7 @@
 use crate::metrics::Counter;
 use crate::node::Node;
 use crate::rows;
-use attend::Attendant;
+use attend::Supervisor;
 use celerythread_adapter::configuration::Configuration;
 use celerythread_adapter::minion::Entry;
 use celerythread_engine::cell::{Cell, Incarnation, Order, Queue, Refusal, StartResult};
@@ -32,80 +33,79 @@
 use stop_token::future::FutureExt;
 use stop_token::{StopSource, StopToken};
 
-/// Longest time between two plans: for what only time changes, as leases that lapse.
-const PLAN_TICK: Duration = Duration::from_millis(100);
+/// Longest time between two plans, for changes that only time causes, such as leases that expire.
+const MAX_PLAN_WAIT: Duration = Duration::from_millis(100);
 
-/// Shortest time between two plans, so that ends and jobs that come together are planned
+/// Shortest time between two plans, so that ended runs and jobs that arrive together are planned
 /// together; well below what a caller notices.
-const PLAN_PAUSE: Duration = Duration::from_millis(3);
+const MIN_PLAN_PAUSE: Duration = Duration::from_millis(3);
 
-/// Times its own duration that a plan is followed by a pause.
+/// Pause after a plan, as a multiple of the plan's duration.
 ///
-/// The first plan with 5,000 jobs and 120 minions takes 15 ms of a core (the recovery bench, with the
-/// reading of their rows), so a tenth of a second on an eighth of one, and everything that happens asks
-/// for another.  Without a pause that grows with it, an overloaded owner does nothing but plan: what it
-/// goes by gets old, because nothing is left of the processor for taking in jobs, cancellations and
-/// answers.
-const PAUSE_PER_PLAN: u32 = 2;
+/// The first plan with 5,000 jobs and 120 minions takes 15 ms of a core (in the recovery bench,
+/// with the reading of their rows), so a tenth of a second on an eighth of a core, and every event
+/// requests another plan.  Without a pause that grows with the duration, an overloaded owner does
+/// nothing but plan, and its input becomes stale because no processor time is left for accepting
+/// jobs, cancellations and answers.
+const PLAN_PAUSE_FACTOR: u32 = 2;
 
-/// Longest time between two looks at whether the minions to be attended are other ones, where
-/// nothing said that they changed: a message that a minion is to be emptied counts for a time only.
-const SYNC_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest time between updates of the cell's minions when no change was reported: a message that a
+/// minion is to be emptied counts only for a time.
+const MAX_MINION_SYNC_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What became of the former owner.
+/// How the former owner ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Former {
+pub(crate) enum FormerOwner {
     /// There was none.
     None,
-    /// It gave its last order before the cell was taken.
+    /// It sent its last order before the cell was taken over.
     Stopped,
-    /// It may go on giving orders until minions refuse them, and extending leases for a time.
+    /// It may continue to send orders until minions refuse them, and to extend leases for a time.
     Silent,
 }
 
-/// Minions whose life is over, with the incarnation that ended, if known.
+/// Minions that have terminated, with the incarnation that ended, if known.
 #[derive(Default)]
-pub(crate) struct Buried(BTreeMap<Arc<str>, Option<Incarnation>>);
+pub(crate) struct TerminatedMinions(BTreeMap<Arc<str>, Option<Incarnation>>);
 
-impl Buried {
+impl TerminatedMinions {
     /// Adds a minion; false if it was already present with this incarnation.
     pub(crate) fn insert(&mut self, id: Arc<str>, incarnation: Option<Incarnation>) -> bool {
         self.0.insert(id, incarnation) != Some(incarnation)
     }
 
-    /// Whether the listed incarnation is over.  An entry without one is taken to be the former
-    /// entry.
+    /// Whether the listed incarnation has terminated.  A listing without an incarnation is assumed
+    /// to be the terminated one's.
     fn contains(&self, id: &str, listed: Option<Incarnation>) -> bool {
         self.0.get(id).is_some_and(|ended| listed.is_none() || *ended == listed)
     }
 }
 
-/// A cell in the hands of this entry.
+/// A cell that this entry owns.
 pub(crate) struct Owner {
     pub(crate) node: Arc<Node>,
-    /// The service.
     pub(crate) service: String,
-    /// The fencing token: every order carries it, and minions refuse lower ones.
+    /// Fencing token: every order carries it, and minions refuse lower ones.
     pub(crate) token: u64,
     pub(crate) generation: u32,
-    pub(crate) former: Former,
-    /// The cell, once what was kept of it is read.
+    pub(crate) former: FormerOwner,
+    /// The cell, once its stored rows are read.
     pub(crate) cell: Mutex<Option<Cell>>,
-    /// Version of the ledger's row, and the lock that keeps the owner's transactions in order.
+    /// Version of the ledger's row; the lock keeps the owner's transactions in order.
     pub(crate) ledger: async_std::sync::Mutex<u64>,
-    /// Minions that the kept roster names.
+    /// Minions that the stored roster lists.
     pub(crate) roster: Mutex<BTreeSet<Arc<str>>>,
-    pub(crate) attendants: Mutex<BTreeMap<Arc<str>, Arc<Attendant>>>,
-    /// Minions whose life is over although they may still be listed.
-    pub(crate) buried: Mutex<Buried>,
+    pub(crate) supervisors: Mutex<BTreeMap<Arc<str>, Arc<Supervisor>>>,
+    /// Minions that have terminated although they may still be listed.
+    pub(crate) terminated_minions: Mutex<TerminatedMinions>,
     pub(crate) plan_wake: Wake,
-    pub(crate) keep_wake: Wake,
+    pub(crate) persist_wake: Wake,
     /// Whether the minions, or which of them are to be emptied, may have changed since the last
-    /// plan: otherwise the listings need not be copied again.
+    /// plan.  Otherwise the listings need not be copied again.
     minions_changed: AtomicBool,
     /// Whether a change of shares is being written.
     pub(crate) writing_shares: AtomicBool,
-    source: Mutex<Option<StopSource>>,
+    stop_source: Mutex<Option<StopSource>>,
     pub(crate) stopped: StopToken,
 }
 
@@ -115,10 +115,10 @@
         service: &str,
         token: u64,
         generation: u32,
-        former: Former,
+        former: FormerOwner,
     ) -> Arc<Self> {
-        let source = StopSource::new();
-        let stopped = source.token();
+        let stop_source = StopSource::new();
+        let stopped = stop_source.token();
         Arc::new(Self {
             node,
             service: service.into(),
@@ -128,41 +128,40 @@
             cell: Mutex::new(None),
             ledger: async_std::sync::Mutex::new(0),
             roster: Mutex::default(),
-            attendants: Mutex::default(),
-            buried: Mutex::default(),
+            supervisors: Mutex::default(),
+            terminated_minions: Mutex::default(),
             plan_wake: Wake::default(),
-            keep_wake: Wake::default(),
+            persist_wake: Wake::default(),
             minions_changed: AtomicBool::new(true),
             writing_shares: AtomicBool::new(false),
-            source: Mutex::new(Some(source)),
+            stop_source: Mutex::new(Some(stop_source)),
             stopped,
         })
     }
 
-    /// Gives no more orders.
+    /// Stops sending orders, and ends the owner's tasks.
     pub(crate) fn stop(&self) {
-        self.source.lock().take();
-        self.attendants.lock().clear();
+        self.stop_source.lock().take();
+        self.supervisors.lock().clear();
         self.plan_wake.wake();
-        self.keep_wake.wake();
+        self.persist_wake.wake();
     }
 
-    /// Whether it gives no more orders.
     pub(crate) fn is_stopped(&self) -> bool {
-        self.source.lock().is_none()
+        self.stop_source.lock().is_none()
     }
 
-    /// Sleeps; tells whether the task should go on.
+    /// Sleeps; false if the owner is stopped meanwhile.
     pub(crate) async fn pause(&self, time: Duration) -> bool {
         async_std::task::sleep(time).timeout_at(self.stopped.clone()).await.is_ok()
     }
 
-    /// Works on the cell, once it is loaded.
+    /// Calls `work` with the cell; none while the cell is not loaded.
     pub(crate) fn with<T>(&self, work: impl FnOnce(&mut Cell) -> T) -> Option<T> {
         self.cell.lock().as_mut().map(work)
     }
 
-    /// Takes the queues of a configuration.
+    /// Applies the queues and the workspaces' limits of a configuration.
     pub(crate) fn configure(&self, configuration: &Configuration) {
         let mine = configuration.queues.iter().filter(|queue| queue.service == self.service);
         let queues = mine.map(|queue| {
@@ -185,8 +184,8 @@
         self.plan_wake.wake();
     }
 
-    /// Takes in an accepted job.
-    pub(crate) fn accept(&self, id: Id, row: &[u8]) {
+    /// Adds an accepted job to the cell.
+    pub(crate) fn add_job(&self, id: Id, row: &[u8]) {
         let accepted = match Accepted::decode(row) {
             Ok(accepted) => accepted,
             Err(error) => {
@@ -194,42 +193,42 @@
                 return;
             }
         };
-        let age = Duration::from_millis(clock::wall_ms().saturating_sub(accepted.at_ms));
+        let job_age = Duration::from_millis(clock::wall_ms().saturating_sub(accepted.at_ms));
         let now = clock::now();
-        let added = self.with(|cell| cell.add_job(id, accepted, None, false, age, now));
+        let added = self.with(|cell| cell.add_job(id, accepted, None, false, job_age, now));
         if added == Some(true) {
-            self.node.journal.note(
+            self.node.journal.info(
                 "job_known",
-                &[("job", &id), ("service", &self.service), ("age_ms", &age.as_millis())],
+                &[("job", &id), ("service", &self.service), ("age_ms", &job_age.as_millis())],
             );
             self.plan_wake.wake();
         }
     }
 
-    /// Takes in a cancellation.
-    pub(crate) fn cancel(&self, id: Id) {
+    pub(crate) fn cancel_job(&self, id: Id) {
         self.with(|cell| cell.cancel(&id, clock::now()));
         self.plan_wake.wake();
     }
 
-    /// Answers another entry, or this one's own front; none while the cell is not loaded.
+    /// Answers a question of another entry or of this entry's own front; none while the cell is not
+    /// loaded.
     pub(crate) fn answer(&self, question: &Question) -> Option<Answer> {
         if self.is_stopped() || self.cell.lock().is_none() {
             return None;
         }
         match question {
             Question::Accepted { id, row, .. } => {
-                self.accept(*id, row);
+                self.add_job(*id, row);
                 Some(Answer::Noted)
             }
             Question::Cancelled { id, .. } => {
-                self.cancel(*id);
+                self.cancel_job(*id);
                 Some(Answer::Noted)
             }
             Question::State { id, origin, .. } => {
                 self.with(|cell| Answer::State(cell.state_for(id, origin)))
             }
-            // Any entry can do that; it isn't the owner's.
+            // Any entry answers these, not only the owner.
             Question::Submit { .. } | Question::Configuration { .. } => None,
             Question::Load { .. } => self.with(|cell| Answer::Load(cell.load(clock::now()))),
             Question::Release { machines, .. } => {
@@ -245,23 +244,22 @@
         }
     }
 
-    /// Notes that the minions as they are listed, or which of them are to be emptied, may have
-    /// changed.
-    pub(crate) fn minions_changed(&self) {
+    /// Records that the listed minions, or which of them are to be emptied, may have changed.
+    pub(crate) fn notify_minions_changed(&self) {
         self.minions_changed.store(true, Ordering::SeqCst);
         self.plan_wake.wake();
     }
 
-    /// Brings the cell's minions in line with the platform's list and the machines that are to
-    /// be emptied.
+    /// Updates the cell's minions from the platform's list and the machines that are to be emptied.
     fn sync_minions(&self) {
         let view = self.node.view.read();
         let minions = self.node.minions.read();
-        let buried = self.buried.lock();
-        let is_buried = |id: &str, entry: &Entry| buried.contains(id, entry.listing.incarnation);
+        let terminated_minions = self.terminated_minions.lock();
+        let has_terminated =
+            |id: &str, entry: &Entry| terminated_minions.contains(id, entry.listing.incarnation);
         let mine = minions
             .iter()
-            .filter(|(id, entry)| entry.service == self.service && !is_buried(id, entry));
+            .filter(|(id, entry)| entry.service == self.service && !has_terminated(id, entry));
         self.with(|cell| {
             let known: Vec<Arc<str>> = cell.minions().map(|minion| minion.id.clone()).collect();
             for (id, entry) in mine {
@@ -281,20 +279,20 @@
     }
 }
 
-/// Starts working on a cell that this entry holds.
+/// Starts the tasks of an owner.
 pub(crate) fn start(owner: Arc<Owner>) {
     if owner.service == rows::FLEET_CELL {
         async_std::task::spawn(fleet::run(owner));
     } else {
-        async_std::task::spawn(run(owner));
+        async_std::task::spawn(run_owner(owner));
     }
 }
 
-async fn run(owner: Arc<Owner>) {
+async fn run_owner(owner: Arc<Owner>) {
     let Some(version) = load::take_over(&owner).await else { return };
     async_std::task::spawn(load::follow_jobs(owner.clone(), version));
-    async_std::task::spawn(load::bury_until_settled(owner.clone()));
-    async_std::task::spawn(keep::keep_forever(owner.clone()));
+    async_std::task::spawn(load::mark_terminated_until_settled(owner.clone()));
+    async_std::task::spawn(persist::persist_forever(owner.clone()));
     async_std::task::spawn(quota::follow_splits(owner.clone()));
     plan_forever(owner).await;
 }
@@ -304,48 +302,49 @@
     while !owner.is_stopped() {
         let began = clock::now();
         let changed = owner.minions_changed.swap(false, Ordering::SeqCst);
-        if changed || synced.is_none_or(|at| began.since(at) >= SYNC_INTERVAL) {
+        if changed || synced.is_none_or(|at| began.since(at) >= MAX_MINION_SYNC_INTERVAL) {
             synced = Some(began);
             owner.sync_minions();
-            if !attend::sync(&owner).await {
-                // Tried again with the next plan.
+            if !attend::sync_supervisors(&owner).await {
+                // Retried with the next plan.
                 owner.minions_changed.store(true, Ordering::SeqCst);
             }
         }
         let began = clock::now();
         // An owner that may have been replaced starts and stops nothing.
-        if owner.node.may_extend() {
+        if owner.node.may_extend_leases() {
             let now = clock::now();
             let permit = owner.node.permit();
             let plan = |cell: &mut Cell| cell.plan(now, clock::wall_ms(), permit);
             let orders = owner.with(plan).unwrap_or_default();
             dispatch(&owner, orders);
-            notes::write(&owner);
-            advise::ask(&owner);
+            notes::log_all(&owner);
+            advice::send_queries(&owner);
             quota::write_shares(&owner);
             if owner.with(|cell| cell.has_unpersisted()).unwrap_or(false) {
-                owner.keep_wake.wake();
+                owner.persist_wake.wake();
             }
         }
         let took = clock::now().since(began);
-        if !owner.pause(PLAN_PAUSE.max(took * PAUSE_PER_PLAN)).await {
+        if !owner.pause(MIN_PLAN_PAUSE.max(took * PLAN_PAUSE_FACTOR)).await {
             return;
         }
-        owner.plan_wake.wait(PLAN_TICK).await;
+        owner.plan_wake.wait(MAX_PLAN_WAIT).await;
     }
 }
 
-/// The age of a job, and of what is known of a minion.
+/// Age of a job, and of the last report of a minion.
 fn ages(cell: &Cell, job: &Id, minion: &str) -> (Duration, Duration) {
     let now = clock::now();
-    let age = cell.job(job).map(|job| now.since(job.accepted_at)).unwrap_or_default();
-    let look = cell.minion(minion).map(|minion| now.since(minion.reported_at)).unwrap_or_default();
-    (age, look)
+    let job_age = cell.job(job).map(|job| now.since(job.accepted_at)).unwrap_or_default();
+    let report_age =
+        cell.minion(minion).map(|minion| now.since(minion.reported_at)).unwrap_or_default();
+    (job_age, report_age)
 }
 
-/// Hands orders to the minions' attendants.
+/// Passes orders to the minions' supervisors.
 pub(crate) fn dispatch(owner: &Owner, orders: Vec<Order>) {
-    let attendants = owner.attendants.lock();
+    let supervisors = owner.supervisors.lock();
     for order in orders {
         let (minion, event, counter) = match &order {
             Order::Start { minion, .. } => (minion, "start_ordered", Counter::Starts),
@@ -356,8 +355,9 @@
         | Order::Stop { task, run, .. }
         | Order::Pace { task, run, .. }) = order;
         owner.node.metrics.count(counter);
-        let (age, look) = owner.with(|cell| ages(cell, &task.job, minion)).unwrap_or_default();
-        owner.node.journal.note(
+        let (job_age, report_age) =
+            owner.with(|cell| ages(cell, &task.job, minion)).unwrap_or_default();
+        owner.node.journal.info(
             event,
             &[
                 ("job", &task.job),
@@ -365,23 +365,23 @@
                 ("run", &run),
                 ("minion", minion),
                 ("token", &owner.token),
-                ("job_age_ms", &age.as_millis()),
-                ("look_age_ms", &look.as_millis()),
+                ("job_age_ms", &job_age.as_millis()),
+                ("look_age_ms", &report_age.as_millis()),
             ],
         );
         let (minion, starts) = (minion.clone(), matches!(order, Order::Start { .. }));
-        let queued = attendants.get(&minion).is_some_and(|attendant| attendant.order(order));
+        let queued = supervisors.get(&minion).is_some_and(|supervisor| supervisor.order(order));
         if !queued && starts {
-            give_back(owner, &minion, &task, run);
+            revert_start(owner, &minion, &task, run);
         }
     }
 }
 
-/// Takes a start back that nobody carries out, because its minion isn't attended.
+/// Takes back a start that can't be carried out because its minion has no supervisor.
 ///
-/// Left as ordered, its run would be neither listed nor answered by anybody: the task would count as
+/// Otherwise its run would be neither listed nor answered by anyone, and the task would count as
 /// placed for as long as the minion lives.
-fn give_back(owner: &Owner, minion: &Arc<str>, task: &TaskName, run: u32) {
+fn revert_start(owner: &Owner, minion: &Arc<str>, task: &TaskName, run: u32) {
     let fields: [(&'static str, &dyn Display); 4] =
         [("job", &task.job), ("task", task), ("run", &run), ("minion", minion)];
     owner.node.journal.warn("start_given_back", &fields);
--- a/crates/scheduler/src/owner/keep.rs
+++ b/crates/scheduler/src/owner/persist.rs
@@ -1,4 +1,4 @@
-//! Writing progress before ends are acknowledged.
+//! Writes progress to the store before ended runs are acknowledged.
 
 use crate::clock;
 use crate::metrics::{Counter, Timing};
@@ -11,43 +11,43 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Jobs of one transaction; a transaction takes a hundred entries, one of them the ledger.
+/// Jobs of one transaction.  A transaction takes a hundred items, one of them the ledger.
 const MAX_ROWS: usize = 90;
 
-/// Gathers ends for one transaction.  Every transaction costs a call to the store, and ends
-/// that end no job can wait this long without anybody noticing.
-const GATHER: Duration = Duration::from_millis(80);
+/// Collects ended runs for one transaction.  Every transaction costs a call to the store, and ended
+/// runs that complete no job can wait this long without anybody noticing.
+const BATCH_WINDOW: Duration = Duration::from_millis(80);
 
-/// The same when a job has ended, for which its caller waits.
-const GATHER_URGENT: Duration = Duration::from_millis(8);
+/// The same when a job has ended, because its caller waits for it.
+const URGENT_BATCH_WINDOW: Duration = Duration::from_millis(8);
 
 /// Pause after a failed transaction.
-const RETRY: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Time between two looks for jobs whose retention is over.
-const EXPIRE: Duration = Duration::from_secs(5);
+/// Time between checks for jobs whose retention is over.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Keeps whatever is to be kept until the cell is lost.
-pub(crate) async fn keep_forever(owner: Arc<Owner>) {
-    let mut expired = clock::now();
+/// Persists progress and drops expired jobs until the cell is lost.
+pub(crate) async fn persist_forever(owner: Arc<Owner>) {
+    let mut expired_at = clock::now();
     while !owner.is_stopped() {
-        owner.keep_wake.wait(Duration::from_millis(500)).await;
+        owner.persist_wake.wait(Duration::from_millis(500)).await;
         let Some(unkept) = owner.with(|cell| cell.has_unpersisted()) else { continue };
         if unkept {
-            gather(&owner).await;
-            keep_all(&owner).await;
+            wait_for_batch(&owner).await;
+            persist_all(&owner).await;
         }
-        if clock::now().since(expired) > EXPIRE {
-            expired = clock::now();
+        if clock::now().since(expired_at) > EXPIRY_INTERVAL {
+            expired_at = clock::now();
             drop_expired(&owner).await;
         }
     }
 }
 
-async fn gather(owner: &Owner) {
+async fn wait_for_batch(owner: &Owner) {
     let began = clock::now();
-    while clock::now().since(began) < GATHER {
-        owner.pause(GATHER_URGENT).await;
+    while clock::now().since(began) < BATCH_WINDOW {
+        owner.pause(URGENT_BATCH_WINDOW).await;
         let urgent = owner.with(|cell| cell.is_persisting_urgent()).unwrap_or(false);
         if urgent || owner.is_stopped() {
             return;
@@ -55,12 +55,12 @@
     }
 }
 
-/// Keeps everything that is to be kept now; true if it is all kept.
+/// Persists all pending progress; true if all of it is persisted.
 ///
-/// What is written is taken from the cell only under the ledger's lock: two callers that took it
-/// before could write in the other order, and the older progress would replace the newer one
-/// after its ends were acknowledged.  A later owner would then run done tasks again.
-pub(crate) async fn keep_all(owner: &Owner) -> bool {
+/// A batch is taken from the cell only under the ledger's lock.  Two calls that took their batches
+/// before it could write in the other order, and the older progress would replace the newer one
+/// after its ended runs were acknowledged.  A later owner would then run completed tasks again.
+pub(crate) async fn persist_all(owner: &Owner) -> bool {
     loop {
         {
             let mut ledger = owner.ledger.lock().await;
@@ -70,35 +70,37 @@
             if owner.is_stopped() {
                 return false;
             }
-            if batch.rows.is_empty() || commit(owner, &mut ledger, changes(owner, &batch)).await {
-                finish(owner, &batch);
+            if batch.rows.is_empty()
+                || commit_locked(owner, &mut ledger, progress_transaction(owner, &batch)).await
+            {
+                finish_batch(owner, &batch);
                 continue;
             }
         }
-        if !owner.pause(RETRY).await {
+        if !owner.pause(RETRY_DELAY).await {
             return false;
         }
     }
 }
 
-fn changes(owner: &Owner, batch: &Batch) -> Transaction {
+fn progress_transaction(owner: &Owner, batch: &Batch) -> Transaction {
     let row = |(id, _, progress): &(Id, u64, Progress)| {
         (rows::progress(&owner.service, id), encode(progress))
     };
     Transaction { writes: batch.rows.iter().map(row).collect(), ..Transaction::default() }
 }
 
-/// Commits a change under the ledger; true if it is certain to be done.
-pub(crate) async fn write(owner: &Owner, change: Transaction) -> bool {
+/// Commits a change under the ledger; true if it is certain to be committed.
+pub(crate) async fn commit_fenced(owner: &Owner, change: Transaction) -> bool {
     let mut ledger = owner.ledger.lock().await;
-    commit(owner, &mut ledger, change).await
+    commit_locked(owner, &mut ledger, change).await
 }
 
-/// Commits a change under the locked ledger; true if it is certain to be done.
+/// Commits a change under the locked ledger; true if it is certain to be committed.
 ///
-/// After an unanswered one the ledger's version is not known.  The next one then conflicts if
-/// the lost one was carried out, and tells the version to go on from.
-async fn commit(owner: &Owner, ledger: &mut u64, change: Transaction) -> bool {
+/// After an unanswered commit the ledger's version is unknown.  If that commit was carried out, the
+/// next one conflicts and returns the version to continue from.
+async fn commit_locked(owner: &Owner, ledger: &mut u64, change: Transaction) -> bool {
     match write_ledger(owner, *ledger, change).await {
         Ok(version) => {
             *ledger = version;
@@ -123,7 +125,7 @@
     }
 }
 
-fn finish(owner: &Owner, batch: &Batch) {
+fn finish_batch(owner: &Owner, batch: &Batch) {
     owner.with(|cell| cell.record_persisted(batch));
     for (id, change, progress) in &batch.rows {
         if let Some(outcome) = progress.outcome {
@@ -131,16 +133,16 @@
                 owner.with(|cell| cell.job(id).map(|job| clock::now().since(job.accepted_at)));
             owner.node.metrics.time(Timing::Job, age.flatten().unwrap_or_default());
             let service = &owner.service;
-            owner.node.journal.note(
+            owner.node.journal.info(
                 "job_ended",
                 &[("job", id), ("service", service), ("state", &outcome), ("change", change)],
             );
         }
     }
-    let attendants = owner.attendants.lock();
+    let supervisors = owner.supervisors.lock();
     for cursor in &batch.ends {
-        if let Some(attendant) = attendants.get(&cursor.minion) {
-            attendant.kick.wake();
+        if let Some(supervisor) = supervisors.get(&cursor.minion) {
+            supervisor.poll_wake.wake();
         }
     }
 }
@@ -156,7 +158,7 @@
             })
             .collect();
         let change = Transaction { drops, across_parts: true, ..Transaction::default() };
-        if !write(owner, change).await {
+        if !commit_fenced(owner, change).await {
             // The rows stay until the next owner finds them expired.
             owner.node.journal.warn("rows_left", &[("jobs", &chunk.len())]);
         }
--- a/crates/scheduler/src/owner/quota.rs
+++ b/crates/scheduler/src/owner/quota.rs
@@ -1,4 +1,4 @@
-//! The workspaces' limits: following how they are split, and writing this cell's shares.
+//! Workspaces' limits: follows how they are split, and writes this cell's shares.
 
 use crate::clock;
 use crate::follow::{self, Sink, Table};
@@ -13,19 +13,18 @@
 use std::time::Duration;
 use stop_token::future::FutureExt;
 
-/// Pause between two reads of changes: each cell's change is one for every other cell's owner.
-const FEED_PAUSE: Duration = Duration::from_millis(50);
+/// Pause between reads of changes: the owner of every other cell reads each cell's change.
+const SPLITS_BATCH_DELAY: Duration = Duration::from_millis(50);
 
-/// Time between two looks whether there is a limit to follow.
-const LOOK: Duration = Duration::from_millis(200);
+/// Time between checks whether any workspace has a limit.
+const LIMIT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Longest wait for a transaction.
-const COMMIT_LIMIT: Duration = Duration::from_millis(1000);
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Follows the splits while any workspace has a limit, until the cell is lost.
 pub(crate) async fn follow_splits(owner: Arc<Owner>) {
     while !owner.with(|cell| cell.has_limits()).unwrap_or(false) {
-        if !owner.pause(LOOK).await {
+        if !owner.pause(LIMIT_CHECK_INTERVAL).await {
             return;
         }
     }
@@ -33,26 +32,26 @@
         name: rows::SPLITS,
         has_partitions: false,
         has_row_per_entry: false,
-        batch_delay: FEED_PAUSE,
-        idle_batch_delay: FEED_PAUSE,
+        batch_delay: SPLITS_BATCH_DELAY,
+        idle_batch_delay: SPLITS_BATCH_DELAY,
         max_wait: follow::MAX_FEED_WAIT,
     };
-    let sink = Arc::new(Splits(owner.clone()));
+    let sink = Arc::new(SplitSink(owner.clone()));
     let following = follow::follow(owner.node.clone(), table, sink);
     // Ends when the cell is lost.
     let _ = following.timeout_at(owner.stopped.clone()).await;
 }
 
-/// Takes in the splits as they are written.
-struct Splits(Arc<Owner>);
+/// Sink for the splits.
+struct SplitSink(Arc<Owner>);
 
-impl Sink for Splits {
+impl Sink for SplitSink {
     fn replace(&self, rows: Vec<Row>, _: u64) {
-        take(&self.0, &rows);
+        apply_splits(&self.0, &rows);
     }
 
     fn apply_changes(&self, rows: Vec<Row>) {
-        take(&self.0, &rows);
+        apply_splits(&self.0, &rows);
     }
 
     fn read_applied(&self) {
@@ -60,16 +59,16 @@
     }
 }
 
-fn take(owner: &Owner, rows: &[Row]) {
+fn apply_splits(owner: &Owner, rows: &[Row]) {
     let splits: Vec<(Box<str>, u64, Split)> =
-        rows.iter().filter_map(|row| read(owner, row)).collect();
+        rows.iter().filter_map(|row| decode_split(owner, row)).collect();
     owner.with(|cell| cell.record_splits(splits, clock::now()));
     owner.plan_wake.wake();
 }
 
-/// A split as it is kept; none, with a line, if it can't be read.  Nothing of its workspace is started then, since
-/// what others use isn't known.
-fn read(owner: &Owner, row: &Row) -> Option<(Box<str>, u64, Split)> {
+/// Decodes a stored split; none, with a log line, if it can't be read.  Nothing of its workspace is
+/// started then, because the use by other cells is unknown.
+fn decode_split(owner: &Owner, row: &Row) -> Option<(Box<str>, u64, Split)> {
     if row.dropped || row.version == 0 {
         return Some((row.key.as_str().into(), row.version, Split::default()));
     }
@@ -84,7 +83,7 @@
     }
 }
 
-/// Writes the changes of this cell's shares that are due; one transaction at a time.
+/// Writes the due changes of this cell's shares, one transaction at a time.
 pub(crate) fn write_shares(owner: &Arc<Owner>) {
     if owner.writing_shares.swap(true, Ordering::SeqCst) {
         return;
@@ -96,13 +95,13 @@
     }
     let owner = owner.clone();
     async_std::task::spawn(async move {
-        write(&owner, &changes).await;
+        commit_changes(&owner, &changes).await;
         owner.writing_shares.store(false, Ordering::SeqCst);
         owner.plan_wake.wake();
     });
 }
 
-async fn write(owner: &Owner, changes: &[Change]) {
+async fn commit_changes(owner: &Owner, changes: &[Change]) {
     let name = |change: &Change| rows::split(&change.workspace);
     let transaction = Transaction {
         conditions: changes.iter().map(|change| (name(change), change.version)).collect(),
@@ -110,7 +109,7 @@
         ..Transaction::default()
     };
     owner.node.metrics.count(Counter::ShareWrites);
-    let outcome = owner.node.commit(&transaction, COMMIT_LIMIT).await;
+    let outcome = owner.node.commit(&transaction, COMMIT_TIMEOUT).await;
     let now = clock::now();
     match &outcome {
         Ok(version) => {
@@ -119,17 +118,17 @@
         Err(Error::Conflict { rows }) => {
             owner.node.metrics.count(Counter::ShareConflicts);
             owner.with(|cell| cell.discard_split_changes(changes));
-            take(owner, rows);
+            apply_splits(owner, rows);
         }
         Err(Error::Refused { .. } | Error::HistoryGone) => {
             owner.with(|cell| cell.discard_split_changes(changes));
         }
-        // It may be carried out yet, and until the row has changed the smaller size counts.
+        // It may still be committed, and until the row has changed the smaller size counts.
         Err(Error::Unanswered { .. } | Error::Unreadable { .. }) => {}
     }
     for change in changes {
         let share = change.split.shares.get(owner.service.as_str()).copied().unwrap_or_default();
-        owner.node.journal.note(
+        owner.node.journal.info(
             "share_changed",
             &[
                 ("workspace", &change.workspace),
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -1,7 +1,7 @@
 //! Questions to other entries, and their answers.
 //!
-//! Only what can also be read from the store travels here, so a peer that doesn't answer costs
-//! time and nothing else.
+//! Everything sent here can also be read from the store, so a peer that doesn't answer costs only
+//! time.
 
 use crate::clock;
 use crate::in_force;
@@ -21,34 +21,35 @@
 use std::time::Duration;
 use strum::Display;
 
-/// Longest wait for a peer's answer: dialling takes some 10 ms and an exchange 6 ms at worst
-/// when the peer is well, and whoever asks has the store to fall back on.
-const ANSWER_LIMIT: Duration = Duration::from_millis(350);
+/// Longest wait for a peer's answer.  Dialling takes some 10 ms and an exchange 6 ms at worst when
+/// the peer is healthy, and the asking entry can fall back on the store.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// The same for an answer that only the owner can give and for which nobody waits: an owner that has
-/// taken a large cell over answers late, and without its demand its pool gets no machines.
-const PATIENT_LIMIT: Duration = Duration::from_millis(1200);
+/// The same for an answer that only the owner can give and for which nobody waits.  An owner that
+/// has taken over a large cell answers late, and while its demand is unknown its pool gets no
+/// machines.
+const LOAD_ANSWER_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Longest time for writing a job on behalf of a peer, within its wait for the answer.
-const SUBMIT_LIMIT: Duration = Duration::from_millis(250);
+/// Longest time for writing a job on behalf of a peer, within the peer's wait for the answer.
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// After a question that was not answered, a peer is not asked for this long.
-const REST: Duration = Duration::from_millis(1500);
+/// How long a peer is not asked after an unanswered question.
+const UNANSWERED_BACKOFF: Duration = Duration::from_millis(1500);
 
 /// Why a peer gave no answer.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
-pub(crate) enum Silence {
-    /// It certainly didn't get the question.
+pub(crate) enum AskError {
+    /// The peer certainly didn't get the question.
     NotAsked,
-    /// It may have got the question.
+    /// The peer may have got the question.
     Unanswered,
 }
 
-/// Questions in a row without an answer after which a link is given up: something in between may have
-/// forgotten it, so that it is silent for good, but an owner that answers late isn't helped by another
-/// handshake.
-const MISSES: u32 = 2;
+/// Consecutive unanswered questions after which a link is closed.  A device on the path may have
+/// dropped its state, so that the link stays silent for good; but another handshake doesn't help an
+/// owner that answers late.
+const MAX_CONSECUTIVE_MISSES: u32 = 2;
 
 /// A link that is being dialled; none if that failed.
 type Dial = Shared<BoxFuture<'static, Option<Link>>>;
@@ -58,15 +59,16 @@
 pub(crate) struct Peers {
     endpoint: RwLock<Option<Arc<Endpoint>>>,
     links: Mutex<HashMap<SocketAddr, Link>>,
-    /// Goes on when whoever asked for the link has given up.
+    /// Dials in progress.  They continue after the question that started them has timed out.
     ///
-    /// After all entries have lost power, all of them dial the few new owners at once.  Each handshake
-    /// takes some milliseconds of an owner that has half of a core; dropped with the question after a
-    /// third of a second and begun anew a second later, they left owners of large cells without time for
-    /// anything else, and the machines of their pools idle for six seconds.
+    /// After all entries have lost power, all of them dial the few new owners at once.  Each
+    /// handshake takes some milliseconds of an owner that has half of a core.  When dials were
+    /// dropped with the question after a third of a second and started anew a second later, owners
+    /// of large cells had no time for anything else, and the machines of their pools were idle for
+    /// six seconds.
     dials: Mutex<HashMap<SocketAddr, Dial>>,
-    resting: Mutex<HashMap<SocketAddr, std::time::Instant>>,
-    /// Questions in a row that were not answered.
+    backing_off: Mutex<HashMap<SocketAddr, std::time::Instant>>,
+    /// Consecutive unanswered questions.
     misses: Mutex<HashMap<SocketAddr, u32>>,
 }
 
@@ -94,11 +96,11 @@
         self.dials.lock().retain(|_, known| !known.ptr_eq(&dial));
         let link = link.filter(|link| !link.is_closed())?;
         self.links.lock().insert(address, link.clone());
-        self.resting.lock().remove(&address);
+        self.backing_off.lock().remove(&address);
         Some(link)
     }
 
-    /// The dial that is under way to a peer, or a new one.
+    /// The dial in progress to a peer, or a new one.
     fn dial(&self, address: SocketAddr) -> Option<Dial> {
         let endpoint = self.endpoint.read().clone()?;
         let mut dials = self.dials.lock();
@@ -111,10 +113,11 @@
         Some(dial)
     }
 
-    /// Whether a peer isn't asked for now because it didn't answer lately, and no new link is there.
-    pub(crate) fn is_resting(&self, address: SocketAddr) -> bool {
+    /// Whether a peer isn't asked for now because it didn't answer recently and no dial has
+    /// completed since.
+    pub(crate) fn is_backing_off(&self, address: SocketAddr) -> bool {
         let dialled = self.dials.lock().get(&address).is_some_and(|dial| dial.peek().is_some());
-        !dialled && self.rests(address)
+        !dialled && self.has_backoff(address)
     }
 
     /// Whether a link to a peer is open.
@@ -122,29 +125,32 @@
         self.links.lock().get(&address).is_some_and(|link| !link.is_closed())
     }
 
-    fn rests(&self, address: SocketAddr) -> bool {
-        self.resting.lock().get(&address).is_some_and(|since| since.elapsed() < REST)
+    fn has_backoff(&self, address: SocketAddr) -> bool {
+        self.backing_off
+            .lock()
+            .get(&address)
+            .is_some_and(|since| since.elapsed() < UNANSWERED_BACKOFF)
     }
 
     /// Asks a peer.
     ///
     /// # Errors
-    /// When it doesn't answer in time, with what that says of the question.
+    /// When it doesn't answer in time, with whether it may have got the question.
     pub(crate) async fn ask(
         &self,
         address: SocketAddr,
         question: Question,
-    ) -> Result<Answer, Silence> {
-        if self.is_resting(address) {
-            return Err(Silence::NotAsked);
+    ) -> Result<Answer, AskError> {
+        if self.is_backing_off(address) {
+            return Err(AskError::NotAsked);
         }
-        let limit = limit(&question);
+        let limit = answer_timeout(&question);
         let began = std::time::Instant::now();
         let opening = async { self.link(address).await?.open().await.ok() };
         let opened = timeout(limit, opening).await.ok().flatten();
         let Some(mut channel) = opened else {
-            self.rest(address);
-            return Err(Silence::NotAsked);
+            self.start_backoff(address);
+            return Err(AskError::NotAsked);
         };
         let exchange = async {
             channel.send(&Frame::JobQuestion(question)).await.ok()?;
@@ -159,18 +165,18 @@
         if answer.is_some() {
             self.misses.lock().remove(&address);
         } else {
-            self.miss(address);
+            self.record_miss(address);
         }
-        answer.ok_or(Silence::Unanswered)
+        answer.ok_or(AskError::Unanswered)
     }
 
-    /// Notes that a question was not answered.
-    fn miss(&self, address: SocketAddr) {
-        self.rest(address);
+    /// Records an unanswered question.
+    fn record_miss(&self, address: SocketAddr) {
+        self.start_backoff(address);
         let mut misses = self.misses.lock();
         let count = misses.entry(address).or_default();
         *count += 1;
-        if *count >= MISSES {
+        if *count >= MAX_CONSECUTIVE_MISSES {
             misses.remove(&address);
             if let Some(link) = self.links.lock().remove(&address) {
                 link.close();
@@ -178,27 +184,25 @@
         }
     }
 
-    /// Asks a peer nothing for a while.
-    fn rest(&self, address: SocketAddr) {
-        self.resting.lock().insert(address, std::time::Instant::now());
+    fn start_backoff(&self, address: SocketAddr) {
+        self.backing_off.lock().insert(address, std::time::Instant::now());
     }
 }
 
-/// How long a question's answer is waited for.
-fn limit(question: &Question) -> Duration {
+fn answer_timeout(question: &Question) -> Duration {
     match question {
-        Question::Load { .. } | Question::Release { .. } => PATIENT_LIMIT,
-        _ => ANSWER_LIMIT,
+        Question::Load { .. } | Question::Release { .. } => LOAD_ANSWER_TIMEOUT,
+        _ => ANSWER_TIMEOUT,
     }
 }
 
-/// Asks the owner of a service's cell, wherever it is; none when it can't be asked.
+/// Asks the owner of a service's cell, on any entry; none when it can't be asked or doesn't answer.
 pub(crate) async fn ask_owner(node: &Node, service: &str, question: Question) -> Option<Answer> {
     if let Some(owner) = node.owner(service) {
         return owner.answer(&question);
     }
     let (holder, address) = node.view.read().holder(service)?;
-    if holder == node.me {
+    if holder == node.entry_id {
         return None;
     }
     let answer = node.peers.ask(address, question).await.ok();
@@ -209,14 +213,14 @@
     answer
 }
 
-/// Writes a job for an entry that the store turns away.
-async fn submit(node: &Node, service: &str, id: Id, row: &[u8]) -> Answer {
-    if node.may_store_be_away() {
+/// Writes a job on behalf of an entry whose requests the store refuses.
+async fn submit_for_peer(node: &Node, service: &str, id: Id, row: &[u8]) -> Answer {
+    if node.is_outage_suspected() {
         return Answer::Submitted(Submission::Refused);
     }
-    let until = clock::now() + SUBMIT_LIMIT;
-    let job = submit::Job { service, id, row, deadline: until };
-    Answer::Submitted(match submit::write_directly(node, &job, SUBMIT_LIMIT).await {
+    let deadline = clock::now() + SUBMIT_TIMEOUT;
+    let job = submit::Job { service, id, row, deadline };
+    Answer::Submitted(match submit::write_directly(node, &job, SUBMIT_TIMEOUT).await {
         WriteOutcome::Accepted(row) => Submission::Accepted { row },
         WriteOutcome::Refused(_) => Submission::Refused,
         WriteOutcome::Unknown => Submission::Unknown,
@@ -237,21 +241,21 @@
 
 async fn serve_link(node: Arc<Node>, link: Link) {
     while let Ok(channel) = link.accept().await {
-        async_std::task::spawn(serve(node.clone(), channel));
+        async_std::task::spawn(serve_channel(node.clone(), channel));
     }
 }
 
-async fn serve(node: Arc<Node>, mut channel: Channel) {
+async fn serve_channel(node: Arc<Node>, mut channel: Channel) {
     let Ok(Frame::JobQuestion(question)) = channel.receive().await else { return };
     let answer = match &question {
-        Question::Submit { service, id, row } => submit(&node, service, *id, row).await,
+        Question::Submit { service, id, row } => submit_for_peer(&node, service, *id, row).await,
         Question::Configuration { version } => in_force::answer_peer(&node, *version),
         _ => node
             .owner(question.service())
             .and_then(|owner| owner.answer(&question))
             .unwrap_or(Answer::NotOwner),
     };
-    // A peer that has gone meanwhile has given up waiting, too.
+    // A peer that has disconnected waits for no answer.
     let _ = channel.send(&Frame::JobAnswer(answer)).await;
     channel.finish();
 }
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -3,7 +3,7 @@
 use crate::clock;
 use crate::confirm::{self, Confirmed};
 use crate::node::Node;
-use crate::peers::Silence;
+use crate::peers::AskError;
 use crate::rows;
 use celerythread_adapter::store::{Error, Transaction};
 use celerythread_engine::job::Id;
@@ -69,7 +69,7 @@
         let attempt = Attempt {
             waited: clock::now().since(began),
             left: job.deadline.since(clock::now()),
-            silent: node.is_store_away(),
+            silent: node.is_outage_ongoing(),
             has_peers: peers.len() > 0,
             unanswered,
         };
@@ -137,10 +137,10 @@
         }
         Ok(Answer::Submitted(Submission::Refused)) => ("refused".to_owned(), refused_by_peer()),
         Ok(_) => ("unknown".to_owned(), WriteOutcome::Unknown),
-        Err(silence @ Silence::NotAsked) => (silence.to_string(), refused_by_peer()),
-        Err(silence @ Silence::Unanswered) => (silence.to_string(), WriteOutcome::Unknown),
+        Err(silence @ AskError::NotAsked) => (silence.to_string(), refused_by_peer()),
+        Err(silence @ AskError::Unanswered) => (silence.to_string(), WriteOutcome::Unknown),
     };
-    node.journal.note("job_relayed", &[("job", &job.id), ("peer", &peer), ("outcome", &outcome)]);
+    node.journal.info("job_relayed", &[("job", &job.id), ("peer", &peer), ("outcome", &outcome)]);
     written
 }
 
@@ -151,7 +151,7 @@
 /// Chooses peers at random, so that a peer that the store refuses too is not chosen each time.
 fn choose_peers(node: &Node) -> Vec<SocketAddr> {
     let view = node.view.read();
-    let others = view.entry_rows.iter().filter(|(id, row)| **id != node.me && !row.stopping);
-    let awake = others.map(|(_, row)| row.peer).filter(|peer| !node.peers.is_resting(*peer));
+    let others = view.entry_rows.iter().filter(|(id, row)| **id != node.entry_id && !row.stopping);
+    let awake = others.map(|(_, row)| row.peer).filter(|peer| !node.peers.is_backing_off(*peer));
     awake.choose_multiple(&mut rand::rng(), MAX_RELAY_PEERS)
 }
--- a/tests/all/site/jobs.rs
+++ b/tests/all/site/jobs.rs
@@ -1,4 +1,4 @@
-//! A job's life, end to end.
+//! Lifecycle of a job, end to end.
 
 use super::*;
 use celerythread_standin::site::check;
@@ -21,7 +21,7 @@
 }
 
 #[async_std::test]
-async fn what_is_not_a_job_is_refused_with_its_reason() {
+async fn an_invalid_job_is_refused_with_the_matching_status() {
     let deployment = Deployment::start("refusals", 1, 1).await;
     let entry = deployment.entries[0].callers;
     let status = async |method, path: &str, body| call(entry, method, path, body).await.unwrap().0;
@@ -39,9 +39,10 @@
     assert_eq!(status(Method::Get, &path, None).await, 410);
 }
 
-/// The answer to a submission is lost, and its caller sends it again at another entry.
+/// Guards against running a job twice: the answer to its submission is lost, and its caller sends
+/// it again to another entry.
 #[async_std::test]
-async fn a_job_that_arrives_again_stays_one_job() {
+async fn a_job_submitted_again_runs_once() {
     let deployment = Deployment::start("again", 2, 2).await;
     assert_eq!(deployment.submit(0, &id(1), 2, "ms=100").await, 200);
     assert_eq!(deployment.submit(1, &id(1), 7, "ms=100 other").await, 200);
@@ -52,9 +53,10 @@
     assert_eq!(history.len(), 2, "{history:?}");
 }
 
-/// An entry writes a job and is lost before it tells the owner; the caller's next request with the
-/// same id has another content and finds the row.  The owner is told of it first by that request;
-/// it must run what is stored, or a later owner would run something else under the same id.
+/// Guards against running a job other than the stored one, so that a later owner would run
+/// something else under the same id.  An entry writes a job and is lost before it notifies the
+/// owner.  The caller's next request with the same id has other content, finds the row, and is the
+/// first to notify the owner.
 #[async_std::test]
 async fn the_owner_runs_what_is_stored_and_not_what_came_second() {
     let mut deployment = Deployment::start("second", 3, 2).await;
@@ -82,7 +84,7 @@
 }
 
 #[async_std::test]
-async fn a_cancelled_job_ends_and_stays_so() {
+async fn a_cancelled_job_ends_and_stays_cancelled() {
     let deployment = Deployment::start("cancel", 2, 1).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "ms=60000").await, 200);
     deployment.wait_for_state(0, &id(1), "running").await;
@@ -106,7 +108,7 @@
 }
 
 #[async_std::test]
-async fn the_count_of_waiting_jobs_is_told_by_every_entry() {
+async fn every_entry_reports_the_number_of_pending_jobs() {
     let deployment = Deployment::start("pending", 2, 1).await;
     for number in 1..=3 {
         assert_eq!(deployment.submit(0, &id(number), 16, "ms=30000").await, 200);
