--- a/crates/engine/src/cell.rs
+++ b/crates/engine/src/cell.rs
@@ -341,7 +341,7 @@
         if self.jobs.contains_key(&id) {
             return false;
         }
-        let work = accepted.definition.work() as f64;
+        let work = accepted.definition.core_ms() as f64;
         let mean = self.mean_work.entry(accepted.queue.clone()).or_insert(work);
         // A twentieth of each new job: some twenty jobs are remembered, which at ten a second
         // follows a change of the mix within a few seconds.
--- a/crates/engine/src/cell/crash.rs
+++ b/crates/engine/src/cell/crash.rs
@@ -311,7 +311,7 @@
     /// Whether a likely cause of a crash may be tried: what is held against it is kept, and it is its job's next one.
     /// A lasting task doesn't wait for others, as its users are without it.
     pub(crate) fn may_try(&self, job: &Job, name: &TaskName) -> bool {
-        let lasting = job.accepted.definition.steps[name.step as usize].lasting;
+        let lasting = job.accepted.definition.steps[name.step as usize].long_running;
         let guarded = job.task(name).is_some_and(|task| task.suspicion.is_guarded());
         let is_kept = job.is_kept() || !guarded;
         is_kept && (lasting || self.is_next_suspect(job, name))
--- a/crates/engine/src/cell/idle.rs
+++ b/crates/engine/src/cell/idle.rs
@@ -93,7 +93,8 @@
     /// What keeps a task from each minion; none if no minion has room for it.
     fn guards(&self, name: &TaskName, now: Time) -> Option<Vec<(MinionId, Guard)>> {
         let step = &self.jobs.get(&name.job)?.accepted.definition.steps[name.step as usize];
-        let has_room = |minion: &Minion| minion.listed && minion.free().holds(&step.counted_need());
+        let has_room =
+            |minion: &Minion| minion.listed && minion.free().holds(&step.reserved_resources());
         self.minions.values().find(|minion| has_room(minion))?;
         let spread = self.spread(name);
         let guard = |minion: &Minion| (minion.id.clone(), guard(minion, step, &spread, now));
@@ -120,7 +121,7 @@
         (now < minion.quarantined, Guard::Quarantined),
         (minion.is_proving_ground(), Guard::OnTrial),
         (!crate::cell::place::is_suitable(minion, step, spread), Guard::Unsuitable),
-        (!minion.free().holds(&step.counted_need()), Guard::Full),
+        (!minion.free().holds(&step.reserved_resources()), Guard::Full),
     ];
     let failed = checks.into_iter().find(|(holds, _)| *holds);
     failed.map_or(Guard::Nothing, |(_, guard)| guard)
--- a/crates/engine/src/cell/load.rs
+++ b/crates/engine/src/cell/load.rs
@@ -88,9 +88,9 @@
 
 /// Minions that a job's lasting tasks need at least.
 fn spread_over(job: &Job) -> usize {
-    let steps = job.accepted.definition.steps.iter().filter(|step| step.lasting);
+    let steps = job.accepted.definition.steps.iter().filter(|step| step.long_running);
     let needed = |step: &crate::job::Step| {
-        step.per_minion.map_or(1, |limit| step.count.div_ceil(limit.max(1)) as usize)
+        step.max_per_minion.map_or(1, |limit| step.count.div_ceil(limit.max(1)) as usize)
     };
     steps.map(needed).max().unwrap_or(0)
 }
@@ -113,7 +113,7 @@
         let (occurrence, number, _) = job.place_of(flat as u32);
         let step = &definition.steps[number as usize];
         // A lasting task needs its cores for good: as if it had work for the horizon.
-        let ms = if step.lasting { HORIZON_MS } else { step.estimate_ms.min(HORIZON_MS) };
+        let ms = if step.long_running { HORIZON_MS } else { step.estimate_ms.min(HORIZON_MS) };
         let work = mean.cores(&step.need) * ms / 1000;
         if task.phase != Phase::Waiting {
             running += work;
--- a/crates/engine/src/cell/minion.rs
+++ b/crates/engine/src/cell/minion.rs
@@ -115,10 +115,10 @@
         Self {
             number,
             phase,
-            need: step.map(Step::counted_need).unwrap_or_default(),
+            need: step.map(Step::reserved_resources).unwrap_or_default(),
             charge: None,
-            lasting: step.is_some_and(|step| step.lasting),
-            fills: step.is_some_and(|step| step.fills),
+            lasting: step.is_some_and(|step| step.long_running),
+            fills: step.is_some_and(|step| step.best_effort),
             since: now,
             load: None,
             pace: 100,
@@ -214,14 +214,14 @@
 
     /// What is free, as far as known.
     pub fn free(&self) -> Resources {
-        self.listing.capacity.less(&self.used)
+        self.listing.capacity.minus(&self.used)
     }
 
     /// What is free once all that ends by itself has ended.
     pub(crate) fn free_in_the_end(&self) -> Resources {
         let lasting = self.runs.values().filter(|run| run.lasting);
         let used = lasting.fold(Resources::default(), |sum, run| sum.plus(&run.need));
-        self.listing.capacity.less(&used)
+        self.listing.capacity.minus(&used)
     }
 
     /// Whether nothing runs there, as far as known.
@@ -279,7 +279,7 @@
 
     pub(crate) fn remove(&mut self, task: &TaskName) -> Option<Run> {
         let run = self.runs.remove(task)?;
-        self.used = self.used.less(&run.need);
+        self.used = self.used.minus(&run.need);
         self.lasting -= usize::from(run.lasting);
         self.guarded -= usize::from(run.suspicion.is_guarded());
         Some(run)
--- a/crates/engine/src/cell/place.rs
+++ b/crates/engine/src/cell/place.rs
@@ -109,7 +109,7 @@
         now: Time,
         may_run: impl Fn(&str) -> bool,
     ) -> Option<MinionId> {
-        if !step.lasting || now.since(task.waits_since) < REFUGE_AFTER {
+        if !step.long_running || now.since(task.waits_since) < REFUGE_AFTER {
             return None;
         }
         let may_run = |minion: &Minion| minion.is_refuge(now) && may_run(&minion.id);
@@ -123,7 +123,7 @@
         spread: &Spread,
         may_run: impl Fn(&Minion) -> bool,
     ) -> Option<MinionId> {
-        let need = step.counted_need();
+        let need = step.reserved_resources();
         self.minions
             .values()
             .filter(|minion| may_run(minion) && fits(minion, step, &need, spread))
@@ -139,7 +139,7 @@
         spread: &Spread,
         now: Time,
     ) -> Option<MinionId> {
-        let need = step.counted_need();
+        let need = step.reserved_resources();
         self.minions
             .values()
             .filter(|minion| minion.takes_work(now))
@@ -163,7 +163,7 @@
             racks.sort_unstable();
             racks.dedup();
             // The rack with the data first, then by name.
-            racks.sort_by_key(|rack| step.near.as_deref() != Some(*rack));
+            racks.sort_by_key(|rack| step.preferred_rack.as_deref() != Some(*rack));
             let in_rack = racks
                 .into_iter()
                 .find_map(|rack| self.fill_gang(job, name, step, Some(rack), now, may_run));
@@ -183,7 +183,7 @@
         now: Time,
         may_run: &dyn Fn(&str) -> bool,
     ) -> Option<Vec<MinionId>> {
-        let need = step.counted_need();
+        let need = step.reserved_resources();
         let mut free: BTreeMap<MinionId, Resources> = self
             .minions
             .values()
@@ -207,7 +207,7 @@
                 })?;
             let id = place.id.clone();
             let room = free.get_mut(&id)?;
-            *room = room.less(&need);
+            *room = room.minus(&need);
             *spread.entry(id.clone()).or_default() += 1;
             places.push(id);
         }
@@ -229,17 +229,18 @@
 /// Whether a step's tasks may run on a minion, room apart.
 pub(crate) fn is_suitable(minion: &Minion, step: &Step, spread: &Spread) -> bool {
     let labelled = step
-        .requires
+        .required_label
         .as_ref()
         .is_none_or(|label| minion.listing.labels.iter().any(|own| own == label));
-    let spaced =
-        step.per_minion.is_none_or(|limit| spread.get(&minion.id).copied().unwrap_or(0) < limit);
+    let spaced = step
+        .max_per_minion
+        .is_none_or(|limit| spread.get(&minion.id).copied().unwrap_or(0) < limit);
     labelled && spaced
 }
 
 fn cost(minion: &Minion, step: &Step, task: &Task, need: &Resources, spread: &Spread) -> u64 {
     let mut cost = minion.free().cpu - need.cpu.min(minion.free().cpu);
-    if step.lasting {
+    if step.long_running {
         // Lasting tasks of different jobs go together: their minions can't be given to another
         // pool and have to be evacuated for maintenance, so they should be few.
         let same = spread.get(&minion.id).copied().unwrap_or(0).min(penalty::SAME_STEP_MOST);
@@ -247,7 +248,7 @@
             + penalty::ALONE * u64::from(minion.lasting == 0)
             + penalty::SAME_STEP * u64::from(same);
     }
-    if step.fills {
+    if step.best_effort {
         // What fills goes where most is unused, and not beside serving tasks.
         cost = minion.used.cpu + penalty::ALONE * minion.lasting as u64;
     }
@@ -258,7 +259,7 @@
     if task.avoid.as_ref() == Some(&minion.id) {
         cost += penalty::AVOID;
     }
-    if step.near.is_some() && step.near.as_deref() != minion.rack() {
+    if step.preferred_rack.is_some() && step.preferred_rack.as_deref() != minion.rack() {
         cost += penalty::REMOTE;
     }
     if !minion.failing.is_empty() || minion.strikes > 0 || minion.is_slow() {
--- a/crates/engine/src/cell/plan.rs
+++ b/crates/engine/src/cell/plan.rs
@@ -208,7 +208,10 @@
                 // Judged by what the minion told: an owner that is late with its looks has no news of
                 // progress, and would stop whatever it looks at next.
                 let still = minion.reported.since(run.moved) > bound;
-                if run.phase == RunPhase::Active && still && !(step.lasting && run.percent >= 100) {
+                if run.phase == RunPhase::Active
+                    && still
+                    && !(step.long_running && run.percent >= 100)
+                {
                     let percent = run.percent;
                     let minion = minion.id.clone();
                     self.notes.push(Note::Stalled { minion: minion.clone(), task: *task, percent });
@@ -241,7 +244,7 @@
                 let left = minion.listing.remaining_ms.unwrap_or(u64::MAX);
                 minion.listing.draining && left < LAST_MOMENT_MS
             });
-            if !step.lasting || !(hasty || self.can_miss(job, &task, step)) {
+            if !step.long_running || !(hasty || self.can_miss(job, &task, step)) {
                 continue;
             }
             // Only when another place is free: otherwise the stop gains nothing.
@@ -262,7 +265,7 @@
     /// Whether one more task of a lasting step may be taken away on purpose: all others of it
     /// but fewer than its allowance must be at work.
     fn can_miss(&self, job: &Job, name: &TaskName, step: &Step) -> bool {
-        let allowance = step.may_be_away.unwrap_or(0);
+        let allowance = step.max_unavailable.unwrap_or(0);
         let at_work = |index: u32| {
             let other = TaskName { index, ..*name };
             let Some(task) = job.task(&other) else { return false };
@@ -359,8 +362,8 @@
         let job = self.jobs.get(&first.job)?;
         let step = &job.accepted.definition.steps[first.step as usize];
         let advised = self.needs_ticket(&job.accepted.queue);
-        let need = step.counted_need();
-        if self.full.is_noted(&need) && !(step.gang || step.lasting || advised) {
+        let need = step.reserved_resources();
+        if self.full.is_noted(&need) && !(step.gang || step.long_running || advised) {
             return job.first_waiting(first, now);
         }
         let step = step.clone();
@@ -389,7 +392,7 @@
                 self.hold_back(&name, &step.need, waiting, now);
                 return None;
             }
-            if (step.per_minion.is_some() || step.lasting) && spread.is_none() {
+            if (step.max_per_minion.is_some() || step.long_running) && spread.is_none() {
                 spread = Some(self.spread(&name));
             }
             let empty = Default::default();
@@ -413,7 +416,7 @@
                     continue;
                 }
                 // A label or a limit for each minion may be what it lacks.
-                if step.requires.is_none() && step.per_minion.is_none() {
+                if step.required_label.is_none() && step.max_per_minion.is_none() {
                     self.full.note(need);
                 }
                 return Some(name);
--- a/crates/engine/src/cell/report.rs
+++ b/crates/engine/src/cell/report.rs
@@ -393,7 +393,7 @@
             .get(&job.accepted.queue)
             .map_or(crate::cell::Queue::default().attempts, |queue| queue.attempts);
         let step = &job.accepted.definition.steps[end.task.step as usize];
-        let (lasting, gang) = (step.lasting, step.gang);
+        let (lasting, gang) = (step.long_running, step.gang);
         job.started = true;
         match end.how {
             How::Done if !lasting => {
--- a/crates/engine/src/cell/sequence.rs
+++ b/crates/engine/src/cell/sequence.rs
@@ -54,7 +54,7 @@
 pub fn rank(job: &Job, queue: &Queue, mean_work: f64, now: Time) -> Rank {
     let definition = &job.accepted.definition;
     let base = Rank { class: 0, priority: queue.priority, density: 0.0, since: job.since };
-    if definition.is_lasting() {
+    if definition.is_long_running() {
         return base;
     }
     let objective = job.whole.chain_ms as f64 * queue.stretch + queue.target_ms as f64;
--- a/crates/engine/src/cell/straggler.rs
+++ b/crates/engine/src/cell/straggler.rs
@@ -55,7 +55,9 @@
         let Some(run) = minion.runs.get(name) else { return };
         let elapsed = now.since(run.since);
         let total = if percent >= 100 { Some(elapsed) } else { projected(elapsed, percent) };
-        let (Some(total), false) = (total, step.lasting || step.estimate_ms == 0) else { return };
+        let (Some(total), false) = (total, step.long_running || step.estimate_ms == 0) else {
+            return;
+        };
         let ratio = total.as_millis() as f64 / step.estimate_ms as f64;
         if ratio > SLOW {
             minion.slow_jobs.insert(name.job);
@@ -102,7 +104,8 @@
         if job.task(name).is_none_or(|task| task.begun_anew) {
             return false;
         }
-        if run.phase != RunPhase::Active || step.lasting || step.gang || step.estimate_ms == 0 {
+        if run.phase != RunPhase::Active || step.long_running || step.gang || step.estimate_ms == 0
+        {
             return false;
         }
         let Some(total) = projected(run.moved.since(run.since), run.percent) else { return false };
--- a/crates/engine/src/cell/work.rs
+++ b/crates/engine/src/cell/work.rs
@@ -115,7 +115,7 @@
             u64::from(open_of(number)) * step.need.cpu * step.estimate_ms / 1000
         };
         Self {
-            chain_ms: definition.chain_ms(|step| open_of(step) > 0),
+            chain_ms: definition.critical_path_ms(|step| open_of(step) > 0),
             work: definition.steps.iter().enumerate().map(work_of).sum(),
         }
     }
@@ -135,7 +135,10 @@
         let open = counts.repeat(occurrences as usize);
         let task = Task { waits_since: since, ..Task::default() };
         let tasks = vec![task; (next * occurrences) as usize];
-        let whole = Estimate { chain_ms: definition.chain_ms(|_| true), work: definition.work() };
+        let whole = Estimate {
+            chain_ms: definition.critical_path_ms(|_| true),
+            work: definition.core_ms(),
+        };
         let left = Estimate::of(definition, &open);
         Self {
             accepted,
--- a/crates/engine/src/former.rs
+++ b/crates/engine/src/former.rs
@@ -14,16 +14,16 @@
 /// machine is known, from having been emptied of it, and is there without it.  Its own entry among
 /// the minions lapses only seconds later, and a refused connection proves nothing: a partition may
 /// refuse connections, too.
-pub fn is_over(
+pub fn has_terminated(
     minion: &str,
     machines: &BTreeMap<String, Machine>,
     listed: bool,
-    emptied: Option<&str>,
+    drained_machine: Option<&str>,
 ) -> bool {
     if machines.is_empty() {
         return false;
     }
-    let is_held = machines.values().any(|machine| machine.minion.as_deref() == Some(minion));
-    let was_replaced = emptied.is_some_and(|machine| machines.contains_key(machine));
-    !is_held && (!listed || was_replaced)
+    let is_on_machine = machines.values().any(|machine| machine.minion.as_deref() == Some(minion));
+    let was_replaced = drained_machine.is_some_and(|machine| machines.contains_key(machine));
+    !is_on_machine && (!listed || was_replaced)
 }
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -108,7 +108,7 @@
     }
 
     /// What is left after `used`; nought where more is used than there is.
-    pub fn less(&self, used: &Resources) -> Resources {
+    pub fn minus(&self, used: &Resources) -> Resources {
         self.zip(used, u64::saturating_sub)
     }
 
@@ -173,33 +173,40 @@
     /// Whether a gang is slower when spread over racks.
     pub same_rack: bool,
     /// A label that the minion must have.
-    pub requires: Option<Box<str>>,
+    #[serde(rename = "requires")]
+    pub required_label: Option<Box<str>>,
     /// The rack that holds the data.
-    pub near: Option<Box<str>>,
+    #[serde(rename = "near")]
+    pub preferred_rack: Option<Box<str>>,
     /// Most tasks of an occurrence's step on one minion; none for no limit.
-    pub per_minion: Option<u32>,
+    #[serde(rename = "per_minion")]
+    pub max_per_minion: Option<u32>,
     /// Whether copies of a task may run side by side.
-    pub copies: bool,
+    #[serde(rename = "copies")]
+    pub speculative: bool,
     /// Whether its tasks run until the job is cancelled.
-    pub lasting: bool,
+    #[serde(rename = "lasting")]
+    pub long_running: bool,
     /// Tasks that may be away at once by the system's doing; only of lasting steps.
-    pub may_be_away: Option<u32>,
+    #[serde(rename = "may_be_away")]
+    pub max_unavailable: Option<u32>,
     /// What its tasks run; tasks of one image behave alike.
     pub image: Option<Box<str>>,
     /// For lasting tasks that serve users: tail of their response times in milliseconds.
     pub tail_target_ms: Option<u64>,
     /// Whether its tasks take only processor time that others leave, uncounted.
-    pub fills: bool,
+    #[serde(rename = "fills")]
+    pub best_effort: bool,
 }
 
 impl Step {
     /// What a task takes of a minion's capacity.
-    pub fn counted_need(&self) -> Resources {
-        if self.fills { Resources { cpu: 0, ..self.need } } else { self.need }
+    pub fn reserved_resources(&self) -> Resources {
+        if self.best_effort { Resources { cpu: 0, ..self.need } } else { self.need }
     }
 
     /// Core-milliseconds of the whole step as estimated.
-    pub fn work(&self) -> u64 {
+    pub fn core_ms(&self) -> u64 {
         u64::from(self.count) * self.need.cpu * self.estimate_ms / 1000
     }
 }
@@ -301,17 +308,17 @@
     }
 
     /// Whether any step runs until the job is cancelled.
-    pub fn is_lasting(&self) -> bool {
-        self.steps.iter().any(|step| step.lasting)
+    pub fn is_long_running(&self) -> bool {
+        self.steps.iter().any(|step| step.long_running)
     }
 
     /// Core-milliseconds of one occurrence as estimated.
-    pub fn work(&self) -> u64 {
-        self.steps.iter().map(Step::work).sum()
+    pub fn core_ms(&self) -> u64 {
+        self.steps.iter().map(Step::core_ms).sum()
     }
 
     /// Milliseconds of the longest chain of steps that `open` lets through, as estimated.
-    pub fn chain_ms(&self, open: impl Fn(usize) -> bool) -> u64 {
+    pub fn critical_path_ms(&self, open: impl Fn(usize) -> bool) -> u64 {
         let mut ends: SmallVec<[u64; 8]> = SmallVec::new();
         for (number, step) in self.steps.iter().enumerate() {
             let begin = step.after.iter().filter_map(|after| ends.get(*after as usize)).max();
--- a/crates/engine/src/quota/account.rs
+++ b/crates/engine/src/quota/account.rs
@@ -255,7 +255,7 @@
             if is_mine {
                 return Some(Target { size: part, is_first: place == 0 });
             }
-            left = left.less(&part);
+            left = left.minus(&part);
         }
         None
     }
@@ -390,7 +390,7 @@
             None if self.former.is_some() => self.own.plus(&known.max(&self.adopted)),
             _ => in_use,
         };
-        let free = limit.less(&others);
+        let free = limit.minus(&others);
         let demand = least.plus(&self.wants.min(room));
         let target = self.target();
         if target.is_some() || self.is_exceeded() {
@@ -402,7 +402,7 @@
             return self.alone(&others, &least).unwrap_or(shared);
         }
         if self.smallest.is_some() && !known.holds(&demand) {
-            let ahead = free.less(&demand).divided_by(AHEAD);
+            let ahead = free.minus(&demand).divided_by(AHEAD);
             let raised = least.max(&demand.plus(&ahead).min(&free)).max(&known);
             return self.alone(&others, &least).unwrap_or(raised);
         }
@@ -422,7 +422,7 @@
         let base = self.limit().0.divided_by(2 * cells);
         let kept = known.min(&least.max(&self.peak).max(&base));
         let idle = now.since(self.peak_since) >= KEEP / 2;
-        let is_worth = self.is_much(&known.less(&kept), WORTH_RETURNING);
+        let is_worth = self.is_much(&known.minus(&kept), WORTH_RETURNING);
         if idle && is_worth { kept } else { known.max(&least) }
     }
 
@@ -440,7 +440,7 @@
             || !known.least.times(2).holds(&next.least)
             || self.is_larger(&known.least) != self.is_larger(&next.least);
         let is_useful = if known.size.holds(&next.size) {
-            let given = known.size.less(&next.size);
+            let given = known.size.minus(&next.size);
             let is_asked = !self.split.other_claims(&self.holder.cell).is_empty();
             let is_time = is_asked && now.since(self.wrote) >= GIVE_PLACE;
             self.is_much(&given, WORTH_GIVING) || is_time && !given.is_zero()
--- a/crates/engine/src/submission.rs
+++ b/crates/engine/src/submission.rs
@@ -4,42 +4,42 @@
 //! still reach its entries, which can't write anything.  Held until its deadline, a submission is
 //! lost: the caller asks another entry with some 100 ms left.  Given back early, it is asked again
 //! while there is time, and within three seconds the balancer sends it to another zone.  A store that
-//! is only slow answers reads, so what is on its way there is waited for.
+//! is only slow answers reads, so what is on its way there is elapsed for.
 
 use std::time::Duration;
 
 /// How long a submission is tried that was certainly not written.  A store that turns calls away for
 /// a moment takes them again within some 100 ms; after that another entry may do better.
-const REFUSED_LIMIT: Duration = Duration::from_millis(400);
+const UNWRITTEN_RETRY_LIMIT: Duration = Duration::from_millis(400);
 
 /// How long a submission is tried that may have been written, while the store is silent here.  Four
 /// tries of this length fit into the three seconds that callers have, so an outage that ends
 /// meanwhile still lets one of them in.
-const SILENT_LIMIT: Duration = Duration::from_millis(650);
+const UNRESPONSIVE_STORE_RETRY_LIMIT: Duration = Duration::from_millis(650);
 
 /// Longest wait for one write while the store is silent here: some forty times its usual answer, so
 /// a store that is back shows it.
-const SILENT_WRITE: Duration = Duration::from_millis(250);
+const UNRESPONSIVE_STORE_WRITE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The largest part of a caller's time that is kept for the answer's way back, and the most of it.
-const MARGIN_SHARE: u32 = 5;
+const RESPONSE_MARGIN_DIVISOR: u32 = 5;
 
-/// See [`MARGIN_SHARE`]: an instance that is slowed down writes its answer this late.
-const MARGIN_MOST: Duration = Duration::from_millis(150);
+/// See [`RESPONSE_MARGIN_DIVISOR`]: an instance that is slowed down writes its answer this late.
+const MAX_RESPONSE_MARGIN: Duration = Duration::from_millis(150);
 
 /// A caller with less time than this doesn't come back after a second, the smallest step in which it
 /// can be told to wait, so it is better told to ask another entry at once.
-const COMES_BACK: Duration = Duration::from_millis(1300);
+const MIN_TIME_FOR_RETRY_AFTER: Duration = Duration::from_millis(1300);
 
 /// How far a submission has come.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Attempt {
     /// How long it has been tried.
-    pub waited: Duration,
+    pub elapsed: Duration,
     /// What is left of its caller's time.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Whether the store doesn't answer this entry.
-    pub silent: bool,
+    pub is_store_unresponsive: bool,
     /// Whether some other entry could be asked to write it.
     pub has_peers: bool,
     /// Whether any write may have been carried out.
@@ -48,22 +48,26 @@
 
 impl Attempt {
     /// Whether it is given back now.
-    pub fn is_over(&self) -> bool {
-        if self.left.is_zero() {
+    pub fn should_give_up(&self) -> bool {
+        if self.remaining.is_zero() {
             return true;
         }
         if self.has_peers {
             return false;
         }
         match self.unanswered {
-            true => self.silent && self.waited >= SILENT_LIMIT,
-            false => self.waited >= REFUSED_LIMIT,
+            true => self.is_store_unresponsive && self.elapsed >= UNRESPONSIVE_STORE_RETRY_LIMIT,
+            false => self.elapsed >= UNWRITTEN_RETRY_LIMIT,
         }
     }
 
     /// How long one write here may take.
-    pub fn write_limit(&self) -> Duration {
-        if self.silent { self.left.min(SILENT_WRITE) } else { self.left }
+    pub fn write_timeout(&self) -> Duration {
+        if self.is_store_unresponsive {
+            self.remaining.min(UNRESPONSIVE_STORE_WRITE_TIMEOUT)
+        } else {
+            self.remaining
+        }
     }
 }
 
@@ -71,11 +75,11 @@
 ///
 /// A fixed margin refused callers who had come back with less than it, although a write takes some
 /// 10 ms.
-pub fn usable(deadline: Duration) -> Duration {
-    deadline - (deadline / MARGIN_SHARE).min(MARGIN_MOST)
+pub fn usable_time(deadline: Duration) -> Duration {
+    deadline - (deadline / RESPONSE_MARGIN_DIVISOR).min(MAX_RESPONSE_MARGIN)
 }
 
 /// In how many seconds a refused caller with this much time left should come back.
 pub fn retry_after_s(left: Duration) -> u64 {
-    if left >= COMES_BACK { 1 } else { 0 }
+    if left >= MIN_TIME_FOR_RETRY_AFTER { 1 } else { 0 }
 }
--- a/crates/engine/tests/all/crashes.rs
+++ b/crates/engine/tests/all/crashes.rs
@@ -252,7 +252,7 @@
 fn tasks_of_a_failed_job_are_stopped_after_its_outcome_is_kept() {
     let mut world = World::new(4);
     let progress = Progress { suspicions: vec![(0, 7)], ..Progress::default() };
-    let one_per_minion = Step { per_minion: Some(1), ..step(3) };
+    let one_per_minion = Step { max_per_minion: Some(1), ..step(3) };
     world.add_kept(1, definition(vec![one_per_minion]), &progress);
     let mut started = Vec::new();
     for _ in 0..10 {
@@ -290,7 +290,7 @@
 #[test]
 fn a_task_that_was_at_work_for_long_is_acquitted() {
     let mut world = World::new(1);
-    world.submit(1, definition(vec![Step { lasting: true, ..step(1) }]));
+    world.submit(1, definition(vec![Step { long_running: true, ..step(1) }]));
     for round in 0..6 {
         let (minion, name, run) = world.next_start();
         world.cell.start_result(&minion, &name, run, StartResult::Started, world.now);
--- a/crates/engine/tests/all/former.rs
+++ b/crates/engine/tests/all/former.rs
@@ -1,6 +1,6 @@
 //! Which minions of a former owner are waited for.
 
-use celerythread_engine::former::is_over;
+use celerythread_engine::former::has_terminated;
 use celerythread_engine::maintenance::Machine;
 use std::collections::BTreeMap;
 
@@ -21,21 +21,27 @@
 #[test]
 fn a_minion_whose_machine_has_another_one_is_over() {
     let machines = machines(&[("m1", Some("new")), ("m2", None)]);
-    assert!(is_over("old", &machines, true, Some("m1")));
-    assert!(is_over("old", &machines, true, Some("m2")), "it is down, or on its way");
+    assert!(has_terminated("old", &machines, true, Some("m1")));
+    assert!(has_terminated("old", &machines, true, Some("m2")), "it is down, or on its way");
 }
 
 #[test]
 fn a_minion_that_neither_list_has_is_over() {
-    assert!(is_over("old", &machines(&[("m1", Some("new"))]), false, None));
+    assert!(has_terminated("old", &machines(&[("m1", Some("new"))]), false, None));
 }
 
 #[test]
 fn a_minion_that_may_live_is_waited_for() {
     let list = machines(&[("m1", Some("old"))]);
-    assert!(!is_over("old", &list, false, Some("m1")), "its machine has it");
+    assert!(!has_terminated("old", &list, false, Some("m1")), "its machine has it");
     let other = machines(&[("m2", Some("new"))]);
-    assert!(!is_over("old", &other, true, None), "it is listed, and its machine isn't known");
-    assert!(!is_over("old", &other, true, Some("m1")), "its machine isn't listed");
-    assert!(!is_over("old", &BTreeMap::new(), false, Some("m1")), "an empty list proves nothing");
+    assert!(
+        !has_terminated("old", &other, true, None),
+        "it is listed, and its machine isn't known"
+    );
+    assert!(!has_terminated("old", &other, true, Some("m1")), "its machine isn't listed");
+    assert!(
+        !has_terminated("old", &BTreeMap::new(), false, Some("m1")),
+        "an empty list proves nothing"
+    );
 }
--- a/crates/engine/tests/all/jobs.rs
+++ b/crates/engine/tests/all/jobs.rs
@@ -122,8 +122,8 @@
 #[test]
 fn labels_and_the_limit_per_minion_are_kept() {
     let mut world = World::new(4);
-    let labelled = Step { requires: Some("other".into()), ..step(1) };
-    let spread = Step { per_minion: Some(1), ..step(6) };
+    let labelled = Step { required_label: Some("other".into()), ..step(1) };
+    let spread = Step { max_per_minion: Some(1), ..step(6) };
     world.submit(1, definition(vec![labelled]));
     world.submit(2, definition(vec![spread]));
     let started = world.start_all();
--- a/crates/engine/tests/all/model/owner.rs
+++ b/crates/engine/tests/all/model/owner.rs
@@ -196,7 +196,7 @@
                         run,
                         first,
                         need: step.need,
-                        work: (!step.lasting).then_some(work),
+                        work: (!step.long_running).then_some(work),
                         deadline,
                         token: self.token,
                     };
--- a/crates/engine/tests/all/model/play.rs
+++ b/crates/engine/tests/all/model/play.rs
@@ -496,7 +496,8 @@
     // Ends before the next look, so that an acknowledgement can cover an end not yet read.
     let quick = Step { estimate_ms: 40, ..step(2) };
     let chained = vec![step(3), after(0, step(2)), after(1, quick)];
-    let lasting = Step { lasting: true, may_be_away: Some(1), per_minion: Some(1), ..step(2) };
+    let lasting =
+        Step { long_running: true, max_unavailable: Some(1), max_per_minion: Some(1), ..step(2) };
     let long = Step { estimate_ms: 60_000, ..step(2) };
     let crashing = vec![step(1)];
     [(CHAINED, chained), (LASTING, vec![lasting]), (CANCELLED, vec![long]), (CRASHING, crashing)]
--- a/crates/engine/tests/all/runs.rs
+++ b/crates/engine/tests/all/runs.rs
@@ -186,7 +186,7 @@
 #[test]
 fn a_lasting_task_is_restarted_however_it_ends() {
     let mut world = World::new(3);
-    let lasting = Step { lasting: true, may_be_away: Some(1), ..step(1) };
+    let lasting = Step { long_running: true, max_unavailable: Some(1), ..step(1) };
     world.submit(1, definition(vec![lasting]));
     for how in [How::Done, How::Failed, How::Failed, How::Failed, How::Expired] {
         let (minion, name, run) = world.start_all().remove(0);
@@ -201,7 +201,8 @@
 #[test]
 fn lasting_tasks_leave_one_after_the_other_within_what_may_be_away() {
     let mut world = World::new(6);
-    let lasting = Step { lasting: true, may_be_away: Some(1), per_minion: Some(1), ..step(3) };
+    let lasting =
+        Step { long_running: true, max_unavailable: Some(1), max_per_minion: Some(1), ..step(3) };
     world.submit(1, definition(vec![lasting]));
     let started = world.start_all();
     let report = |world: &mut World, start: &(std::sync::Arc<str>, _, u32), percent| {
@@ -235,7 +236,7 @@
     world.submit(1, definition(vec![step(100)]));
     let mut active = world.start_all();
     let need = celerythread_engine::job::Resources { cpu: 3000, memory_mb: 512, gpu: 0 };
-    let lasting = Step { lasting: true, need, ..step(1) };
+    let lasting = Step { long_running: true, need, ..step(1) };
     world.submit(2, definition(vec![lasting]));
     for _ in 0..3 {
         let (minion, name, run) = active.remove(0);
@@ -252,7 +253,7 @@
 fn a_lasting_task_returns_to_a_minion_that_is_being_emptied_if_nothing_else_has_room() {
     let mut world = World::new(2);
     let need = celerythread_engine::job::Resources { cpu: 16_000, memory_mb: 512, gpu: 0 };
-    let lasting = Step { lasting: true, may_be_away: Some(1), ..step(2) };
+    let lasting = Step { long_running: true, max_unavailable: Some(1), ..step(2) };
     world.submit(1, definition(vec![lasting]));
     let started = world.start_all();
     let (home, full) = (started[0].0.clone(), World::minion(1));
@@ -282,7 +283,7 @@
 #[test]
 fn the_tasks_of_a_lasting_job_are_spread() {
     let mut world = World::new(6);
-    let lasting = Step { lasting: true, ..step(6) };
+    let lasting = Step { long_running: true, ..step(6) };
     world.submit(1, definition(vec![lasting.clone()]));
     world.submit(2, definition(vec![lasting]));
     let started = world.start_all();
--- a/crates/engine/tests/all/sharing.rs
+++ b/crates/engine/tests/all/sharing.rs
@@ -19,8 +19,8 @@
 fn beside() -> (World, Vec<(std::sync::Arc<str>, TaskName, u32)>) {
     let mut world = World::new(1);
     let serving =
-        Step { lasting: true, tail_target_ms: Some(100), may_be_away: Some(1), ..step(1) };
-    let filling = Step { fills: true, estimate_ms: 60_000, ..step(1) };
+        Step { long_running: true, tail_target_ms: Some(100), max_unavailable: Some(1), ..step(1) };
+    let filling = Step { best_effort: true, estimate_ms: 60_000, ..step(1) };
     world.submit(1, definition(vec![serving]));
     world.submit(2, definition(vec![filling]));
     let started = world.start_all();
--- a/crates/engine/tests/all/submission.rs
+++ b/crates/engine/tests/all/submission.rs
@@ -1,6 +1,6 @@
 //! When callers get their time back.
 
-use celerythread_engine::submission::{Attempt, retry_after_s, usable};
+use celerythread_engine::submission::{Attempt, retry_after_s, usable_time};
 use std::time::Duration;
 
 const fn ms(ms: u64) -> Duration {
@@ -11,14 +11,14 @@
 /// entry of another zone with a tenth of a second left, and are turned away for want of time.
 #[test]
 fn a_caller_of_an_entry_that_is_cut_off_has_time_left_for_another_one() {
-    let attempt = |waited| Attempt {
-        waited,
-        left: ms(2850) - waited,
-        silent: true,
+    let attempt = |elapsed| Attempt {
+        elapsed,
+        remaining: ms(2850) - elapsed,
+        is_store_unresponsive: true,
         unanswered: true,
         ..Attempt::default()
     };
-    let over = (0..2850).step_by(50).map(ms).find(|waited| attempt(*waited).is_over());
+    let over = (0..2850).step_by(50).map(ms).find(|elapsed| attempt(*elapsed).should_give_up());
     let over = over.expect("is given back");
     assert!(over * 4 <= ms(2850), "four tries fit into a caller's time: {over:?}");
 }
@@ -27,9 +27,10 @@
 /// back as if it were silent, no submission would ever be answered.
 #[test]
 fn a_slow_store_is_waited_for() {
-    let slow = Attempt { waited: ms(2000), left: ms(850), unanswered: true, ..Attempt::default() };
-    assert!(!slow.is_over());
-    assert_eq!(slow.write_limit(), ms(850));
+    let slow =
+        Attempt { elapsed: ms(2000), remaining: ms(850), unanswered: true, ..Attempt::default() };
+    assert!(!slow.should_give_up());
+    assert_eq!(slow.write_timeout(), ms(850));
 }
 
 /// The store turns one entry away and serves the others: as long as another one can be asked, the
@@ -37,31 +38,31 @@
 #[test]
 fn peers_are_asked_before_anything_is_given_back() {
     let silent = Attempt {
-        waited: ms(2000),
-        left: ms(800),
-        silent: true,
+        elapsed: ms(2000),
+        remaining: ms(800),
+        is_store_unresponsive: true,
         unanswered: true,
         ..Attempt::default()
     };
-    assert!(silent.is_over());
-    assert!(!Attempt { has_peers: true, ..silent }.is_over());
-    assert!(silent.write_limit() < ms(300));
+    assert!(silent.should_give_up());
+    assert!(!Attempt { has_peers: true, ..silent }.should_give_up());
+    assert!(silent.write_timeout() < ms(300));
 }
 
 #[test]
 fn what_was_certainly_not_written_is_refused_after_a_few_tries() {
-    let refused = Attempt { waited: ms(300), left: ms(2500), ..Attempt::default() };
-    assert!(!refused.is_over());
-    assert!(Attempt { waited: ms(400), ..refused }.is_over());
+    let refused = Attempt { elapsed: ms(300), remaining: ms(2500), ..Attempt::default() };
+    assert!(!refused.should_give_up());
+    assert!(Attempt { elapsed: ms(400), ..refused }.should_give_up());
 }
 
 /// A caller comes back with 120 ms left.  A write takes ten, but all of its time was kept for the
 /// answer's way, and it was refused unheard.
 #[test]
 fn a_caller_with_little_time_is_served_in_it() {
-    assert!(usable(ms(120)) >= ms(90));
-    assert_eq!(usable(ms(3000)), ms(2850));
-    assert_eq!(usable(ms(0)), ms(0));
+    assert!(usable_time(ms(120)) >= ms(90));
+    assert_eq!(usable_time(ms(3000)), ms(2850));
+    assert_eq!(usable_time(ms(0)), ms(0));
 }
 
 /// Told to come back in a second, a caller with less than that left never does.
--- a/crates/scheduler/src/front.rs
+++ b/crates/scheduler/src/front.rs
@@ -13,7 +13,7 @@
 use celerythread_adapter::store::{Error, Transaction};
 use celerythread_adapter::submission;
 use celerythread_engine::job::{Accepted, Id, Origin, Problem, State, encode};
-use celerythread_engine::submission::{Attempt, retry_after_s, usable};
+use celerythread_engine::submission::{Attempt, retry_after_s, usable_time};
 use celerythread_engine::time::Time;
 use celerythread_http::Fault;
 use celerythread_http::server::{Handler, Request};
@@ -87,7 +87,7 @@
         Self {
             request: request.header(submission::REQUEST_HEADER).unwrap_or("-").into(),
             origin,
-            until: began + usable(deadline),
+            until: began + usable_time(deadline),
             began,
         }
     }
@@ -390,16 +390,16 @@
         let began = clock::now();
         let written = loop {
             let attempt = Attempt {
-                waited: clock::now().since(began),
-                left: context.left(),
-                silent: node.is_store_away(),
+                elapsed: clock::now().since(began),
+                remaining: context.left(),
+                is_store_unresponsive: node.is_store_away(),
                 has_peers: false,
                 unanswered: true,
             };
-            if attempt.is_over() {
+            if attempt.should_give_up() {
                 break false;
             }
-            if node.commit(&change, COMMIT_LIMIT.min(attempt.write_limit())).await.is_ok() {
+            if node.commit(&change, COMMIT_LIMIT.min(attempt.write_timeout())).await.is_ok() {
                 break true;
             }
             async_std::task::sleep(RETRY.min(context.left())).await;
--- a/crates/scheduler/src/owner/load.rs
+++ b/crates/scheduler/src/owner/load.rs
@@ -207,7 +207,7 @@
     let is_over = |id: &Arc<str>| {
         let mut emptied = view.emptying.iter();
         let machine = emptied.find(|(_, minion)| **minion == **id).map(|(name, _)| name.as_str());
-        former::is_over(id, &machines, minions.contains_key(id), machine)
+        former::has_terminated(id, &machines, minions.contains_key(id), machine)
     };
     let over: Vec<Arc<str>> = inherited.into_iter().filter(is_over).collect();
     for id in &over {
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -67,25 +67,25 @@
     let mut peers = peers(node).into_iter();
     loop {
         let attempt = Attempt {
-            waited: clock::now().since(began),
-            left: job.until.since(clock::now()),
-            silent: node.is_store_away(),
+            elapsed: clock::now().since(began),
+            remaining: job.until.since(clock::now()),
+            is_store_unresponsive: node.is_store_away(),
             has_peers: peers.len() > 0,
             unanswered,
         };
-        if attempt.is_over() {
+        if attempt.should_give_up() {
             return if unanswered { Written::Unknown } else { Written::Refused(refusal) };
         }
         // What the store's silence here would cost is saved by asking the peers first.
-        let peer = if attempt.silent { peers.next() } else { None };
+        let peer = if attempt.is_store_unresponsive { peers.next() } else { None };
         let tried = match peer {
             Some(peer) => write_there(node, peer, job).await,
-            None if attempt.silent => {
+            None if attempt.is_store_unresponsive => {
                 refusal = Error::Refused { reason: "the store is away".into() };
                 async_std::task::sleep(LOOK.min(job.until.since(clock::now()))).await;
                 continue;
             }
-            None => write_here(node, job, attempt.write_limit()).await,
+            None => write_here(node, job, attempt.write_timeout()).await,
         };
         match tried {
             Written::Accepted(_) => return tried,
--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -75,7 +75,7 @@
             ),
             (
                 "a minion whose machine has another one is not waited for",
-                "engine::former::is_over",
+                "engine::former::has_terminated",
                 "a_minion_whose_machine_has_another_one_is_over",
             ),
             (
@@ -220,7 +220,7 @@
         guards: &[
             (
                 "a caller of an entry that is cut off has time left for another",
-                "engine::submission::Attempt::is_over",
+                "engine::submission::Attempt::should_give_up",
                 "a_caller_of_an_entry_that_is_cut_off_has_time_left_for_another_one",
             ),
             (
@@ -256,12 +256,12 @@
             ),
             (
                 "what time a caller comes back with is used",
-                "engine::submission::usable",
+                "engine::submission::usable_time",
                 "a_caller_with_little_time_is_served_in_it",
             ),
             (
                 "a slow store isn't given up on",
-                "engine::submission::Attempt::is_over",
+                "engine::submission::Attempt::should_give_up",
                 "a_slow_store_is_waited_for",
             ),
             (
