--- a/crates/engine/tests/all/fixture.rs
+++ b/crates/engine/tests/all/fixture.rs
@@ -32,19 +32,19 @@
 }
 
 /// A cell under a hand-moved clock.
-pub(crate) struct World {
+pub(crate) struct Harness {
     pub(crate) cell: Cell,
     pub(crate) now: Time,
-    ends: u64,
+    last_end: u64,
 }
 
-impl World {
+impl Harness {
     pub(crate) fn new(minions: usize) -> Self {
         Self::with_cell(Cell::new(Settings::default(), 0, None), minions)
     }
 
     pub(crate) fn with_cell(cell: Cell, minions: usize) -> Self {
-        let mut world = Self { cell, now: Time(10_000), ends: 0 };
+        let mut harness = Self { cell, now: Time(10_000), last_end: 0 };
         let queue = Queue {
             priority: 0,
             attempts: 2,
@@ -53,18 +53,18 @@
             advised: false,
             public: true,
         };
-        world.cell.configure([("queue".into(), queue)]);
+        harness.cell.configure([("queue".into(), queue)]);
         for number in 0..minions {
-            world.join(number);
+            harness.add_minion(number);
         }
-        world
+        harness
     }
 
     pub(crate) fn minion(number: usize) -> MinionId {
         format!("minion-{number}").into()
     }
 
-    pub(crate) fn list(&mut self, number: usize) {
+    pub(crate) fn list_minion(&mut self, number: usize) {
         self.list_with(number, None);
     }
 
@@ -81,15 +81,15 @@
     }
 
     /// A further minion is listed, and runs nothing.
-    pub(crate) fn join(&mut self, number: usize) {
-        self.list(number);
+    pub(crate) fn add_minion(&mut self, number: usize) {
+        self.list_minion(number);
         self.answer(number, Report::default());
     }
 
     /// A minion falls silent, and is known to be over three seconds later.
     pub(crate) fn crash(&mut self, minion: &MinionId) {
         self.cell.missed(minion, self.now);
-        self.pass(3000);
+        self.advance_ms(3000);
         self.cell.bury(minion, self.now);
     }
 
@@ -100,24 +100,29 @@
     }
 
     pub(crate) fn submit(&mut self, job: u8, definition: Definition) {
-        self.add(job, definition, false);
+        self.add_job(job, definition, false);
     }
 
-    pub(crate) fn add(&mut self, job: u8, definition: Definition, inherited: bool) {
+    pub(crate) fn add_job(&mut self, job: u8, definition: Definition, inherited: bool) {
         let accepted =
             Accepted { queue: "queue".into(), at_ms: 0, definition, origin: Origin::Public };
         self.cell.add_job(id(job), accepted, None, inherited, Duration::ZERO, self.now);
     }
 
     /// A job of which a former owner kept some progress.
-    pub(crate) fn add_kept(&mut self, job: u8, definition: Definition, progress: &Progress) {
+    pub(crate) fn add_job_with_progress(
+        &mut self,
+        job: u8,
+        definition: Definition,
+        progress: &Progress,
+    ) {
         let accepted =
             Accepted { queue: "queue".into(), at_ms: 0, definition, origin: Origin::Public };
         let now = self.now;
         self.cell.add_job(id(job), accepted, Some(progress), false, Duration::ZERO, now);
     }
 
-    pub(crate) fn pass(&mut self, ms: u64) {
+    pub(crate) fn advance_ms(&mut self, ms: u64) {
         self.now = self.now + Duration::from_millis(ms);
     }
 
@@ -126,10 +131,10 @@
     }
 
     /// Plans until nothing is to be kept any more: what is held against a task is kept before it is tried again.
-    pub(crate) fn plan_kept(&mut self) -> Vec<Order> {
+    pub(crate) fn plan_and_store(&mut self) -> Vec<Order> {
         let mut orders = Vec::new();
         loop {
-            self.keep();
+            self.store_progress();
             orders.extend(self.plan());
             if !self.cell.has_unkept() {
                 return orders;
@@ -140,10 +145,10 @@
     /// The next start, once what comes before it is kept and over.
     pub(crate) fn next_start(&mut self) -> (MinionId, TaskName, u32) {
         for _ in 0..100 {
-            if let Some(start) = starts(&self.plan_kept()).pop() {
+            if let Some(start) = starts(&self.plan_and_store()).pop() {
                 return start;
             }
-            self.pass(50);
+            self.advance_ms(50);
         }
         panic!("nothing is started within five seconds");
     }
@@ -158,9 +163,15 @@
     }
 
     /// A minion lists an end, and that everything else of its runs goes on.
-    pub(crate) fn end(&mut self, minion: &MinionId, task: TaskName, run: u32, how: How) -> u64 {
-        self.ends += 1;
-        let number = self.ends;
+    pub(crate) fn report_end(
+        &mut self,
+        minion: &MinionId,
+        task: TaskName,
+        run: u32,
+        how: How,
+    ) -> u64 {
+        self.last_end += 1;
+        let number = self.last_end;
         let end = End { number, task, run, how, checkpoint: None };
         let report = Report { running: Vec::new(), finished: vec![end], ..Report::default() };
         // Sent long ago, so that it says nothing about other runs.
@@ -168,7 +179,7 @@
         number
     }
 
-    pub(crate) fn keep(&mut self) {
+    pub(crate) fn store_progress(&mut self) {
         while let Some(batch) = self.cell.unkept(90) {
             self.cell.kept(&batch);
         }
--- a/crates/engine/tests/all/former.rs
+++ b/crates/engine/tests/all/former.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_minion_that_neither_list_has_is_over() {
+fn a_minion_that_neither_list_has_is_terminated() {
     assert!(has_terminated("old", &machines(&[("m1", Some("new"))]), false, None));
 }
 
--- a/crates/engine/tests/all/matrix.rs
+++ b/crates/engine/tests/all/matrix.rs
@@ -6,7 +6,7 @@
 use crate::fixture::task;
 use crate::model::Start;
 use crate::model::owner::{CAPACITY, Call};
-use crate::model::play::{CHAINED, END, Fault, Play};
+use crate::model::simulation::{CHAINED_JOB, Fault, Simulation, TIME_LIMIT};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use strum::VariantArray;
@@ -15,34 +15,34 @@
 /// other, because one call of the owner was lost, came late, or its owner died or stood still just then.
 #[test]
 fn every_fault_at_every_call() {
-    check_every_fault(Play::new);
+    check_every_fault(Simulation::new);
 }
 
 /// As above, with crashed minions restarting under their former ids.
 #[test]
 fn every_fault_at_every_call_with_minions_that_keep_their_ids() {
-    check_every_fault(Play::with_kept_ids);
+    check_every_fault(Simulation::with_kept_ids);
 }
 
-fn check_every_fault(new_play: fn(BTreeMap<usize, Fault>) -> Play) {
-    let calm = new_play(BTreeMap::new()).run();
-    assert_eq!(calm.verdict(), Vec::<String>::new());
-    assert!(calm.crashing_starts() <= 3, "{} minions for one task", calm.crashing_starts());
-    let mut broken = Vec::new();
-    for call in 0..calm.calls {
+fn check_every_fault(new_simulation: fn(BTreeMap<usize, Fault>) -> Simulation) {
+    let baseline = new_simulation(BTreeMap::new()).run();
+    assert_eq!(baseline.failures(), Vec::<String>::new());
+    assert!(baseline.crashing_starts() <= 3, "{} minions for one task", baseline.crashing_starts());
+    let mut failed = Vec::new();
+    for call in 0..baseline.call_count {
         for fault in Fault::VARIANTS {
-            let found = new_play(BTreeMap::from([(call, *fault)])).run().verdict();
+            let found = new_simulation(BTreeMap::from([(call, *fault)])).run().failures();
             if !found.is_empty() {
-                broken.push(format!("{fault:?} at call {call}: {}", found.join("; ")));
+                failed.push(format!("{fault:?} at call {call}: {}", found.join("; ")));
             }
         }
     }
-    println!("{} calls, {} faults each", calm.calls, Fault::VARIANTS.len());
+    println!("{} calls, {} faults each", baseline.call_count, Fault::VARIANTS.len());
     assert!(
-        broken.is_empty(),
+        failed.is_empty(),
         "{} broken, the first: {:#?}",
-        broken.len(),
-        &broken[..broken.len().min(5)]
+        failed.len(),
+        &failed[..failed.len().min(5)]
     );
 }
 
@@ -54,7 +54,7 @@
     fn several_faults(
         plan in prop::collection::btree_map(0..400_usize, prop::sample::select(Fault::VARIANTS), 2..5)
     ) {
-        let found = Play::new(plan).run().verdict();
+        let found = Simulation::new(plan).run().failures();
         prop_assert!(found.is_empty(), "{found:?}");
     }
 
@@ -63,7 +63,7 @@
     fn several_faults_with_minions_that_keep_their_ids(
         plan in prop::collection::btree_map(0..400_usize, prop::sample::select(Fault::VARIANTS), 2..5)
     ) {
-        let found = Play::with_kept_ids(plan).run().verdict();
+        let found = Simulation::with_kept_ids(plan).run().failures();
         prop_assert!(found.is_empty(), "{found:?}");
     }
 }
@@ -73,35 +73,35 @@
 #[test]
 fn a_crashing_task_whose_owners_are_lost_is_given_up() {
     let plan = [(73, Fault::KilledBefore), (93, Fault::KilledBefore), (105, Fault::Crash)];
-    let kept_ids = Play::with_kept_ids(plan.into_iter().collect()).run().verdict();
+    let kept_ids = Simulation::with_kept_ids(plan.into_iter().collect()).run().failures();
     let plan = [
         (7, Fault::KilledBefore),
         (60, Fault::Outage),
         (88, Fault::KilledAfter),
-        (102, Fault::Apart),
+        (102, Fault::Isolated),
     ];
-    let new_ids = Play::new(plan.into_iter().collect()).run().verdict();
+    let new_ids = Simulation::new(plan.into_iter().collect()).run().failures();
     assert_eq!([kept_ids, new_ids], [Vec::<String>::new(), Vec::new()]);
 }
 
 #[test]
-fn the_check_sees_a_history_that_is_wrong() {
-    let mut play = Play::new(BTreeMap::new());
-    let name = task(CHAINED, 1, 0);
+fn the_checks_detect_an_invalid_history() {
+    let mut simulation = Simulation::new(BTreeMap::new());
+    let name = task(CHAINED_JOB, 1, 0);
     let start = |run| Start {
         task: name,
         run,
         first: run == 1,
         need: CAPACITY,
         work: None,
-        deadline: END,
+        deadline: TIME_LIMIT,
         token: 1,
     };
     for (minion, run) in [("a", 1), ("b", 2)] {
-        play.carry_out(1, &Call::Start { minion: minion.into(), start: start(run) });
+        simulation.execute(1, &Call::Start { minion: minion.into(), start: start(run) });
     }
-    let found = play.verdict().join("; ");
-    for breach in ["twice at once", "before an earlier step", "not finished"] {
-        assert!(found.contains(breach), "{found}");
+    let found = simulation.failures().join("; ");
+    for violation in ["twice at once", "before an earlier step", "not finished"] {
+        assert!(found.contains(violation), "{found}");
     }
 }
--- a/crates/engine/tests/all/model.rs
+++ b/crates/engine/tests/all/model.rs
@@ -1,7 +1,7 @@
 //! A model of minions and of the platform's table, which write down what truly happened.
 
 pub(crate) mod owner;
-pub(crate) mod play;
+pub(crate) mod simulation;
 
 use celerythread_engine::cell::{End, How, Incarnation, MinionId, Refusal, Report, Running};
 use celerythread_engine::job::{Id, Progress, Resources, TaskName};
@@ -11,12 +11,12 @@
 
 /// A run as it truly was.
 #[derive(Clone, Debug)]
-pub(crate) struct Lived {
+pub(crate) struct RunRecord {
     pub(crate) task: TaskName,
     pub(crate) run: u32,
     pub(crate) ended: Option<(Time, How)>,
     /// Whether its end was acknowledged to its minion.
-    pub(crate) noted: bool,
+    pub(crate) acknowledged: bool,
     /// Whether its minion crashed under it.
     pub(crate) crashed: bool,
 }
@@ -27,12 +27,12 @@
     run: u32,
     need: Resources,
     /// Its place in the history.
-    lived: usize,
+    record: usize,
     /// When it is done; never for a task that lasts.
-    done: Option<Time>,
+    done_at: Option<Time>,
     /// When a stop takes effect.
-    stops: Option<Time>,
-    began: Time,
+    stops_at: Option<Time>,
+    began_at: Time,
 }
 
 /// One incarnation of a minion.
@@ -45,9 +45,9 @@
     deadline: Time,
     running: BTreeMap<TaskName, Work>,
     /// The highest run of each task that was stopped or ended here.
-    over: BTreeMap<TaskName, u32>,
+    last_ended_runs: BTreeMap<TaskName, u32>,
     ends: Vec<End>,
-    count: u64,
+    last_end: u64,
 }
 
 /// A start as it is sent.
@@ -65,7 +65,7 @@
 }
 
 /// Time that a stop takes.
-const STOP: Duration = Duration::from_millis(60);
+const STOP_DURATION: Duration = Duration::from_millis(60);
 
 impl Minion {
     pub(crate) fn new(id: &str, incarnation: Incarnation, capacity: Resources) -> Self {
@@ -76,9 +76,9 @@
             token: 0,
             deadline: Time(0),
             running: BTreeMap::new(),
-            over: BTreeMap::new(),
+            last_ended_runs: BTreeMap::new(),
             ends: Vec::new(),
-            count: 0,
+            last_end: 0,
         }
     }
 
@@ -90,34 +90,34 @@
         &mut self,
         start: &Start,
         now: Time,
-        lived: &mut Vec<Lived>,
+        history: &mut Vec<RunRecord>,
     ) -> Result<(), Refusal> {
         self.fence(start.token)?;
         if start.deadline <= now {
             return Err(Refusal::TooLate);
         }
         self.deadline = self.deadline.max(start.deadline);
-        let here = self.running.get(&start.task).map(|work| work.run);
-        if here == Some(start.run) {
+        let running = self.running.get(&start.task).map(|work| work.run);
+        if running == Some(start.run) {
             return Ok(());
         }
-        let over = self.over.get(&start.task).copied().unwrap_or(0);
-        if here.is_some() || start.run <= over {
+        let last_ended = self.last_ended_runs.get(&start.task).copied().unwrap_or(0);
+        if running.is_some() || start.run <= last_ended {
             return Err(Refusal::StaleRun);
         }
         let work = Work {
             run: start.run,
             need: start.need,
-            lived: lived.len(),
-            done: start.work.map(|work| now + work),
-            stops: None,
-            began: now,
+            record: history.len(),
+            done_at: start.work.map(|work| now + work),
+            stops_at: None,
+            began_at: now,
         };
-        lived.push(Lived {
+        history.push(RunRecord {
             task: start.task,
             run: start.run,
             ended: None,
-            noted: false,
+            acknowledged: false,
             crashed: false,
         });
         self.running.insert(start.task, work);
@@ -132,10 +132,10 @@
         now: Time,
     ) -> Result<(), Refusal> {
         self.fence(token)?;
-        let over = self.over.entry(task).or_default();
-        *over = run.max(*over);
+        let last_ended = self.last_ended_runs.entry(task).or_default();
+        *last_ended = run.max(*last_ended);
         if let Some(work) = self.running.get_mut(&task).filter(|work| work.run <= run) {
-            work.stops.get_or_insert(now + STOP);
+            work.stops_at.get_or_insert(now + STOP_DURATION);
         }
         Ok(())
     }
@@ -146,18 +146,18 @@
         acknowledged: u64,
         deadline: Option<Time>,
         now: Time,
-        lived: &mut [Lived],
+        history: &mut [RunRecord],
     ) -> Result<Report, Refusal> {
         self.fence(token)?;
         if let Some(deadline) = deadline {
             self.deadline = self.deadline.max(deadline);
         }
-        let (noted, ends) =
+        let (acknowledged_ends, ends) =
             std::mem::take(&mut self.ends).into_iter().partition(|end| end.number <= acknowledged);
         self.ends = ends;
-        for end in Vec::from_iter::<Vec<End>>(noted) {
-            let is_it = |run: &&mut Lived| run.task == end.task && run.run == end.run;
-            lived.iter_mut().filter(is_it).for_each(|run| run.noted = true);
+        for end in Vec::from_iter::<Vec<End>>(acknowledged_ends) {
+            let is_it = |run: &&mut RunRecord| run.task == end.task && run.run == end.run;
+            history.iter_mut().filter(is_it).for_each(|run| run.acknowledged = true);
         }
         let running = self.running.iter().map(|(task, work)| Running {
             task: *task,
@@ -179,11 +179,11 @@
     }
 
     /// Lets time pass.
-    pub(crate) fn pass(&mut self, now: Time, lived: &mut [Lived]) {
+    pub(crate) fn advance(&mut self, now: Time, history: &mut [RunRecord]) {
         let expired = now >= self.deadline;
-        let over = self.running.iter().filter_map(|(task, work)| {
-            let done = work.done.is_some_and(|at| now >= at);
-            let stopped = work.stops.is_some_and(|at| now >= at);
+        let ended = self.running.iter().filter_map(|(task, work)| {
+            let done = work.done_at.is_some_and(|at| now >= at);
+            let stopped = work.stops_at.is_some_and(|at| now >= at);
             let how = match (done, stopped, expired) {
                 (true, ..) => How::Done,
                 (_, true, _) => How::Stopped,
@@ -192,34 +192,34 @@
             };
             Some((*task, how))
         });
-        for (task, how) in over.collect::<Vec<_>>() {
-            self.end(task, how, now, lived);
+        for (task, how) in ended.collect::<Vec<_>>() {
+            self.end(task, how, now, history);
         }
     }
 
-    fn end(&mut self, task: TaskName, how: How, now: Time, lived: &mut [Lived]) {
+    fn end(&mut self, task: TaskName, how: How, now: Time, history: &mut [RunRecord]) {
         let Some(work) = self.running.remove(&task) else { return };
-        lived[work.lived].ended = Some((now, how));
-        let over = self.over.entry(task).or_default();
-        *over = work.run.max(*over);
-        self.count += 1;
-        let end = End { number: self.count, task, run: work.run, how, checkpoint: None };
+        history[work.record].ended = Some((now, how));
+        let last_ended = self.last_ended_runs.entry(task).or_default();
+        *last_ended = work.run.max(*last_ended);
+        self.last_end += 1;
+        let end = End { number: self.last_end, task, run: work.run, how, checkpoint: None };
         self.ends.push(end);
     }
 
     /// Ends everything at once: the minion has crashed.
-    pub(crate) fn crash(&mut self, now: Time, lived: &mut [Lived]) {
+    pub(crate) fn crash(&mut self, now: Time, history: &mut [RunRecord]) {
         for work in std::mem::take(&mut self.running).into_values() {
-            lived[work.lived].ended = Some((now, How::Expired));
-            lived[work.lived].crashed = true;
+            history[work.record].ended = Some((now, How::Expired));
+            history[work.record].crashed = true;
         }
     }
 }
 
 fn percent(work: &Work, now: Time) -> u8 {
-    let Some(done) = work.done else { return 100 };
-    let whole = done.since(work.began).as_millis().max(1);
-    (now.since(work.began).as_millis() * 100 / whole).min(100) as u8
+    let Some(done) = work.done_at else { return 100 };
+    let whole = done.since(work.began_at).as_millis().max(1);
+    (now.since(work.began_at).as_millis() * 100 / whole).min(100) as u8
 }
 
 /// The platform's table, as far as an owner of a cell uses it.
@@ -230,8 +230,8 @@
     /// How often the holder has renewed.
     pub(crate) renewals: u64,
     /// The version of the row under whose condition the holder writes.
-    pub(crate) ledger: u64,
+    pub(crate) ledger_version: u64,
     pub(crate) progress: BTreeMap<Id, Progress>,
     /// When each end that was kept as done was kept.
-    pub(crate) done: BTreeMap<TaskName, Time>,
+    pub(crate) done_stored_at: BTreeMap<TaskName, Time>,
 }
--- a/crates/engine/tests/all/model/owner.rs
+++ b/crates/engine/tests/all/model/owner.rs
@@ -1,7 +1,7 @@
 //! An owner of a cell, as the daemon drives the engine: it decides on calls and takes in answers.
 
 use super::Start;
-use super::play::step_of;
+use super::simulation::step_of;
 use celerythread_engine::cell::{
     Batch, Cell, Incarnation, Listing, MinionId, Order, Permit, Refusal, Report, StartResult,
 };
@@ -11,16 +11,16 @@
 use std::time::Duration;
 
 // The daemon's default settings, and the margins that it adds to them.
-const RENEW: Duration = Duration::from_millis(300);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
 /// From here on after its last renewal an owner starts only what was never started.
-const START_ALONE: Duration = Duration::from_millis(1000);
+const START_ALONE_LIMIT: Duration = Duration::from_millis(1000);
 /// And from here on it starts nothing and extends no lease.
-pub(crate) const EXTEND_ALONE: Duration = Duration::from_millis(3000);
-pub(crate) const LEASE: Duration = Duration::from_millis(4500);
-pub(crate) const MARGIN: Duration = Duration::from_millis(150);
+pub(crate) const EXTEND_ALONE_LIMIT: Duration = Duration::from_millis(3000);
+pub(crate) const LEASE_DURATION: Duration = Duration::from_millis(4500);
+pub(crate) const LEASE_MARGIN: Duration = Duration::from_millis(150);
 
 /// Time between two looks at a minion.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(crate) const CAPACITY: Resources = Resources { cpu: 4000, memory_mb: 4096, gpu: 0 };
 
@@ -45,7 +45,7 @@
     },
     /// On condition that the ledger still has the version that the owner knows, so that a write
     /// which is carried out late can't undo a newer one.
-    Keep {
+    Store {
         batch: Batch,
         version: u64,
     },
@@ -57,7 +57,7 @@
     Done,
     Report(Report),
     Refused(Refusal),
-    OtherLife,
+    OtherIncarnation,
     Superseded,
 }
 
@@ -67,7 +67,7 @@
     pub(crate) token: u64,
     pub(crate) renewed: Time,
     pub(crate) next_renewal: Time,
-    pub(crate) next_look: BTreeMap<MinionId, Time>,
+    pub(crate) next_poll: BTreeMap<MinionId, Time>,
     pub(crate) missed: BTreeSet<MinionId>,
     /// The incarnation that last answered on each open connection.
     connections: BTreeMap<MinionId, Incarnation>,
@@ -75,14 +75,14 @@
     pub(crate) calls: VecDeque<Call>,
     pub(crate) paused_until: Option<Time>,
     /// Until when it reaches only this minion.
-    pub(crate) apart: Option<(Time, MinionId)>,
-    pub(crate) over: bool,
+    pub(crate) isolation: Option<(Time, MinionId)>,
+    pub(crate) is_stopped: bool,
 }
 
 impl Call {
     pub(crate) fn minion(&self) -> Option<MinionId> {
         match self {
-            Call::Renew | Call::Keep { .. } => None,
+            Call::Renew | Call::Store { .. } => None,
             Call::Hold { minion, .. } | Call::Start { minion, .. } | Call::Stop { minion, .. } => {
                 Some(minion.clone())
             }
@@ -98,29 +98,29 @@
             token,
             renewed: now,
             next_renewal: now,
-            next_look: BTreeMap::new(),
+            next_poll: BTreeMap::new(),
             missed: BTreeSet::new(),
             connections: BTreeMap::new(),
             calls: VecDeque::new(),
             paused_until: None,
-            apart: None,
-            over: false,
+            isolation: None,
+            is_stopped: false,
         }
     }
 
     fn permit(&self, now: Time) -> Permit {
         match now.since(self.renewed) {
-            silence if silence <= START_ALONE => Permit::All,
-            silence if silence <= EXTEND_ALONE => {
-                Permit::Fresh { known_by: self.renewed + START_ALONE }
+            silence if silence <= START_ALONE_LIMIT => Permit::All,
+            silence if silence <= EXTEND_ALONE_LIMIT => {
+                Permit::Fresh { known_by: self.renewed + START_ALONE_LIMIT }
             }
             _ => Permit::Nothing,
         }
     }
 
     /// Whether it reaches a minion, or the table.
-    pub(crate) fn reaches(&self, minion: Option<MinionId>, now: Time) -> bool {
-        let Some((until, only)) = &self.apart else { return true };
+    pub(crate) fn can_reach(&self, minion: Option<MinionId>, now: Time) -> bool {
+        let Some((until, only)) = &self.isolation else { return true };
         now >= *until || minion.as_ref() == Some(only)
     }
 
@@ -135,9 +135,9 @@
     }
 
     /// Decides on calls.
-    pub(crate) fn decide(&mut self, listed: &[MinionId], ledger: u64, now: Time) {
+    pub(crate) fn plan_calls(&mut self, listed: &[MinionId], ledger_version: u64, now: Time) {
         if now >= self.next_renewal {
-            self.next_renewal = now + RENEW;
+            self.next_renewal = now + RENEWAL_INTERVAL;
             self.calls.push_back(Call::Renew);
         }
         for minion in listed {
@@ -153,12 +153,12 @@
             if !listed.contains(&minion) {
                 self.cell.unlist(&minion);
             }
-            if self.next_look.get(&minion).is_some_and(|at| now < *at) {
+            if self.next_poll.get(&minion).is_some_and(|at| now < *at) {
                 continue;
             }
-            self.next_look.insert(minion.clone(), now + LOOK);
+            self.next_poll.insert(minion.clone(), now + POLL_INTERVAL);
             let missed = self.missed.contains(&minion);
-            let deadline = if missed { None } else { self.promise(&minion, now) };
+            let deadline = if missed { None } else { self.extend_lease(&minion, now) };
             // Acknowledges ends only on a connection that can't reach another incarnation.
             let connected_to = self.connections.get(&minion).copied();
             let is_current = connected_to.is_some() && connected_to == incarnation;
@@ -166,27 +166,27 @@
             self.calls.push_back(Call::Hold { minion, connected_to, acknowledged, deadline });
         }
         let orders = self.cell.plan(now, now.0, self.permit(now));
-        self.give(orders, now);
+        self.queue_orders(orders, now);
         if let Some(batch) = self.cell.unkept(90) {
-            self.calls.push_back(Call::Keep { batch, version: ledger });
+            self.calls.push_back(Call::Store { batch, version: ledger_version });
         }
     }
 
-    fn promise(&mut self, minion: &MinionId, now: Time) -> Option<Time> {
-        if now.since(self.renewed) > EXTEND_ALONE {
+    fn extend_lease(&mut self, minion: &MinionId, now: Time) -> Option<Time> {
+        if now.since(self.renewed) > EXTEND_ALONE_LIMIT {
             return None;
         }
-        self.cell.promise(minion, now + LEASE + MARGIN);
-        Some(now + LEASE)
+        self.cell.promise(minion, now + LEASE_DURATION + LEASE_MARGIN);
+        Some(now + LEASE_DURATION)
     }
 
-    fn give(&mut self, orders: Vec<Order>, now: Time) {
+    fn queue_orders(&mut self, orders: Vec<Order>, now: Time) {
         for order in orders {
             match order {
                 Order::Start { minion, task, run, first, .. } => {
                     let step = step_of(&task);
                     let work = Duration::from_millis(step.estimate_ms);
-                    let Some(deadline) = self.promise(&minion, now) else {
+                    let Some(deadline) = self.extend_lease(&minion, now) else {
                         let refused = StartResult::Refused(Refusal::Unhealthy);
                         self.cell.start_result(&minion, &task, run, refused, now);
                         continue;
@@ -211,10 +211,10 @@
     }
 
     /// Takes in an answer.
-    pub(crate) fn take(&mut self, call: &Call, answer: Answer, now: Time) {
+    pub(crate) fn handle_answer(&mut self, call: &Call, answer: Answer, now: Time) {
         if let Some(minion) = call.minion() {
             match answer {
-                Answer::OtherLife => return self.cell.bury(&minion, now),
+                Answer::OtherIncarnation => return self.cell.bury(&minion, now),
                 Answer::Unknown => {
                     self.connections.remove(&minion);
                     self.missed.insert(minion);
@@ -223,16 +223,16 @@
             }
         }
         match (call, answer) {
-            (_, Answer::Superseded) => self.over = true,
+            (_, Answer::Superseded) => self.is_stopped = true,
             (Call::Renew, Answer::Done) => self.renewed = now,
-            (Call::Keep { batch, .. }, Answer::Done) => self.cell.kept(batch),
+            (Call::Store { batch, .. }, Answer::Done) => self.cell.kept(batch),
             (Call::Hold { minion, .. }, Answer::Report(report)) => {
                 if let Some(incarnation) = report.incarnation {
                     self.connections.insert(minion.clone(), incarnation);
                 }
                 let sent = now - Duration::from_millis(1);
                 let orders = self.cell.report(minion, &report, sent, now);
-                self.give(orders, now);
+                self.queue_orders(orders, now);
             }
             (Call::Hold { minion, .. }, _) => self.cell.missed(minion, now),
             (Call::Start { minion, start }, answer) => {
--- a/crates/engine/tests/all/model/play.rs
+++ b/crates/engine/tests/all/model/simulation.rs
@@ -1,7 +1,9 @@
 //! A scenario with faults: owners that follow each other, minions, the table, a caller.
 
-use super::owner::{Answer, CAPACITY, Call, EXTEND_ALONE, LEASE, MARGIN, Owner};
-use super::{Lived, Minion, Table};
+use super::owner::{
+    Answer, CAPACITY, Call, EXTEND_ALONE_LIMIT, LEASE_DURATION, LEASE_MARGIN, Owner,
+};
+use super::{Minion, RunRecord, Table};
 use crate::fixture::{definition, id, step};
 use celerythread_engine::cell::{
     Batch, Cell, How, Incarnation, MinionId, Queue, Refusal, Settings,
@@ -14,31 +16,31 @@
 
 const TICK: Duration = Duration::from_millis(20);
 /// Silence after which others take over, by the daemon's default settings.
-const TAKEOVER: Duration = Duration::from_millis(1300);
+const TAKEOVER_DELAY: Duration = Duration::from_millis(1300);
 /// How long a pause lasts: beyond every lease, and a successor has long taken over.
-const PAUSE: Duration = Duration::from_secs(14);
+const PAUSE_DURATION: Duration = Duration::from_secs(14);
 /// How long a minion is cut off.
-const CUT: Duration = Duration::from_secs(7);
-const OUTAGE: Duration = Duration::from_secs(4);
+const PARTITION_DURATION: Duration = Duration::from_secs(7);
+const OUTAGE_DURATION: Duration = Duration::from_secs(4);
 /// When a call that is carried out late is.
-const LATE: Duration = Duration::from_secs(3);
+const CALL_DELAY: Duration = Duration::from_secs(3);
 /// When a crashed minion's next life begins.
-const REBIRTH: Duration = Duration::from_millis(1500);
+const RESTART_DELAY: Duration = Duration::from_millis(1500);
 /// When the caller cancels its job.
-const CANCELLED_AT: Time = Time(10_700);
-const BEGIN: Time = Time(10_000);
+const CANCEL_TIME: Time = Time(10_700);
+const START_TIME: Time = Time(10_000);
 /// Longest play; the worst fault is over long before.
-pub(crate) const END: Time = Time(70_000);
-const MINIONS: [&str; 3] = ["a", "b", "c"];
-pub(crate) const CHAINED: u8 = 1;
-const LASTING: u8 = 2;
-const CANCELLED: u8 = 3;
+pub(crate) const TIME_LIMIT: Time = Time(70_000);
+const MINION_IDS: [&str; 3] = ["a", "b", "c"];
+pub(crate) const CHAINED_JOB: u8 = 1;
+const LONG_RUNNING_JOB: u8 = 2;
+const CANCELLED_JOB: u8 = 3;
 /// Its only task crashes each minion that starts it.
-const CRASHING: u8 = 4;
+const CRASHING_JOB: u8 = 4;
 /// How soon after its start it does.
-const CRASH_AFTER: Duration = Duration::from_millis(10);
+const CRASH_DELAY: Duration = Duration::from_millis(10);
 /// Crashes under one task for which its job may be given up, whatever caused them.
-const ENOUGH_CRASHES: usize = 2;
+const CRASHES_TO_GIVE_UP: usize = 2;
 /// Starts of it that are too many: three more after the third crash.
 const TOO_MANY_STARTS: usize = 6;
 
@@ -50,7 +52,7 @@
     /// It is carried out, and nobody knows.
     AnswerLost,
     /// It is carried out seconds later, and nobody knows.
-    Late,
+    Delayed,
     /// The owner dies before it is sent.
     KilledBefore,
     /// The owner dies after it was carried out.
@@ -62,71 +64,71 @@
     /// The minion restarts immediately under the same id.
     Restart,
     /// The minion is cut off from all entries, and runs on.
-    Cut,
+    Partitioned,
     /// The owner is cut off from the table and from all minions but one.
-    Apart,
+    Isolated,
     /// The table is down.
     Outage,
 }
 
 /// A play of the scenario.
-pub(crate) struct Play {
+pub(crate) struct Simulation {
     now: Time,
-    plan: BTreeMap<usize, Fault>,
-    pub(crate) calls: usize,
+    faults: BTreeMap<usize, Fault>,
+    pub(crate) call_count: usize,
     minions: Vec<Minion>,
     roster: BTreeSet<MinionId>,
     /// When crashed minions come back, and under which ids.
-    reborn: Vec<(Time, String)>,
+    pending_restarts: Vec<(Time, String)>,
     /// Whether crashed minions come back under their former ids.
     keeps_ids: bool,
     /// Numbers the incarnations of all minions.
     last_incarnation: u64,
     /// Minions that have started what crashes them, and when they are gone.
-    doomed: Vec<(Time, MinionId)>,
-    cut: BTreeMap<MinionId, Time>,
+    pending_crashes: Vec<(Time, MinionId)>,
+    partitioned_until: BTreeMap<MinionId, Time>,
     outage_until: Time,
     /// Delayed calls: when they are carried out, the caller's token, and the receiving incarnation.
-    late: Vec<(Time, u64, Call, Option<Incarnation>)>,
+    delayed_calls: Vec<(Time, u64, Call, Option<Incarnation>)>,
     table: Table,
-    lived: Vec<Lived>,
-    breaches: Vec<String>,
+    history: Vec<RunRecord>,
+    violations: Vec<String>,
     owners: Vec<Owner>,
     /// Renewals as a candidate saw them last, and since when.
-    seen: (u64, Time),
+    observed_renewals: (u64, Time),
     cancelled: bool,
 }
 
-impl Play {
-    pub(crate) fn new(plan: BTreeMap<usize, Fault>) -> Self {
-        let mut play = Self {
-            now: BEGIN,
-            plan,
-            calls: 0,
+impl Simulation {
+    pub(crate) fn new(faults: BTreeMap<usize, Fault>) -> Self {
+        let mut simulation = Self {
+            now: START_TIME,
+            faults,
+            call_count: 0,
             minions: Vec::new(),
-            roster: MINIONS.map(MinionId::from).into(),
-            reborn: Vec::new(),
+            roster: MINION_IDS.map(MinionId::from).into(),
+            pending_restarts: Vec::new(),
             keeps_ids: false,
             last_incarnation: 0,
-            doomed: Vec::new(),
-            cut: BTreeMap::new(),
+            pending_crashes: Vec::new(),
+            partitioned_until: BTreeMap::new(),
             outage_until: Time(0),
-            late: Vec::new(),
+            delayed_calls: Vec::new(),
             table: Table::default(),
-            lived: Vec::new(),
-            breaches: Vec::new(),
+            history: Vec::new(),
+            violations: Vec::new(),
             owners: Vec::new(),
-            seen: (0, BEGIN),
+            observed_renewals: (0, START_TIME),
             cancelled: false,
         };
-        MINIONS.iter().for_each(|name| play.start_minion(name));
-        play.take_over(None);
-        play
+        MINION_IDS.iter().for_each(|name| simulation.start_minion(name));
+        simulation.take_over(None);
+        simulation
     }
 
     /// Like [`Self::new`], with crashed minions coming back under their former ids.
-    pub(crate) fn with_kept_ids(plan: BTreeMap<usize, Fault>) -> Self {
-        Self { keeps_ids: true, ..Self::new(plan) }
+    pub(crate) fn with_kept_ids(faults: BTreeMap<usize, Fault>) -> Self {
+        Self { keeps_ids: true, ..Self::new(faults) }
     }
 
     fn start_minion(&mut self, name: &str) {
@@ -156,86 +158,90 @@
             cell.add_job(id, accepted, progress, inherited, Duration::ZERO, self.now);
         }
         if self.cancelled {
-            cell.cancel(&id(CANCELLED), self.now);
+            cell.cancel(&id(CANCELLED_JOB), self.now);
         }
         self.owners.push(Owner::new(cell, self.table.token, self.now));
-        self.seen = (self.table.renewals, self.now);
+        self.observed_renewals = (self.table.renewals, self.now);
     }
 
     pub(crate) fn run(mut self) -> Self {
-        while self.now < END && !self.is_finished() {
-            self.pass();
+        while self.now < TIME_LIMIT && !self.is_finished() {
+            self.advance();
             for index in 0..self.owners.len() {
                 self.drive(index);
             }
-            self.owners.retain(|owner| !owner.over);
-            self.succeed();
+            self.owners.retain(|owner| !owner.is_stopped);
+            self.take_over_if_silent();
         }
         self
     }
 
     /// Whether all is as it should be, and nothing that was set off is still to come.
     fn is_finished(&self) -> bool {
-        let unwanted = |run: &Lived| run.task.job == id(CANCELLED) && run.ended.is_none();
-        let quiet = self.late.is_empty()
-            && self.reborn.is_empty()
-            && self.now > CANCELLED_AT
-            && !self.lived.iter().any(unwanted);
+        let unwanted = |run: &RunRecord| run.task.job == id(CANCELLED_JOB) && run.ended.is_none();
+        let quiet = self.delayed_calls.is_empty()
+            && self.pending_restarts.is_empty()
+            && self.now > CANCEL_TIME
+            && !self.history.iter().any(unwanted);
         let paused = self.owners.iter().any(|owner| owner.paused_until.is_some());
-        let done = self.table.progress.get(&id(CHAINED)).and_then(|kept| kept.outcome);
-        let crashing = self.table.progress.get(&id(CRASHING)).and_then(|kept| kept.outcome);
-        let done = done == Some(State::Completed) || self.may_give_up(CHAINED);
+        let done = self.table.progress.get(&id(CHAINED_JOB)).and_then(|kept| kept.outcome);
+        let crashing = self.table.progress.get(&id(CRASHING_JOB)).and_then(|kept| kept.outcome);
+        let done = done == Some(State::Completed) || self.may_give_up(CHAINED_JOB);
         let ended = done && crashing == Some(State::Failed);
-        let lasting = self.lasting_at_work() == 2 || self.may_give_up(LASTING);
+        let lasting = self.active_long_running() == 2 || self.may_give_up(LONG_RUNNING_JOB);
         quiet && !paused && ended && lasting
     }
 
-    fn lasting_at_work(&self) -> usize {
-        let lasting = |run: &&Lived| run.task.job == id(LASTING) && run.ended.is_none();
-        self.lived.iter().filter(lasting).count()
+    fn active_long_running(&self) -> usize {
+        let lasting =
+            |run: &&RunRecord| run.task.job == id(LONG_RUNNING_JOB) && run.ended.is_none();
+        self.history.iter().filter(lasting).count()
     }
 
-    fn pass(&mut self) {
+    fn advance(&mut self) {
         self.now = self.now + TICK;
         for minion in &mut self.minions {
-            minion.pass(self.now, &mut self.lived);
+            minion.advance(self.now, &mut self.history);
         }
         let now = self.now;
-        let (due, rest) = std::mem::take(&mut self.doomed).into_iter().partition(|d| d.0 <= now);
-        self.doomed = rest;
+        let (due, rest) =
+            std::mem::take(&mut self.pending_crashes).into_iter().partition(|d| d.0 <= now);
+        self.pending_crashes = rest;
         for (_, minion) in Vec::from_iter::<Vec<_>>(due) {
             self.crash(Some(minion));
         }
-        let (due, rest) = std::mem::take(&mut self.late).into_iter().partition(|c| c.0 <= now);
-        self.late = rest;
+        let (due, rest) =
+            std::mem::take(&mut self.delayed_calls).into_iter().partition(|c| c.0 <= now);
+        self.delayed_calls = rest;
         for (_, token, call, receiver) in Vec::from_iter::<Vec<_>>(due) {
             // Delayed calls are lost when the minion that received them restarts.
             if self.incarnation_of(call.minion()) == receiver {
-                self.carry_out(token, &call);
+                self.execute(token, &call);
             }
         }
-        let (due, rest) = std::mem::take(&mut self.reborn).into_iter().partition(|r| r.0 <= now);
-        self.reborn = rest;
+        let (due, rest) =
+            std::mem::take(&mut self.pending_restarts).into_iter().partition(|r| r.0 <= now);
+        self.pending_restarts = rest;
         for (_, name) in Vec::from_iter::<Vec<_>>(due) {
             self.roster.insert(name.as_str().into());
             self.start_minion(&name);
         }
-        if now >= CANCELLED_AT && !self.cancelled {
+        if now >= CANCEL_TIME && !self.cancelled {
             self.cancelled = true;
             for owner in &mut self.owners {
-                owner.cell.cancel(&id(CANCELLED), now);
+                owner.cell.cancel(&id(CANCELLED_JOB), now);
             }
         }
     }
 
     /// Another entry takes over from an owner that doesn't renew.
-    fn succeed(&mut self) {
-        let (seen, since) = self.seen;
-        if self.now < self.outage_until || self.table.renewals != seen {
-            self.seen = (self.table.renewals, self.now);
-        } else if self.now.since(since) >= TAKEOVER {
-            let extends = EXTEND_ALONE.saturating_sub(TAKEOVER);
-            self.take_over(Some(self.now + extends + LEASE + MARGIN));
+    fn take_over_if_silent(&mut self) {
+        let (observed, since) = self.observed_renewals;
+        if self.now < self.outage_until || self.table.renewals != observed {
+            self.observed_renewals = (self.table.renewals, self.now);
+        } else if self.now.since(since) >= TAKEOVER_DELAY {
+            let extends = EXTEND_ALONE_LIMIT.saturating_sub(TAKEOVER_DELAY);
+            self.take_over(Some(self.now + extends + LEASE_DURATION + LEASE_MARGIN));
         }
     }
 
@@ -247,84 +253,84 @@
             return;
         }
         owner.paused_until = None;
-        owner.decide(&listed, self.table.ledger, now);
+        owner.plan_calls(&listed, self.table.ledger_version, now);
         while let Some(call) = self.owners[index].calls.pop_front() {
-            if !self.make(index, call) {
+            if !self.make_call(index, call) {
                 return;
             }
         }
     }
 
     /// Makes a call with its fault; false if its owner makes no further one now.
-    fn make(&mut self, index: usize, call: Call) -> bool {
+    fn make_call(&mut self, index: usize, call: Call) -> bool {
         if self.owners[index].is_forbidden(&call, self.now) {
-            self.owners[index].take(&call, Answer::Refused(Refusal::Unhealthy), self.now);
+            self.owners[index].handle_answer(&call, Answer::Refused(Refusal::Unhealthy), self.now);
             return true;
         }
         let token = self.owners[index].token;
-        let fault = self.plan.get(&self.calls).copied();
-        self.calls += 1;
+        let fault = self.faults.get(&self.call_count).copied();
+        self.call_count += 1;
         let answer = match fault {
             Some(Fault::Lost) => Answer::Unknown,
             Some(Fault::AnswerLost) => {
-                self.carry_out(token, &call);
+                self.execute(token, &call);
                 Answer::Unknown
             }
-            Some(Fault::Late) => {
+            Some(Fault::Delayed) => {
                 let receiver = self.incarnation_of(call.minion());
-                self.late.push((self.now + LATE, token, call.clone(), receiver));
+                self.delayed_calls.push((self.now + CALL_DELAY, token, call.clone(), receiver));
                 Answer::Unknown
             }
             Some(Fault::KilledBefore) => {
-                self.owners[index].over = true;
+                self.owners[index].is_stopped = true;
                 return false;
             }
             Some(Fault::KilledAfter) => {
-                self.carry_out(token, &call);
-                self.owners[index].over = true;
+                self.execute(token, &call);
+                self.owners[index].is_stopped = true;
                 return false;
             }
             Some(Fault::Paused) => {
                 let owner = &mut self.owners[index];
-                owner.paused_until = Some(self.now + PAUSE);
+                owner.paused_until = Some(self.now + PAUSE_DURATION);
                 owner.calls.push_front(call);
                 return false;
             }
             Some(Fault::Crash) => {
                 self.crash(call.minion());
-                self.carry_out(token, &call)
+                self.execute(token, &call)
             }
             Some(Fault::Restart) => {
                 if let Some(name) = self.remove_minion(call.minion()) {
                     self.start_minion(&name);
                 }
-                self.carry_out(token, &call)
+                self.execute(token, &call)
             }
-            Some(Fault::Cut) => {
-                let minion = call.minion().unwrap_or(MINIONS[0].into());
-                self.cut.insert(minion, self.now + CUT);
-                self.carry_out(token, &call)
+            Some(Fault::Partitioned) => {
+                let minion = call.minion().unwrap_or(MINION_IDS[0].into());
+                self.partitioned_until.insert(minion, self.now + PARTITION_DURATION);
+                self.execute(token, &call)
             }
-            Some(Fault::Apart) => {
-                let minion = call.minion().unwrap_or(MINIONS[0].into());
-                self.owners[index].apart = Some((self.now + CUT, minion));
+            Some(Fault::Isolated) => {
+                let minion = call.minion().unwrap_or(MINION_IDS[0].into());
+                self.owners[index].isolation = Some((self.now + PARTITION_DURATION, minion));
                 Answer::Unknown
             }
             Some(Fault::Outage) => {
-                self.outage_until = self.now + OUTAGE;
-                self.carry_out(token, &call)
+                self.outage_until = self.now + OUTAGE_DURATION;
+                self.execute(token, &call)
             }
-            None if !self.owners[index].reaches(call.minion(), self.now) => Answer::Unknown,
-            None => self.carry_out(token, &call),
+            None if !self.owners[index].can_reach(call.minion(), self.now) => Answer::Unknown,
+            None => self.execute(token, &call),
         };
-        self.owners[index].take(&call, answer, self.now);
-        !self.owners[index].over
+        self.owners[index].handle_answer(&call, answer, self.now);
+        !self.owners[index].is_stopped
     }
 
     fn crash(&mut self, minion: Option<MinionId>) {
         let Some(name) = self.remove_minion(minion) else { return };
         let name = if self.keeps_ids { name.to_string() } else { format!("{name}'") };
-        self.reborn.push((self.now + REBIRTH, name));
+        self.pending_restarts.push((self.now + RESTART_DELAY, name));
     }
 
     fn incarnation_of(&self, minion: Option<MinionId>) -> Option<Incarnation> {
@@ -334,43 +340,43 @@
 
     /// Crashes and removes a minion; returns its id.
     fn remove_minion(&mut self, minion: Option<MinionId>) -> Option<MinionId> {
-        let name = minion.unwrap_or(MINIONS[0].into());
+        let name = minion.unwrap_or(MINION_IDS[0].into());
         let at = self.minions.iter().position(|minion| minion.id == name)?;
-        self.minions.remove(at).crash(self.now, &mut self.lived);
-        self.doomed.retain(|(_, doomed)| *doomed != name);
+        self.minions.remove(at).crash(self.now, &mut self.history);
+        self.pending_crashes.retain(|(_, minion)| *minion != name);
         Some(name)
     }
 
-    pub(crate) fn carry_out(&mut self, token: u64, call: &Call) -> Answer {
+    pub(crate) fn execute(&mut self, token: u64, call: &Call) -> Answer {
         let now = self.now;
         match call {
-            Call::Renew | Call::Keep { .. } if now < self.outage_until => return Answer::Unknown,
-            Call::Renew | Call::Keep { .. } if token != self.table.token => {
+            Call::Renew | Call::Store { .. } if now < self.outage_until => return Answer::Unknown,
+            Call::Renew | Call::Store { .. } if token != self.table.token => {
                 return Answer::Superseded;
             }
             Call::Renew => {
                 self.table.renewals += 1;
                 return Answer::Done;
             }
-            Call::Keep { version, .. } if *version != self.table.ledger => {
+            Call::Store { version, .. } if *version != self.table.ledger_version => {
                 return Answer::Refused(Refusal::StaleRun);
             }
-            Call::Keep { batch, .. } => {
-                self.table.ledger += 1;
-                self.keep(batch);
+            Call::Store { batch, .. } => {
+                self.table.ledger_version += 1;
+                self.store_progress(batch);
                 return Answer::Done;
             }
             _ => {}
         }
         let name = call.minion().unwrap();
-        if self.cut.get(&name).is_some_and(|until| now < *until) {
+        if self.partitioned_until.get(&name).is_some_and(|until| now < *until) {
             return Answer::Unknown;
         }
         let Some(at) = self.minions.iter().position(|minion| minion.id == name) else {
             let up = self.minions.iter().any(|minion| minion.id.starts_with(&*name));
-            return if up { Answer::OtherLife } else { Answer::Unknown };
+            return if up { Answer::OtherIncarnation } else { Answer::Unknown };
         };
-        let before = self.lived.len();
+        let before = self.history.len();
         let minion = &mut self.minions[at];
         if let Call::Hold { connected_to: Some(incarnation), .. } = call
             && *incarnation != minion.incarnation
@@ -380,27 +386,27 @@
         }
         let result = match call {
             Call::Hold { acknowledged, deadline, .. } => {
-                let lived = &mut self.lived;
-                minion.hold(token, *acknowledged, *deadline, now, lived).map(Answer::Report)
+                let history = &mut self.history;
+                minion.hold(token, *acknowledged, *deadline, now, history).map(Answer::Report)
             }
             Call::Start { start, .. } => {
-                minion.start(start, now, &mut self.lived).map(|()| Answer::Done)
+                minion.start(start, now, &mut self.history).map(|()| Answer::Done)
             }
             Call::Stop { task, run, .. } => {
                 minion.stop(*task, *run, token, now).map(|()| Answer::Done)
             }
             _ => Ok(Answer::Done),
         };
-        if self.lived.len() > before {
-            if self.lived[before].task.job == id(CRASHING) {
-                self.doomed.push((now + CRASH_AFTER, name));
+        if self.history.len() > before {
+            if self.history[before].task.job == id(CRASHING_JOB) {
+                self.pending_crashes.push((now + CRASH_DELAY, name));
             }
             self.check_start(at);
         }
         result.unwrap_or_else(Answer::Refused)
     }
 
-    fn keep(&mut self, batch: &Batch) {
+    fn store_progress(&mut self, batch: &Batch) {
         for (id, _, progress) in &batch.rows {
             let (_, definition) = jobs().into_iter().find(|(known, _)| known == id).unwrap();
             let mut flat = 0;
@@ -410,7 +416,7 @@
                         progress.done.contains(&flat) || progress.outcome == Some(State::Completed);
                     if done {
                         let name = TaskName { job: *id, occurrence: 0, step: number as u32, index };
-                        self.table.done.entry(name).or_insert(self.now);
+                        self.table.done_stored_at.entry(name).or_insert(self.now);
                     }
                     flat += 1;
                 }
@@ -421,40 +427,41 @@
 
     /// Checks the start that is last in the history.
     fn check_start(&mut self, at: usize) {
-        let run = self.lived[self.lived.len() - 1].clone();
-        let mut breaches = Vec::new();
+        let run = self.history[self.history.len() - 1].clone();
+        let mut violations = Vec::new();
         if !self.minions[at].capacity.holds(&self.minions[at].used()) {
-            breaches.push("over its capacity");
+            violations.push("over its capacity");
         }
-        let earlier = |other: &&Lived| other.task == run.task && other.run != run.run;
-        if self.lived.iter().filter(earlier).any(|other| other.ended.is_none()) {
-            breaches.push("twice at once");
+        let earlier = |other: &&RunRecord| other.task == run.task && other.run != run.run;
+        if self.history.iter().filter(earlier).any(|other| other.ended.is_none()) {
+            violations.push("twice at once");
         }
-        if self.table.done.get(&run.task).is_some_and(|at| *at < self.now) {
-            breaches.push("after its end was kept");
+        if self.table.done_stored_at.get(&run.task).is_some_and(|at| *at < self.now) {
+            violations.push("after its end was kept");
         }
-        let done = |other: &Lived| matches!(other.ended, Some((_, How::Done)));
-        if self.lived.iter().filter(earlier).any(|other| done(other) && other.noted) {
-            breaches.push("after its end was acknowledged");
+        let done = |other: &RunRecord| matches!(other.ended, Some((_, How::Done)));
+        if self.history.iter().filter(earlier).any(|other| done(other) && other.acknowledged) {
+            violations.push("after its end was acknowledged");
         }
-        if run.task.job == id(CANCELLED) && self.cancelled {
-            breaches.push("after its job was cancelled");
+        if run.task.job == id(CANCELLED_JOB) && self.cancelled {
+            violations.push("after its job was cancelled");
         }
-        if run.task.job == id(CRASHING) && self.crashing_starts() == TOO_MANY_STARTS {
-            breaches.push("three times more after three crashes");
+        if run.task.job == id(CRASHING_JOB) && self.crashing_starts() == TOO_MANY_STARTS {
+            violations.push("three times more after three crashes");
         }
         for before in step_of(&run.task).after {
             let count = step_of(&TaskName { step: before, ..run.task }).count;
             let is_done = |index: u32| {
                 let name = TaskName { step: before, index, ..run.task };
-                self.lived.iter().any(|lived| lived.task == name && done(lived))
+                self.history.iter().any(|record| record.task == name && done(record))
             };
             if !(0..count).all(is_done) {
-                breaches.push("before an earlier step was done");
+                violations.push("before an earlier step was done");
             }
         }
-        for breach in breaches {
-            self.breaches.push(format!("{} run {} {breach} at {:?}", run.task, run.run, self.now));
+        for violation in violations {
+            self.violations
+                .push(format!("{} run {} {violation} at {:?}", run.task, run.run, self.now));
         }
     }
 
@@ -463,25 +470,25 @@
     fn may_give_up(&self, job: u8) -> bool {
         let is_given_up = self.table.progress.get(&id(job)).and_then(|kept| kept.outcome);
         let mut crashes: BTreeMap<TaskName, usize> = BTreeMap::new();
-        for run in self.lived.iter().filter(|run| run.crashed && run.task.job == id(job)) {
+        for run in self.history.iter().filter(|run| run.crashed && run.task.job == id(job)) {
             *crashes.entry(run.task).or_default() += 1;
         }
         let most = crashes.into_values().max().unwrap_or(0);
-        is_given_up == Some(State::Failed) && most >= ENOUGH_CRASHES
+        is_given_up == Some(State::Failed) && most >= CRASHES_TO_GIVE_UP
     }
 
     /// How often the crashing task was started.
     pub(crate) fn crashing_starts(&self) -> usize {
-        self.lived.iter().filter(|run| run.task.job == id(CRASHING)).count()
+        self.history.iter().filter(|run| run.task.job == id(CRASHING_JOB)).count()
     }
 
     /// What was broken, and what is missing at the end.
-    pub(crate) fn verdict(&self) -> Vec<String> {
-        let mut found = self.breaches.clone();
+    pub(crate) fn failures(&self) -> Vec<String> {
+        let mut found = self.violations.clone();
         if !self.is_finished() {
-            let kept = self.table.progress.get(&id(CHAINED));
-            let lasting = self.lasting_at_work();
-            let crashing = self.table.progress.get(&id(CRASHING));
+            let kept = self.table.progress.get(&id(CHAINED_JOB));
+            let lasting = self.active_long_running();
+            let crashing = self.table.progress.get(&id(CRASHING_JOB));
             found.push(format!(
                 "not finished: {kept:?}, {crashing:?}, {lasting} lasting tasks at work"
             ));
@@ -500,9 +507,14 @@
         Step { long_running: true, max_unavailable: Some(1), max_per_minion: Some(1), ..step(2) };
     let long = Step { estimate_ms: 60_000, ..step(2) };
     let crashing = vec![step(1)];
-    [(CHAINED, chained), (LASTING, vec![lasting]), (CANCELLED, vec![long]), (CRASHING, crashing)]
-        .map(|(number, steps)| (id(number), definition(steps)))
-        .into()
+    [
+        (CHAINED_JOB, chained),
+        (LONG_RUNNING_JOB, vec![lasting]),
+        (CANCELLED_JOB, vec![long]),
+        (CRASHING_JOB, crashing),
+    ]
+    .map(|(number, steps)| (id(number), definition(steps)))
+    .into()
 }
 
 /// The step that a task belongs to.
--- a/crates/engine/tests/all/quota.rs
+++ b/crates/engine/tests/all/quota.rs
@@ -2,7 +2,7 @@
 
 mod model;
 
-use crate::fixture::{World, id, starts, step};
+use crate::fixture::{Harness, id, starts, step};
 use celerythread_engine::cell::Note;
 use celerythread_engine::job::{Accepted, Definition, Id, Origin, Resources, Step};
 use celerythread_engine::quota::{Account, Holder, Limit, Share, Split};
@@ -175,7 +175,7 @@
 
 const TEAM: &str = "team";
 
-fn submit(world: &mut World, number: u8, origin: Origin, steps: Vec<Step>) -> Id {
+fn submit(world: &mut Harness, number: u8, origin: Origin, steps: Vec<Step>) -> Id {
     let definition = Definition { spec: "work".into(), steps, schedule: None };
     let accepted = Accepted { queue: "queue".into(), at_ms: 0, definition, origin };
     let now = world.now;
@@ -183,16 +183,16 @@
     id(number)
 }
 
-fn limited(minions: usize, count: u64) -> World {
-    let mut world = World::new(minions);
+fn limited(minions: usize, count: u64) -> Harness {
+    let mut world = Harness::new(minions);
     world.cell.configure_limits([(TEAM.into(), limit(count))], 1, world.now);
     world.cell.confirm_splits(world.now);
     world
 }
 
 /// Writes all changes that are due; true if there were some.
-fn write_all(world: &mut World, version: u64) -> bool {
-    world.pass(50);
+fn write_all(world: &mut Harness, version: u64) -> bool {
+    world.advance_ms(50);
     let changes = world.cell.split_changes(world.now);
     world.cell.splits_written(&changes, version, world.now);
     !changes.is_empty()
@@ -250,7 +250,7 @@
 /// Guards against a limit that is not known to hold while nothing is read: an owner without the splits starts nothing.
 #[test]
 fn nothing_limited_starts_before_the_splits_are_read() {
-    let mut world = World::new(1);
+    let mut world = Harness::new(1);
     world.cell.configure_limits([(TEAM.into(), limit(5))], 1, world.now);
     submit(&mut world, 1, team(), vec![step(1)]);
     assert!(world.plan().is_empty());
@@ -274,7 +274,7 @@
 /// Guards against anybody learning of, or cancelling, another workspace's job.
 #[test]
 fn a_job_is_seen_by_its_workspace_only() {
-    let mut world = World::new(1);
+    let mut world = Harness::new(1);
     submit(&mut world, 1, team(), vec![step(1)]);
     let (own, other) = (team(), Origin::Workspace("other".into()));
     assert!(world.cell.state_for(&id(1), &own).is_some());
--- a/crates/engine/tests/all/restarts.rs
+++ b/crates/engine/tests/all/restarts.rs
@@ -10,7 +10,7 @@
 
 /// A cell with one minion that a test restarts under the same id.
 struct RestartScenario {
-    world: World,
+    harness: Harness,
     incarnation: u64,
     /// Unacknowledged ends of the current incarnation.
     ends: Vec<End>,
@@ -21,7 +21,7 @@
 impl RestartScenario {
     fn new() -> Self {
         let mut scenario =
-            Self { world: World::new(0), incarnation: 0, ends: Vec::new(), last_end: 0 };
+            Self { harness: Harness::new(0), incarnation: 0, ends: Vec::new(), last_end: 0 };
         scenario.restart();
         scenario
     }
@@ -41,7 +41,7 @@
     }
 
     fn list(&mut self) {
-        self.world.list_incarnation(0, Incarnation(self.incarnation));
+        self.harness.list_incarnation(0, Incarnation(self.incarnation));
     }
 
     fn answer(&mut self) {
@@ -50,7 +50,7 @@
 
     /// Discards acknowledged ends and answers a hold with `listed` as the running tasks.
     fn answer_with(&mut self, listed: Vec<(TaskName, u32)>) {
-        let known = self.world.cell.minion(&World::minion(0));
+        let known = self.harness.cell.minion(&Harness::minion(0));
         let acknowledged = known.map_or(0, |minion| minion.acknowledged());
         self.ends.retain(|end| end.number > acknowledged);
         let report = Report {
@@ -58,17 +58,17 @@
             running: listed.into_iter().map(|(task, run)| running(task, run, 5)).collect(),
             finished: self.ends.clone(),
         };
-        self.world.answer(0, report);
+        self.harness.answer(0, report);
     }
 
     /// Starts all waiting tasks, reports them done and stores the progress.
     fn complete_waiting(&mut self) {
-        for (_, task, run) in self.world.start_all() {
+        for (_, task, run) in self.harness.start_all() {
             self.end(task, run);
         }
-        self.world.pass(100);
+        self.harness.advance_ms(100);
         self.answer();
-        self.world.keep();
+        self.harness.store_progress();
     }
 
     fn end(&mut self, task: TaskName, run: u32) {
@@ -83,13 +83,13 @@
 #[test]
 fn ends_of_a_restarted_minion_are_taken_in() {
     let mut scenario = RestartScenario::new();
-    scenario.world.submit(1, definition(vec![step(3)]));
+    scenario.harness.submit(1, definition(vec![step(3)]));
     scenario.complete_waiting();
-    assert_eq!(scenario.world.cell.state(&id(1)), Some(State::Completed));
+    assert_eq!(scenario.harness.cell.state(&id(1)), Some(State::Completed));
     scenario.restart();
-    scenario.world.submit(2, definition(vec![step(2)]));
+    scenario.harness.submit(2, definition(vec![step(2)]));
     scenario.complete_waiting();
-    assert_eq!(scenario.world.cell.state(&id(2)), Some(State::Completed));
+    assert_eq!(scenario.harness.cell.state(&id(2)), Some(State::Completed));
 }
 
 /// Guards against losing ends when a batch with the former incarnation's numbers is stored after
@@ -97,15 +97,15 @@
 #[test]
 fn a_batch_from_before_a_restart_acknowledges_nothing_after_it() {
     let mut scenario = RestartScenario::new();
-    scenario.world.submit(1, definition(vec![step(3)]));
-    for (_, task, run) in scenario.world.start_all() {
+    scenario.harness.submit(1, definition(vec![step(3)]));
+    for (_, task, run) in scenario.harness.start_all() {
         scenario.end(task, run);
     }
     scenario.answer();
-    let batch = scenario.world.cell.unkept(90).unwrap();
+    let batch = scenario.harness.cell.unkept(90).unwrap();
     scenario.restart();
-    scenario.world.cell.kept(&batch);
-    assert_eq!(scenario.world.cell.minion(&World::minion(0)).unwrap().acknowledged(), 0);
+    scenario.harness.cell.kept(&batch);
+    assert_eq!(scenario.harness.cell.minion(&Harness::minion(0)).unwrap().acknowledged(), 0);
 }
 
 /// Guards against a second start of a task that is missing from a late answer of the former
@@ -114,14 +114,14 @@
 fn a_late_answer_of_the_former_incarnation_is_ignored() {
     let mut scenario = RestartScenario::new();
     scenario.restart();
-    scenario.world.submit(1, definition(vec![step(1)]));
-    let started = scenario.world.start_all();
-    scenario.world.pass(50);
+    scenario.harness.submit(1, definition(vec![step(1)]));
+    let started = scenario.harness.start_all();
+    scenario.harness.advance_ms(50);
     let late = Report { incarnation: Some(Incarnation(1)), ..Report::default() };
-    scenario.world.answer(0, late);
-    assert!(scenario.world.start_all().is_empty());
+    scenario.harness.answer(0, late);
+    assert!(scenario.harness.start_all().is_empty());
     scenario.answer_with(vec![(started[0].1, started[0].2)]);
-    assert!(scenario.world.start_all().is_empty());
+    assert!(scenario.harness.start_all().is_empty());
 }
 
 /// Guards against a second start of a task that reached the new incarnation before the restart was
@@ -130,15 +130,15 @@
 fn runs_listed_by_the_new_incarnation_continue() {
     let mut scenario = RestartScenario::new();
     scenario.start_incarnation();
-    scenario.world.submit(1, definition(vec![step(2)]));
-    let started = scenario.world.start_all();
-    scenario.world.pass(50);
+    scenario.harness.submit(1, definition(vec![step(2)]));
+    let started = scenario.harness.start_all();
+    scenario.harness.advance_ms(50);
     scenario.answer_with(started.iter().map(|(_, task, run)| (*task, *run)).collect());
-    assert!(scenario.world.start_all().is_empty());
+    assert!(scenario.harness.start_all().is_empty());
     started.iter().for_each(|(_, task, run)| scenario.end(*task, *run));
     scenario.answer();
-    scenario.world.keep();
-    assert_eq!(scenario.world.cell.state(&id(1)), Some(State::Completed));
+    scenario.harness.store_progress();
+    assert_eq!(scenario.harness.cell.state(&id(1)), Some(State::Completed));
 }
 
 /// Guards against a task running twice when its unanswered start reaches the minion after the
@@ -146,18 +146,24 @@
 #[test]
 fn an_unanswered_start_is_stopped_on_the_new_incarnation_before_it_is_repeated() {
     let mut scenario = RestartScenario::new();
-    scenario.world.submit(1, definition(vec![step(1)]));
-    let (minion, name, run) = starts(&scenario.world.plan()).remove(0);
-    scenario.world.cell.start_result(&minion, &name, run, StartResult::Unknown, scenario.world.now);
-    scenario.world.pass(50);
+    scenario.harness.submit(1, definition(vec![step(1)]));
+    let (minion, name, run) = starts(&scenario.harness.plan()).remove(0);
+    scenario.harness.cell.start_result(
+        &minion,
+        &name,
+        run,
+        StartResult::Unknown,
+        scenario.harness.now,
+    );
+    scenario.harness.advance_ms(50);
     scenario.restart();
-    let orders = scenario.world.plan();
+    let orders = scenario.harness.plan();
     assert_eq!(stops(&orders), [(minion.clone(), name, run)]);
     assert!(starts(&orders).is_empty());
-    scenario.world.cell.stop_confirmed(&minion, &name, run, scenario.world.now);
-    scenario.world.pass(50);
+    scenario.harness.cell.stop_confirmed(&minion, &name, run, scenario.harness.now);
+    scenario.harness.advance_ms(50);
     scenario.answer();
-    assert_eq!(scenario.world.start_all().len(), 1);
+    assert_eq!(scenario.harness.start_all().len(), 1);
 }
 
 /// Guards against starts beyond the capacity of a restarted minion whose entry predates the
@@ -167,35 +173,35 @@
     let mut scenario = RestartScenario::new();
     scenario.start_incarnation();
     scenario.answer();
-    scenario.world.submit(1, definition(vec![step(1)]));
-    assert!(scenario.world.start_all().is_empty(), "the entry predates the restart");
+    scenario.harness.submit(1, definition(vec![step(1)]));
+    assert!(scenario.harness.start_all().is_empty(), "the entry predates the restart");
     scenario.list();
-    assert_eq!(scenario.world.start_all().len(), 1);
+    assert_eq!(scenario.harness.start_all().len(), 1);
 
     scenario.start_incarnation();
     scenario.list();
-    scenario.world.submit(2, definition(vec![step(1)]));
-    assert!(scenario.world.start_all().is_empty(), "the new incarnation has not answered");
-    scenario.world.pass(50);
+    scenario.harness.submit(2, definition(vec![step(1)]));
+    assert!(scenario.harness.start_all().is_empty(), "the new incarnation has not answered");
+    scenario.harness.advance_ms(50);
     scenario.answer();
-    assert!(!scenario.world.start_all().is_empty());
+    assert!(!scenario.harness.start_all().is_empty());
 }
 
 /// Guards against endless starts of a task that crashes a minion which restarts under the same id.
 #[test]
 fn a_task_that_crashes_a_minion_which_keeps_its_id_is_given_up() {
     let mut scenario = RestartScenario::new();
-    scenario.world.submit(1, definition(vec![step(1)]));
+    scenario.harness.submit(1, definition(vec![step(1)]));
     let mut starts = 0;
     for _ in 0..40 {
-        starts += scenario.world.start_all().len();
-        scenario.world.cell.missed(&World::minion(0), scenario.world.now);
-        scenario.world.pass(DOWN_MS);
+        starts += scenario.harness.start_all().len();
+        scenario.harness.cell.missed(&Harness::minion(0), scenario.harness.now);
+        scenario.harness.advance_ms(DOWN_MS);
         scenario.restart();
-        scenario.world.keep();
-        scenario.world.pass(Duration::from_secs(1).as_millis() as u64);
+        scenario.harness.store_progress();
+        scenario.harness.advance_ms(Duration::from_secs(1).as_millis() as u64);
         scenario.answer();
     }
     assert!(starts <= 5, "started {starts} times");
-    assert_eq!(scenario.world.cell.state(&id(1)), Some(State::Failed));
+    assert_eq!(scenario.harness.cell.state(&id(1)), Some(State::Failed));
 }
--- a/crates/engine/tests/all/submission.rs
+++ b/crates/engine/tests/all/submission.rs
@@ -36,7 +36,7 @@
 /// The store turns one entry away and serves the others: as long as another one can be asked, the
 /// submission isn't over.
 #[test]
-fn peers_are_asked_before_anything_is_given_back() {
+fn peers_are_asked_before_a_submission_is_given_up() {
     let silent = Attempt {
         elapsed: ms(2000),
         remaining: ms(800),
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn what_was_certainly_not_written_is_refused_after_a_few_tries() {
+fn an_unwritten_submission_is_refused_after_a_few_tries() {
     let refused = Attempt { elapsed: ms(300), remaining: ms(2500), ..Attempt::default() };
     assert!(!refused.should_give_up());
     assert!(Attempt { elapsed: ms(400), ..refused }.should_give_up());
@@ -59,7 +59,7 @@
 /// A caller comes back with 120 ms left.  A write takes ten, but all of its time was kept for the
 /// answer's way, and it was refused unheard.
 #[test]
-fn a_caller_with_little_time_is_served_in_it() {
+fn a_caller_with_little_time_is_served() {
     assert!(usable_time(ms(120)) >= ms(90));
     assert_eq!(usable_time(ms(3000)), ms(2850));
     assert_eq!(usable_time(ms(0)), ms(0));
@@ -67,7 +67,7 @@
 
 /// Told to come back in a second, a caller with less than that left never does.
 #[test]
-fn a_caller_is_told_a_time_that_it_has() {
+fn retry_after_fits_the_remaining_time() {
     assert_eq!(retry_after_s(ms(2500)), 1);
     assert_eq!(retry_after_s(ms(900)), 0);
 }
--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -56,7 +56,7 @@
             (
                 "an owner that may have a successor starts only what was never started",
                 "engine::cell::permit",
-                "what_a_successor_may_run_is_not_started_while_the_store_is_away",
+                "tasks_that_a_successor_may_run_are_not_started_during_a_store_outage",
             ),
             (
                 "an answer that can't be read doesn't say that nothing runs",
@@ -81,22 +81,22 @@
             (
                 "a silent minion's runs count until their lease must have lapsed",
                 "engine::cell::plan::lapse",
-                "runs_of_a_silent_minion_are_given_up_when_their_lease_must_have_lapsed",
+                "runs_of_a_silent_minion_are_given_up_after_their_lease_has_lapsed",
             ),
             (
                 "an unanswered start is stopped for certain first",
                 "engine::cell::Cell::start_result",
-                "an_unanswered_start_is_stopped_for_sure_before_the_task_goes_elsewhere",
+                "an_unanswered_start_is_stopped_before_the_task_starts_elsewhere",
             ),
             (
                 "an end is acknowledged only after it is kept",
                 "engine::cell::keep",
-                "an_end_is_acknowledged_only_when_it_is_kept",
+                "an_end_is_acknowledged_only_after_it_is_stored",
             ),
             (
                 "a completion is told only after it is kept",
                 "engine::cell::Cell::state",
-                "a_completion_is_told_only_when_it_is_kept",
+                "a_completion_is_reported_only_after_it_is_stored",
             ),
             (
                 "owners' run numbers don't overlap",
@@ -119,29 +119,29 @@
             (
                 "owner killed",
                 &[
-                    "what_is_held_against_a_task_outlives_its_owner",
+                    "suspicions_survive_a_change_of_owner",
                     "a_task_that_crashes_its_workers_is_given_up_whoever_owns_it",
                 ],
             ),
             (
                 "owner killed before the crash is known",
-                &["a_crash_that_the_owner_did_not_live_to_know_is_doubted"],
+                &["a_trial_is_stored_when_its_minion_falls_silent"],
             ),
             (
                 "call lost, answer lost, late; owner killed, paused, cut off; minion crashed or cut off; table down: \
                  at every call, and two to four at once",
                 &["every_fault_at_every_call", "several_faults"],
             ),
-            ("the store is away", &["a_suspected_task_waits_until_that_is_kept"]),
+            ("the store is away", &["a_suspected_task_waits_until_its_suspicion_is_stored"]),
             (
                 "minions go down together",
                 &["a_task_on_minions_that_went_down_together_is_not_given_up"],
             ),
             ("minions are cut off", &["tasks_of_minions_that_are_cut_off_start_again_together"]),
-            ("minions are emptied or drain", &["planned_ends_count_against_no_task"]),
+            ("minions are emptied or drain", &["planned_minion_shutdowns_raise_no_suspicion"]),
             ("its job is cancelled", &["a_cancelled_job_stays_cancelled"]),
             ("it crashes them only after it was at work for five seconds", NOT),
-            ("a minion's room shrinks", &["nothing_is_started_beyond_a_room_that_has_shrunk"]),
+            ("a minion's room shrinks", &["nothing_is_started_beyond_a_reduced_capacity"]),
             (
                 "minions restart under the same id",
                 &["a_task_that_crashes_a_minion_which_keeps_its_id_is_given_up"],
@@ -161,7 +161,7 @@
             (
                 "likely causes are tried apart",
                 "engine::cell::crash::can_try",
-                "likely_causes_are_tried_apart",
+                "suspects_are_tried_separately",
             ),
             (
                 "nothing is started beside a task on trial",
@@ -171,12 +171,12 @@
             (
                 "what is on trial when its minion falls silent is kept as doubted",
                 "engine::cell::crash::doubt",
-                "a_crash_that_the_owner_did_not_live_to_know_is_doubted",
+                "a_trial_is_stored_when_its_minion_falls_silent",
             ),
             (
                 "a suspected task is tried only after that is kept",
                 "engine::cell::crash::may_try",
-                "a_suspected_task_waits_until_that_is_kept",
+                "a_suspected_task_waits_until_its_suspicion_is_stored",
             ),
             (
                 "a loss with a common cause proves nothing",
@@ -186,12 +186,12 @@
             (
                 "a minion that is silent stays to be emptied",
                 "engine::cell::Cell::set_leaving",
-                "planned_ends_count_against_no_task",
+                "planned_minion_shutdowns_raise_no_suspicion",
             ),
             (
                 "what is at work for long is acquitted",
                 "engine::cell::crash::note_life",
-                "a_task_that_was_at_work_for_long_is_acquitted",
+                "a_task_that_ran_for_long_is_not_suspected",
             ),
         ],
     },
@@ -208,7 +208,7 @@
                 "the store is away for a time",
                 &[
                     "while_the_store_is_away_callers_are_told_that_nothing_ran",
-                    "what_was_never_started_is_started_while_the_store_is_away",
+                    "tasks_never_started_are_started_during_a_store_outage",
                 ],
             ),
             (
@@ -257,7 +257,7 @@
             (
                 "what time a caller comes back with is used",
                 "engine::submission::usable_time",
-                "a_caller_with_little_time_is_served_in_it",
+                "a_caller_with_little_time_is_served",
             ),
             (
                 "a slow store isn't given up on",
@@ -287,12 +287,12 @@
             (
                 "a minion that fails whatever it starts is left out",
                 "engine::cell::report::judge_minion",
-                "a_minion_that_fails_two_jobs_in_a_row_is_left_out_for_a_while",
+                "a_minion_that_fails_two_jobs_in_a_row_is_quarantined",
             ),
             (
                 "a run that stands still is stopped",
                 "engine::cell::plan::stop_stalled",
-                "a_run_that_stands_still_is_stopped_and_its_minion_left_out",
+                "a_stalled_run_is_stopped_and_its_minion_quarantined",
             ),
             (
                 "a task without room reserves a minion",
@@ -307,7 +307,7 @@
             (
                 "a gang with a missing member is stopped",
                 "engine::cell::plan::stop_broken_gangs",
-                "the_other_members_are_stopped_when_one_is_refused",
+                "the_rest_of_a_gang_is_stopped_when_one_member_is_refused",
             ),
             (
                 "no start without a ticket where one is needed",
@@ -389,7 +389,7 @@
             (
                 "lasting tasks leave within what may be away",
                 "engine::cell::plan::can_miss",
-                "lasting_tasks_leave_one_after_the_other_within_what_may_be_away",
+                "long_running_tasks_are_evacuated_within_max_unavailable",
             ),
             (
                 "no more machines down than allowed",
@@ -440,7 +440,7 @@
             (
                 "what fills is slowed down before a target is missed",
                 "engine::cell::pace",
-                "what_fills_is_slowed_down_while_a_serving_task_is_over_its_target",
+                "best_effort_tasks_are_slowed_down_while_a_serving_task_exceeds_its_target",
             ),
             (
                 "a call that is given up takes back what was not delivered",
@@ -545,7 +545,7 @@
             (
                 "a wider step asks ahead",
                 "engine::cell::load",
-                "a_wider_step_asks_ahead_for_what_it_lacks",
+                "a_wider_step_requests_its_missing_cores_ahead",
             ),
             (
                 "an unanswered start is looked for",
