--- a/crates/engine/src/former.rs
+++ b/crates/engine/src/former.rs
@@ -1,19 +1,20 @@
-//! Which minions of a former owner are over for certain.
+//! Detects minions of a former owner that have certainly terminated.
 //!
-//! A new owner starts no inherited task before each minion that its predecessor used has answered it.
-//! Moves and maintenance give a machine a new minion each time, and the old one never answers:
-//! waited for, it keeps every inherited job of the cell waiting until its lease must have lapsed.
+//! A new owner starts no inherited task until every minion that its predecessor used has answered.
+//! Each move or maintenance of a machine gives it a new minion, and the former one never answers.
+//! Without this check, every inherited job of the cell would wait until that minion's lease has
+//! certainly expired.
 
 use crate::maintenance::Machine;
 use std::collections::BTreeMap;
 
-/// Whether a minion's life is over, and with it all that it ran.
+/// Whether a minion, and with it every run on it, has ended.
 ///
-/// `machines` is the platform's list, read after the takeover: it names the minion of each machine.
-/// A minion that none of them has is over if it isn't `listed` as a minion either, or if its
-/// machine is known, from having been emptied of it, and is there without it.  Its own entry among
-/// the minions lapses only seconds later, and a refused connection proves nothing: a partition may
-/// refuse connections, too.
+/// `machines` is the platform's list, read after the takeover; it names the minion of each machine.
+/// A minion that is on no machine has ended if it isn't `listed` among the minions either, or if
+/// the machine that it was drained from (`drained_machine`) is on the list.  Its entry among the
+/// minions expires only seconds later, and a refused connection proves nothing because a network
+/// partition may refuse connections, too.
 pub fn has_terminated(
     minion: &str,
     machines: &BTreeMap<String, Machine>,
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs: as a caller submits them, as they are kept, and how far they have come.
+//! Jobs: their definition, their stored form and their progress.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -12,15 +12,15 @@
 /// Digits of a job's id.
 const ID_DIGITS: usize = 16;
 
-/// Most tasks of a job over all its occurrences; a definition beyond it is refused as too
-/// large.  The largest seen had 32 tasks a step, five steps and eight occurrences: 1,280.
+/// Maximum number of tasks of a job over all its occurrences; a larger definition is refused.
+/// The largest known job has 1,280: eight occurrences of five steps with 32 tasks each.
 pub const MAX_TASKS: u64 = 50_000;
 
-/// A job's id: 16 hexadecimal digits that its caller chose.
+/// A job's id: 16 hexadecimal digits, chosen by its caller.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Id([u8; ID_DIGITS]);
 
-/// Why a text names no job or task.
+/// The error for a text that isn't the id of a job or the name of a task.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display("{text:?} is not {expected}"))]
 pub struct NameError {
@@ -44,11 +44,11 @@
     type Err = NameError;
 
     fn from_str(text: &str) -> Result<Self, NameError> {
-        let wrong = || NameError { text: text.chars().take(40).collect(), expected: "a job's id" };
+        let error = || NameError { text: text.chars().take(40).collect(), expected: "a job's id" };
         if !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            return Err(wrong());
+            return Err(error());
         }
-        text.as_bytes().try_into().map(Id).map_err(|_| wrong())
+        text.as_bytes().try_into().map(Id).map_err(|_| error())
     }
 }
 
@@ -75,23 +75,23 @@
     type Err = NameError;
 
     fn from_str(text: &str) -> Result<Self, NameError> {
-        let wrong = || NameError { text: text.chars().take(60).collect(), expected: "a task" };
+        let error = || NameError { text: text.chars().take(60).collect(), expected: "a task" };
         let mut parts = text.split('.');
-        let job = parts.next().ok_or_else(wrong)?.parse()?;
-        let mut number = || parts.next().and_then(|part| part.parse().ok()).ok_or_else(wrong);
+        let job = parts.next().ok_or_else(error)?.parse()?;
+        let mut number = || parts.next().and_then(|part| part.parse().ok()).ok_or_else(error);
         let name = TaskName { job, occurrence: number()?, step: number()?, index: number()? };
-        if parts.next().is_some() { Err(wrong()) } else { Ok(name) }
+        if parts.next().is_some() { Err(error()) } else { Ok(name) }
     }
 }
 
-/// Resources, of a task or of a minion.
+/// Resources of a task or a minion.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Thousandths of a processor core.
+    /// Millicores.
     pub cpu: u64,
     /// Memory in MiB.
     pub memory_mb: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub gpu: u64,
 }
 
@@ -102,110 +102,112 @@
 }
 
 impl Resources {
-    /// Whether `need` fits in.
+    /// Whether `need` fits into these resources.
     pub fn holds(&self, need: &Resources) -> bool {
         need.cpu <= self.cpu && need.memory_mb <= self.memory_mb && need.gpu <= self.gpu
     }
 
-    /// What is left after `used`; nought where more is used than there is.
+    /// The difference of each amount, saturating at zero.
     pub fn minus(&self, used: &Resources) -> Resources {
         self.zip(used, u64::saturating_sub)
     }
 
-    /// The sum of both.
+    /// The sum of each amount, saturating.
     pub fn plus(&self, other: &Resources) -> Resources {
         self.zip(other, u64::saturating_add)
     }
 
-    /// The smaller amount of each.
+    /// The minimum of each amount.
     pub fn min(&self, other: &Resources) -> Resources {
         self.zip(other, u64::min)
     }
 
-    /// The larger amount of each.
+    /// The maximum of each amount.
     pub fn max(&self, other: &Resources) -> Resources {
         self.zip(other, u64::max)
     }
 
-    /// So many times as much.
+    /// Each amount multiplied by `count`, saturating.
     pub fn times(&self, count: u64) -> Resources {
         self.map(|amount| amount.saturating_mul(count))
     }
 
-    /// A part of it, rounded down.
+    /// Each amount divided by `count`, rounded down; a `count` of 0 divides by 1.
     pub fn divided_by(&self, count: u64) -> Resources {
         self.map(|amount| amount / count.max(1))
     }
 
-    /// Whether it is nothing at all.
+    /// Whether every amount is zero.
     pub fn is_zero(&self) -> bool {
         *self == Resources::default()
     }
 
-    fn zip(&self, other: &Resources, work: impl Fn(u64, u64) -> u64) -> Resources {
+    fn zip(&self, other: &Resources, op: impl Fn(u64, u64) -> u64) -> Resources {
         Resources {
-            cpu: work(self.cpu, other.cpu),
-            memory_mb: work(self.memory_mb, other.memory_mb),
-            gpu: work(self.gpu, other.gpu),
+            cpu: op(self.cpu, other.cpu),
+            memory_mb: op(self.memory_mb, other.memory_mb),
+            gpu: op(self.gpu, other.gpu),
         }
     }
 
-    fn map(&self, work: impl Fn(u64) -> u64) -> Resources {
-        Resources { cpu: work(self.cpu), memory_mb: work(self.memory_mb), gpu: work(self.gpu) }
+    fn map(&self, op: impl Fn(u64) -> u64) -> Resources {
+        Resources { cpu: op(self.cpu), memory_mb: op(self.memory_mb), gpu: op(self.gpu) }
     }
 }
 
-/// A step: tasks that are alike.
+/// A step: a group of tasks with the same requirements.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// How many tasks.
+    /// Number of tasks.
     pub count: u32,
-    /// What each needs.
+    /// Resources of each task.
     pub need: Resources,
-    /// How long a task roughly takes, in milliseconds; 0 when unknown.
+    /// Estimated duration of a task in milliseconds; 0 if unknown.
     pub estimate_ms: u64,
-    /// Steps whose tasks must all be done before.
+    /// Steps whose tasks must all be done before this step starts.
     pub after: SmallVec<[u32; 4]>,
-    /// Whether its tasks produce checkpoints.
+    /// Whether the tasks write checkpoints.
     pub checkpointing: bool,
-    /// Whether its tasks work only all together.
+    /// Whether the tasks form a gang, which runs only as a whole.
     pub gang: bool,
-    /// Whether a gang is slower when spread over racks.
+    /// Whether the gang is slower when spread over several racks.
     pub same_rack: bool,
-    /// A label that the minion must have.
+    /// Label that a minion must have to run the tasks.
     #[serde(rename = "requires")]
     pub required_label: Option<Box<str>>,
-    /// The rack that holds the data.
+    /// Rack that holds the tasks' data.
     #[serde(rename = "near")]
     pub preferred_rack: Option<Box<str>>,
-    /// Most tasks of an occurrence's step on one minion; none for no limit.
+    /// Maximum number of tasks of one occurrence on the same minion; none for no limit.
     #[serde(rename = "per_minion")]
     pub max_per_minion: Option<u32>,
-    /// Whether copies of a task may run side by side.
+    /// Whether several copies of a task may run at the same time.
     #[serde(rename = "copies")]
     pub speculative: bool,
-    /// Whether its tasks run until the job is cancelled.
+    /// Whether the tasks run until the job is cancelled.
     #[serde(rename = "lasting")]
     pub long_running: bool,
-    /// Tasks that may be away at once by the system's doing; only of lasting steps.
+    /// Maximum number of tasks that the system itself may make unavailable at the same time; only
+    /// for long-running steps.
     #[serde(rename = "may_be_away")]
     pub max_unavailable: Option<u32>,
-    /// What its tasks run; tasks of one image behave alike.
+    /// Image that the tasks run; tasks of the same image behave alike.
     pub image: Option<Box<str>>,
-    /// For lasting tasks that serve users: tail of their response times in milliseconds.
+    /// Target for the tail latency in milliseconds, for long-running tasks that serve users.
     pub tail_target_ms: Option<u64>,
-    /// Whether its tasks take only processor time that others leave, uncounted.
+    /// Whether the tasks use only processor time that other tasks leave; it isn't counted against a
+    /// minion's capacity.
     #[serde(rename = "fills")]
     pub best_effort: bool,
 }
 
 impl Step {
-    /// What a task takes of a minion's capacity.
+    /// Resources that a task reserves of a minion's capacity.
     pub fn reserved_resources(&self) -> Resources {
         if self.best_effort { Resources { cpu: 0, ..self.need } } else { self.need }
     }
 
-    /// Core-milliseconds of the whole step as estimated.
+    /// Estimated work of the whole step in core-milliseconds.
     pub fn core_ms(&self) -> u64 {
         u64::from(self.count) * self.need.cpu * self.estimate_ms / 1000
     }
@@ -214,23 +216,23 @@
 /// When a job's occurrences are due.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// How many occurrences.
+    /// Number of occurrences.
     pub repetitions: u32,
-    /// Due time of the first, in milliseconds since 1970.
+    /// Due time of the first occurrence in milliseconds since 1970.
     pub start_at_ms: u64,
-    /// Milliseconds between two.
+    /// Milliseconds between two occurrences.
     pub interval_ms: u64,
 }
 
-/// A job as its caller submits it.
+/// The definition of a job, as its caller submits it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Definition {
-    /// Passed to the minions unread.
+    /// Passed to the minions as it is.
     #[serde(with = "arc_text")]
     pub spec: Arc<str>,
     /// The steps.
     pub steps: Vec<Step>,
-    /// None for a job that runs once, at once.
+    /// When the job runs; none for once, immediately.
     pub schedule: Option<Schedule>,
 }
 
@@ -247,33 +249,33 @@
     }
 }
 
-/// What is wrong with a definition.
+/// The error for an invalid definition.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Problem {
-    /// There is nothing to run.
+    /// The job has no steps, or a step has no tasks.
     #[snafu(display("the job has no steps, or a step without tasks"))]
     Empty,
-    /// Too many tasks.
+    /// The job has more than [`MAX_TASKS`] tasks.
     #[snafu(display("{tasks} tasks are more than {MAX_TASKS}"))]
     TooLarge {
-        /// How many.
+        /// Number of tasks over all occurrences.
         tasks: u64,
     },
-    /// A step waits for itself, for a later one, or for one that is not there.
+    /// A step depends on itself, on a later step or on one that doesn't exist.
     #[snafu(display("step {step} waits for step {after}, which does not come before it"))]
     Order {
         /// The step.
         step: u32,
-        /// What it waits for.
+        /// The step that it depends on.
         after: u32,
     },
 }
 
 impl Definition {
-    /// Checks what a definition must satisfy to be run.
+    /// Validates the definition.
     ///
     /// # Errors
-    /// The first problem found.
+    /// Returns the first problem found.
     pub fn check(&self) -> Result<(), Problem> {
         if self.steps.is_empty() || self.steps.iter().any(|step| step.count == 0) {
             return EmptySnafu.fail();
@@ -291,17 +293,17 @@
         Ok(())
     }
 
-    /// How often the steps run.
+    /// Number of times that the steps run.
     pub fn occurrences(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.repetitions.max(1))
     }
 
-    /// Tasks of one occurrence.
+    /// Number of tasks of one occurrence.
     pub fn tasks_per_occurrence(&self) -> u32 {
         self.steps.iter().fold(0, |sum, step| sum.saturating_add(step.count))
     }
 
-    /// When an occurrence is due, in milliseconds since 1970; none for at once.
+    /// Due time of an occurrence in milliseconds since 1970; none for immediately.
     pub fn due_ms(&self, occurrence: u32) -> Option<u64> {
         self.schedule
             .map(|schedule| schedule.start_at_ms + u64::from(occurrence) * schedule.interval_ms)
@@ -312,12 +314,13 @@
         self.steps.iter().any(|step| step.long_running)
     }
 
-    /// Core-milliseconds of one occurrence as estimated.
+    /// Estimated work of one occurrence in core-milliseconds.
     pub fn core_ms(&self) -> u64 {
         self.steps.iter().map(Step::core_ms).sum()
     }
 
-    /// Milliseconds of the longest chain of steps that `open` lets through, as estimated.
+    /// Estimated duration in milliseconds of the critical path; steps for which `open` returns false
+    /// take no time.
     pub fn critical_path_ms(&self, open: impl Fn(usize) -> bool) -> u64 {
         let mut ends: SmallVec<[u64; 8]> = SmallVec::new();
         for (number, step) in self.steps.iter().enumerate() {
@@ -329,22 +332,23 @@
     }
 }
 
-/// On whose behalf a call is made, or a job was submitted.
+/// The workspace that makes a call or submitted a job.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Origin {
-    /// Nobody knows: the job was accepted by a release that didn't keep it.
+    /// Unknown: the job was accepted by a release that didn't store its origin.
     #[default]
     Unknown,
-    /// Anybody's: its queue is public.
+    /// Anybody: the queue is public.
     Public,
     /// The workspace of this name.
     Workspace(Box<str>),
 }
 
 impl Origin {
-    /// Whether a caller may see, cancel and submit again a job of `owner`'s.
+    /// Whether this caller may see, cancel and resubmit a job of `owner`.
     ///
-    /// On a public queue everybody may, and what was submitted while its queue was public stays everybody's.
+    /// On a public queue everybody may.  A job that was submitted while its queue was public stays
+    /// accessible to everybody.
     pub fn may_access(&self, owner: &Origin) -> bool {
         let is_open = matches!(self, Origin::Public) || !matches!(owner, Origin::Workspace(_));
         is_open || self == owner
@@ -361,104 +365,103 @@
     }
 }
 
-/// A job as it is kept from its acceptance on; never changed.
+/// The stored form of an accepted job; it never changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// The queue that it was submitted to, by name.
+    /// Name of the queue that the job was submitted to.
     pub queue: Box<str>,
-    /// When, in milliseconds since 1970 by the accepting entry's clock.
+    /// Time of acceptance in milliseconds since 1970, by the accepting entry's clock.
     pub at_ms: u64,
-    /// What to run.
+    /// The definition as submitted.
     pub definition: Definition,
-    /// On whose behalf.
+    /// Who submitted the job.
     pub origin: Origin,
 }
 
 impl Accepted {
-    /// Decodes a job that was kept; rows of releases that kept no origin end before it.
+    /// Decodes a stored job.  Rows of releases that stored no origin end before that field.
     ///
     /// # Errors
-    /// When the bytes are of another form.
+    /// Returns an error if the bytes are malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, FormatError> {
         decode_extended(bytes)
     }
 }
 
-/// What a caller is told of a job.
+/// The state of a job as reported to callers.
 #[derive(Clone, Copy, Debug, Display, EnumString, Eq, PartialEq, Serialize, Deserialize)]
 #[strum(serialize_all = "lowercase")]
 pub enum State {
-    /// Nothing has started yet.
+    /// No task has started yet.
     Queued,
-    /// Something has started.
+    /// A task has started.
     Running,
     /// All tasks are done.
     Completed,
-    /// A task has failed as often as its queue allows.
+    /// A task has used up the attempts that its queue allows, or was given up.
     Failed,
-    /// Its caller cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
 impl State {
-    /// Whether it stays so.
+    /// Whether the state never changes again.
     pub fn is_final(self) -> bool {
         matches!(self, State::Completed | State::Failed | State::Cancelled)
     }
 }
 
-/// How far a job has come, as it is kept.
+/// The stored progress of a job.
 ///
-/// Failures are kept by the number of the run, so that an end that is read again after a
-/// change of owner isn't counted twice.
+/// Tasks are identified by their flat number within the job.  Failures are stored by the number of
+/// the run, so that an end that is reported again after a change of owner isn't counted twice.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    /// The final state, once there is one.
+    /// The final state, once the job has one.
     pub outcome: Option<State>,
-    /// Flat numbers of the tasks that are done.
+    /// The tasks that are done.
     pub done: Vec<u32>,
-    /// Flat number of a task and the runs of it that failed.
+    /// Tasks and the numbers of their failed runs.
     pub failed: Vec<(u32, SmallVec<[u32; 2]>)>,
-    /// Flat number of a task and its newest checkpoint.
+    /// Tasks and their newest checkpoints.
     pub checkpoints: Vec<(u32, Box<str>)>,
-    /// Flat number of a task and the points that crashes of its minions hold against it.
+    /// Tasks and the suspicion points that they got from crashes of their minions.
     pub suspicions: Vec<(u32, u8)>,
 }
 
 impl Progress {
-    /// Decodes progress that was kept.
-    ///
-    /// Rows of releases that kept no suspicions end before them.
+    /// Decodes stored progress.  Rows of releases that stored no suspicions end before that field.
     ///
     /// # Errors
-    /// When the bytes are of another form.
+    /// Returns an error if the bytes are malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, FormatError> {
         decode_extended(bytes)
     }
 }
 
-/// Decodes a value whose last field older releases didn't write: a zero byte at the end stands for that field's
-/// default, and after a whole value it is not read.
+/// Decodes a value whose last field older releases didn't write.
+///
+/// The appended zero byte decodes as that field's default.  After a complete value it isn't read.
 fn decode_extended<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, FormatError> {
     decode(&[bytes, &[0]].concat())
 }
 
-/// Why kept bytes can't be read.
+/// The error for a stored value that can't be decoded.
 #[derive(Debug, Snafu)]
-#[snafu(display("kept bytes can't be read: {source}"))]
+#[snafu(display("cannot decode stored value: {source}"))]
 pub struct FormatError {
     source: postcard::Error,
 }
 
-/// Encodes a value that is kept.
+/// Encodes a value for the store.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_stdvec(value).expect("these types always serialize")
 }
 
-/// Decodes a value that is kept.
+/// Decodes a stored value.
 ///
 /// # Errors
-/// When the bytes are of another form.
+/// Returns an error if the bytes are malformed.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, FormatError> {
     postcard::from_bytes(bytes).map_err(|source| FormatError { source })
 }
--- a/crates/engine/src/submission.rs
+++ b/crates/engine/src/submission.rs
@@ -1,53 +1,55 @@
-//! When an entry gives a submission back to its caller.
+//! When an entry gives up on a submission and answers its caller.
 //!
-//! The pattern it answers: an availability zone is cut off from the platform's store.  Its callers
-//! still reach its entries, which can't write anything.  Held until its deadline, a submission is
-//! lost: the caller asks another entry with some 100 ms left.  Given back early, it is asked again
-//! while there is time, and within three seconds the balancer sends it to another zone.  A store that
-//! is only slow answers reads, so what is on its way there is elapsed for.
+//! If an availability zone is cut off from the platform's store, its callers still reach its
+//! entries, but these can't write.  An entry that retried until the deadline would leave the caller
+//! some 100 ms for another entry, and the submission would be lost.  Giving up early lets the caller
+//! retry in time; within three seconds the load balancer routes it to another zone.  A store that is
+//! only slow still answers reads, so pending writes to it are waited for.
 
 use std::time::Duration;
 
-/// How long a submission is tried that was certainly not written.  A store that turns calls away for
-/// a moment takes them again within some 100 ms; after that another entry may do better.
+/// How long an entry retries a submission that was certainly not written.  A store that briefly
+/// refuses calls accepts them again within some 100 ms; if it doesn't, another entry may succeed.
 const UNWRITTEN_RETRY_LIMIT: Duration = Duration::from_millis(400);
 
-/// How long a submission is tried that may have been written, while the store is silent here.  Four
-/// tries of this length fit into the three seconds that callers have, so an outage that ends
-/// meanwhile still lets one of them in.
+/// How long an entry retries a submission that may have been written while the store is
+/// unresponsive.  Four attempts of this length fit into the three seconds that callers wait, so one
+/// of them succeeds if the outage ends in that time.
 const UNRESPONSIVE_STORE_RETRY_LIMIT: Duration = Duration::from_millis(650);
 
-/// Longest wait for one write while the store is silent here: some forty times its usual answer, so
-/// a store that is back shows it.
+/// Timeout of one write while the store is unresponsive.  It is some forty times the usual latency,
+/// so that a store which has recovered is noticed.
 const UNRESPONSIVE_STORE_WRITE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The largest part of a caller's time that is kept for the answer's way back, and the most of it.
+/// The reciprocal of the largest share of a caller's time that is reserved for sending the response.
 const RESPONSE_MARGIN_DIVISOR: u32 = 5;
 
-/// See [`RESPONSE_MARGIN_DIVISOR`]: an instance that is slowed down writes its answer this late.
+/// Maximum time that is reserved for sending the response: a slowed-down instance writes its
+/// response this late.
 const MAX_RESPONSE_MARGIN: Duration = Duration::from_millis(150);
 
-/// A caller with less time than this doesn't come back after a second, the smallest step in which it
-/// can be told to wait, so it is better told to ask another entry at once.
+/// Minimum remaining time of a caller that is told to wait before its retry.  The wait is at least
+/// one second, the unit of `retry-after`; a caller with less time than this should ask another entry
+/// immediately.
 const MIN_TIME_FOR_RETRY_AFTER: Duration = Duration::from_millis(1300);
 
-/// How far a submission has come.
+/// The state of an attempt to write a submission.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Attempt {
-    /// How long it has been tried.
+    /// Time since the first try.
     pub elapsed: Duration,
-    /// What is left of its caller's time.
+    /// Time until the caller's deadline.
     pub remaining: Duration,
-    /// Whether the store doesn't answer this entry.
+    /// Whether the store doesn't respond to this entry.
     pub is_store_unresponsive: bool,
-    /// Whether some other entry could be asked to write it.
+    /// Whether there is another entry that can be asked to write the submission.
     pub has_peers: bool,
-    /// Whether any write may have been carried out.
+    /// Whether a write is unanswered and may have been carried out.
     pub unanswered: bool,
 }
 
 impl Attempt {
-    /// Whether it is given back now.
+    /// Whether to stop trying and answer the caller.
     pub fn should_give_up(&self) -> bool {
         if self.remaining.is_zero() {
             return true;
@@ -61,7 +63,7 @@
         }
     }
 
-    /// How long one write here may take.
+    /// Timeout of one write by this entry.
     pub fn write_timeout(&self) -> Duration {
         if self.is_store_unresponsive {
             self.remaining.min(UNRESPONSIVE_STORE_WRITE_TIMEOUT)
@@ -73,13 +75,14 @@
 
 /// The part of a caller's time in which its answer must be decided.
 ///
-/// A fixed margin refused callers who had come back with less than it, although a write takes some
-/// 10 ms.
+/// The rest is reserved for sending the response.  It is at most a share of the time, because a
+/// fixed margin refused callers that retried with less time than the margin, although a write takes
+/// only some 10 ms.
 pub fn usable_time(deadline: Duration) -> Duration {
     deadline - (deadline / RESPONSE_MARGIN_DIVISOR).min(MAX_RESPONSE_MARGIN)
 }
 
-/// In how many seconds a refused caller with this much time left should come back.
+/// Seconds that a refused caller with this remaining time should wait before its retry.
 pub fn retry_after_s(left: Duration) -> u64 {
     if left >= MIN_TIME_FOR_RETRY_AFTER { 1 } else { 0 }
 }
