--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -448,7 +448,7 @@
 
 /// The error for a stored value that can't be decoded.
 #[derive(Debug, Snafu)]
-#[snafu(display("cannot decode stored value: {source}"))]
+#[snafu(display("stored value can't be read: {source}"))]
 pub struct FormatError {
     source: postcard::Error,
 }
--- a/crates/engine/tests/all/crashes.rs
+++ b/crates/engine/tests/all/crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash the minions that start them, and tasks that were only beside them.
+//! Tests of tasks that crash their minions, and of tasks that ran beside them.
 
 use crate::fixture::*;
 use celerythread_engine::cell::{How, Listing, MinionId, Report, StartResult};
@@ -7,30 +7,31 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Starts of a task that may follow the third crash under it.
+/// Maximum number of starts of a task after the third crash that it caused.
 const MAX_STARTS_AFTER_THREE_CRASHES: usize = 2;
 
-/// How long runs are held.
+/// Lease of the runs on a minion.
 const LEASE_DURATION: Duration = Duration::from_secs(5);
 
-/// After what time a crashed minion is back as another, and so known to be over.
+/// Time after which a crashed minion restarts under a new id, which proves that the old one has
+/// terminated.
 const RESTART_DELAY: Duration = Duration::from_secs(3);
 
-/// How long tasks work that crash nothing.
+/// Duration of a task that doesn't crash its minion.
 const TASK_DURATION: Duration = Duration::from_millis(500);
 
-/// A cell whose minions crash as soon as they start certain tasks, and come back as others.
+/// A cell whose minions crash as soon as they start certain tasks, and restart under new ids.
 struct Fleet {
     harness: Harness,
     crashing: Vec<TaskName>,
     next_minion: usize,
-    /// Minions on which each crashing task was started.
+    /// Starts of crashing tasks, with the minions that they crashed.
     crashed: Vec<(TaskName, MinionId)>,
-    /// Runs of other tasks, and when each is done.
+    /// Runs of other tasks, and the time when each is done.
     working: Vec<(MinionId, TaskName, u32, Time)>,
-    /// Minions that are down, and when that is known.
+    /// Crashed minions, and the time when their termination is known.
     down: Vec<(MinionId, Time)>,
-    /// What was kept of the first job last.
+    /// Progress of the first job that was stored last.
     stored_progress: Option<Progress>,
 }
 
@@ -51,8 +52,10 @@
         (0..rounds).for_each(|_| self.run_round());
     }
 
-    /// A round of a tenth of a second: starts are accepted, what crashes its minion does so at once, the rest is done
-    /// half a second later.  That a minion is over is known after three seconds, when it is back as another.
+    /// Runs one round of 100 ms.
+    ///
+    /// All starts are accepted.  Crashing tasks crash their minion immediately, the others are done
+    /// after [`TASK_DURATION`].  Crashed minions restart after [`RESTART_DELAY`].
     fn run_round(&mut self) {
         for (minion, task, run) in self.harness.start_all() {
             self.harness.cell.promise(&minion, self.harness.now + LEASE_DURATION);
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Minions list what runs there, and what is done.
+    /// Reports what runs on the minions and what is done.
     fn report_runs(&mut self) {
         let now = self.harness.now;
         let (done, rest) = std::mem::take(&mut self.working).into_iter().partition(|w| w.3 <= now);
@@ -107,9 +110,9 @@
     }
 }
 
-/// A job's task ends each minion that starts it within milliseconds.  Its caller hears `running` for as long
-/// as the job lives, and every three seconds the callers of all that runs beside it wait for
-/// their work to be begun anew.
+/// Guards against endless starts of a task that crashes each minion within milliseconds.  Its caller
+/// was told `running` forever, and every three seconds all tasks that ran beside it had to be
+/// restarted.
 #[test]
 fn a_task_that_crashes_its_minions_is_given_up() {
     let name = task(1, 0, 0);
@@ -121,8 +124,8 @@
     assert_eq!(fleet.harness.cell.state(&id(1)), Some(State::Failed));
 }
 
-/// The tasks beside a crashing one end with each of its minions, too, and would be taken for the cause.  Their
-/// jobs are done all the same, and the crashing one costs no more minions than it would alone.
+/// Guards against blaming tasks that ran beside a crashing one and ended with its minions.  Their jobs
+/// complete, and the crashing task crashes no more minions than it would alone.
 #[test]
 fn tasks_beside_a_crashing_one_are_not_given_up() {
     let name = task(1, 0, 0);
@@ -138,7 +141,8 @@
     assert!(fleet.crashed.len() <= 3, "{} minions", fleet.crashed.len());
 }
 
-/// All tasks of a job crash their minions.  Tried again side by side, each would take a second one down.
+/// Guards against retrying several tasks of a job at the same time when all of them crash their
+/// minions: each would crash a second one.
 #[test]
 fn a_job_of_crashing_tasks_is_given_up_with_the_first() {
     let names: Vec<TaskName> = (0..5).map(|index| task(1, 0, index)).collect();
@@ -150,8 +154,9 @@
     assert!(minions.len() <= 3, "{:?}", fleet.crashed);
 }
 
-/// A rack loses power twice, each time just after a job's task was started there.  Idle minions of the
-/// rack went down with the task's, so it isn't the cause, and its caller gets its result.
+/// Guards against blaming a task for a common cause, such as a rack that loses power just after the
+/// task was started there.  Idle minions of the rack fail together with the task's minion, so the task
+/// isn't the cause and its job completes.
 #[test]
 fn a_task_on_minions_that_went_down_together_is_not_given_up() {
     let mut harness = Harness::new(4);
@@ -175,7 +180,8 @@
     assert_eq!(harness.cell.state(&id(1)), Some(State::Completed));
 }
 
-/// A minion that is to be emptied, or says that it leaves, ends as planned: that says nothing of its tasks.
+/// A minion that is being emptied or reports that it is draining shuts down as planned, which is no
+/// evidence against its tasks.
 #[test]
 fn planned_minion_shutdowns_raise_no_suspicion() {
     for drains in [false, true] {
@@ -191,19 +197,19 @@
                 harness.cell.set_leaving(&minion, true);
             }
             harness.cell.missed(&minion, harness.now);
-            // What says that it is to be emptied is dropped once its machine has another minion.
+            // The request to empty it is dropped once its machine has another minion.
             harness.cell.set_leaving(&minion, false);
             harness.advance_ms(2000);
             harness.cell.bury(&minion, harness.now);
         }
         harness.store_progress();
         assert_eq!(harness.cell.state(&id(1)), Some(State::Running));
-        assert_eq!(starts(&harness.plan()).len(), 1, "at once, with nothing to keep before");
+        assert_eq!(starts(&harness.plan()).len(), 1, "at once, with nothing to store first");
     }
 }
 
-/// The owner learns of two crashes and is lost.  Its successor goes on from there and doesn't let the
-/// task take two more minions.
+/// Guards against losing the count of crashes with the owner.  Its successor continues from the stored
+/// suspicions, so the task crashes only one more minion.
 #[test]
 fn suspicions_survive_a_change_of_owner() {
     let name = task(1, 0, 0);
@@ -212,7 +218,7 @@
     while fleet.crashed.is_empty() || !fleet.down.is_empty() {
         fleet.run_round();
     }
-    let stored = fleet.stored_progress.clone().expect("the first crash is kept");
+    let stored = fleet.stored_progress.clone().expect("the first crash is stored");
     assert_eq!(stored.suspicions.len(), 1);
     let mut successor = Fleet::new(6, &[name]);
     successor.harness.add_job_with_progress(1, definition(vec![step(1)]), &stored);
@@ -221,19 +227,19 @@
     assert_eq!(successor.crashed.len(), 1, "one more is enough");
 }
 
-/// The owner is lost after a minion fell silent and before that is known to be a crash.  That the task was on trial
-/// there was kept at once.
+/// Guards against losing a crash with an owner that is lost after a minion stopped answering and before
+/// the crash is certain.  That the task was on trial there is stored immediately.
 #[test]
 fn a_trial_is_stored_when_its_minion_falls_silent() {
     let mut harness = Harness::new(2);
     harness.submit(1, definition(vec![step(1)]));
     let (minion, ..) = harness.start_all().remove(0);
     harness.cell.missed(&minion, harness.now);
-    let batch = harness.cell.unkept(90).expect("something to keep");
+    let batch = harness.cell.unkept(90).expect("the suspicion to store");
     let (_, _, progress) = &batch.rows[0];
     assert_eq!(progress.suspicions.len(), 1);
     harness.cell.kept(&batch);
-    // It was cut off for a moment and is back: nothing is held against the task.
+    // The minion was only cut off for a moment, so the suspicion is dropped.
     let number = usize::from(minion == Harness::minion(1));
     harness.answer(
         number,
@@ -243,7 +249,7 @@
             ..Report::default()
         },
     );
-    let batch = harness.cell.unkept(90).expect("that is kept, too");
+    let batch = harness.cell.unkept(90).expect("a batch without the suspicion");
     assert!(batch.rows[0].2.suspicions.is_empty());
 }
 
@@ -272,7 +278,8 @@
     assert_eq!(stops(&harness.plan()).len(), 2);
 }
 
-/// A task is tried again only after what is held against it is kept; the store is away, and the owner may be lost.
+/// A task is retried only after the suspicion against it is stored.  During a store outage the owner may
+/// be lost, and the suspicion with it.
 #[test]
 fn a_suspected_task_waits_until_its_suspicion_is_stored() {
     let mut harness = Harness::new(3);
@@ -280,14 +287,14 @@
     let (minion, ..) = harness.start_all().remove(0);
     harness.crash(&minion);
     for _ in 0..5 {
-        assert_eq!(starts(&harness.plan()), [], "nothing can be kept");
+        assert_eq!(starts(&harness.plan()), [], "nothing can be stored");
         harness.advance_ms(1000);
     }
     assert_eq!(starts(&harness.plan_and_store()).len(), 1);
 }
 
-/// A long-lasting task was on several minions that crashed weeks apart.  Each time it had been at work for
-/// long, so it isn't the cause, and its users keep it.
+/// Guards against giving up a long-running task whose minions crashed weeks apart.  Each time it had
+/// been running for long, so it isn't the cause.
 #[test]
 fn a_task_that_ran_for_long_is_not_suspected() {
     let mut harness = Harness::new(1);
@@ -313,7 +320,7 @@
     assert_eq!(harness.cell.state(&id(1)), Some(State::Running));
 }
 
-/// A caller has cancelled its job before the crash is known: it stays cancelled.
+/// A job that is cancelled before a crash of its task is known stays cancelled.
 #[test]
 fn a_cancelled_job_stays_cancelled() {
     let mut fleet = Fleet::new(6, &[task(1, 0, 0)]);
@@ -326,8 +333,8 @@
     assert_eq!(fleet.harness.cell.state(&id(1)), Some(State::Cancelled));
 }
 
-/// A minion's room shrinks while it is full, and grows again.  Until it has grown or its runs have ended, those
-/// included that are being stopped, nothing is started there that goes beyond what it has.
+/// Guards against exceeding the capacity of a minion that was reduced while the minion was full.  Runs
+/// that are being stopped count until they have ended.
 #[test]
 fn nothing_is_started_beyond_a_reduced_capacity() {
     let mut harness = Harness::new(1);
@@ -343,19 +350,20 @@
     assert_eq!(
         (stops(&orders).len(), starts(&orders).len()),
         (10, 0),
-        "what is stopped still counts"
+        "runs that are being stopped still count"
     );
     for index in 0..7 {
         harness.report_end(&minion, task(1, 0, index), 1, How::Stopped);
     }
-    assert_eq!(harness.start_all().len(), 1, "three of four cores are taken");
+    assert_eq!(harness.start_all().len(), 1, "three of four cores are in use");
     harness.cell.list(&minion, listing(16_000));
     assert_eq!(harness.start_all().len(), 3);
 }
 
-/// An availability zone is cut off with minions whose tasks were well under way.  When their leases have lapsed all
-/// of them start again elsewhere in one plan; taken for likely causes of crashes, one of a job was tried at a time,
-/// and callers waited a quarter of a second more for each.
+/// Guards against suspecting tasks of minions that are cut off with their availability zone.  When the
+/// leases have expired, tasks that had been running for a while all start elsewhere in one plan.
+/// Treated as suspects, the tasks of a job were tried one at a time, which delayed each by another
+/// quarter of a second.
 #[test]
 fn tasks_of_minions_that_are_cut_off_start_again_together() {
     let mut harness = Harness::new(4);
@@ -380,8 +388,8 @@
     assert_eq!(harness.start_all().len(), lost);
 }
 
-/// A task that is all but proved is tried once more.  Started beside it, another job's task would end with the
-/// minion, too, and be as likely a cause; it waits until the trial is over.
+/// A strong suspect is tried alone on a minion.  A task that is started beside it would end in the same
+/// crash and be as likely a cause, so it waits until the trial is over.
 #[test]
 fn nothing_is_started_beside_a_task_on_trial() {
     let mut harness = Harness::new(1);
@@ -398,11 +406,11 @@
         1,
         Report { running: vec![running(name, run, 5)], finished: vec![], ..Report::default() },
     );
-    assert_eq!(harness.start_all().len(), 1, "it has outlived its trial");
+    assert_eq!(harness.start_all().len(), 1, "its trial has ended");
 }
 
-/// Two tasks are started on a minion together, and it crashes: either may be the cause.  Tried side by side again,
-/// they would be as hard to tell apart.
+/// After a crash of a minion that had just started two tasks, either may be the cause.  They are tried
+/// separately; a second crash under both would prove nothing.
 #[test]
 fn suspects_are_tried_separately() {
     let mut harness = Harness::new(1);
@@ -414,9 +422,9 @@
     assert_eq!(starts(&harness.plan_and_store()).len(), 1);
 }
 
-/// A minion crashes unnoticed with a task well under way, and a start is sent to it before that shows.  The start
-/// came to nobody and explains nothing; counted as the one on trial, it made the other task the only likely
-/// cause, and its job was shown as failed after two such crashes.
+/// Guards against counting a start that was sent to a minion after its crash, before the crash was
+/// noticed.  The start was never delivered and explains nothing.  Counted as a task on trial, it made
+/// the task that had been running the only suspect, whose job failed after two such crashes.
 #[test]
 fn a_start_that_came_to_nobody_blames_no_one_else() {
     let mut harness = Harness::new(1);
@@ -431,7 +439,7 @@
         );
         let other = round as u8 + 2;
         harness.submit(other, definition(vec![step(1)]));
-        assert_eq!(starts(&harness.plan()).len(), 1, "ordered, and not answered yet");
+        assert_eq!(starts(&harness.plan()).len(), 1, "ordered and not answered yet");
         harness.cell.bury(&minion, harness.now);
         harness.cell.cancel(&id(other), harness.now);
         harness.add_minion(round + 1);
--- a/crates/engine/tests/all/fixture.rs
+++ b/crates/engine/tests/all/fixture.rs
@@ -1,4 +1,4 @@
-//! A cell with minions that a test moves by hand.
+//! A test harness: a cell with a manual clock and simulated minions.
 
 use celerythread_engine::cell::{
     Cell, End, How, Incarnation, Listing, MinionId, Order, Permit, Queue, Report, Running,
@@ -10,7 +10,7 @@
 use celerythread_engine::time::Time;
 use std::time::Duration;
 
-/// A minion's capacity, as the deployments have it.
+/// Capacity of a minion, as in the deployments.
 pub(crate) const CAPACITY: Resources = Resources { cpu: 16_000, memory_mb: 32_768, gpu: 0 };
 
 pub(crate) fn id(number: u8) -> Id {
@@ -21,7 +21,7 @@
     TaskName { job: id(job), occurrence: 0, step, index }
 }
 
-/// A step of so many tasks of one core and half a second.
+/// A step of `count` tasks that take one core for half a second each.
 pub(crate) fn step(count: u32) -> Step {
     let need = Resources { cpu: 1000, memory_mb: 512, gpu: 0 };
     Step { count, need, estimate_ms: 500, ..Step::default() }
@@ -31,7 +31,7 @@
     Definition { spec: "work".into(), steps, schedule: None }
 }
 
-/// A cell under a hand-moved clock.
+/// A cell under a manual clock.
 pub(crate) struct Harness {
     pub(crate) cell: Cell,
     pub(crate) now: Time,
@@ -80,20 +80,20 @@
         self.cell.list(&Self::minion(number), listing);
     }
 
-    /// A further minion is listed, and runs nothing.
+    /// Lists a minion and lets it answer that it runs nothing.
     pub(crate) fn add_minion(&mut self, number: usize) {
         self.list_minion(number);
         self.answer(number, Report::default());
     }
 
-    /// A minion falls silent, and is known to be over three seconds later.
+    /// Makes a minion stop answering, and marks it as terminated three seconds later.
     pub(crate) fn crash(&mut self, minion: &MinionId) {
         self.cell.missed(minion, self.now);
         self.advance_ms(3000);
         self.cell.bury(minion, self.now);
     }
 
-    /// The minion answers a hold that was sent just now.
+    /// Answers a hold that was sent at the current time.
     pub(crate) fn answer(&mut self, number: usize, report: Report) -> Vec<Order> {
         self.now = self.now + Duration::from_millis(1);
         self.cell.report(&Self::minion(number), &report, self.now, self.now)
@@ -109,7 +109,7 @@
         self.cell.add_job(id(job), accepted, None, inherited, Duration::ZERO, self.now);
     }
 
-    /// A job of which a former owner kept some progress.
+    /// Adds a job with progress that a former owner stored.
     pub(crate) fn add_job_with_progress(
         &mut self,
         job: u8,
@@ -130,7 +130,8 @@
         self.cell.plan(self.now, self.now.0, Permit::All)
     }
 
-    /// Plans until nothing is to be kept any more: what is held against a task is kept before it is tried again.
+    /// Stores progress and plans until there is nothing left to store: a suspicion against a task is
+    /// stored before the task is tried again.
     pub(crate) fn plan_and_store(&mut self) -> Vec<Order> {
         let mut orders = Vec::new();
         loop {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// The next start, once what comes before it is kept and over.
+    /// Plans, stores progress and advances the clock until a task is started.
     pub(crate) fn next_start(&mut self) -> (MinionId, TaskName, u32) {
         for _ in 0..100 {
             if let Some(start) = starts(&self.plan_and_store()).pop() {
@@ -150,10 +151,10 @@
             }
             self.advance_ms(50);
         }
-        panic!("nothing is started within five seconds");
+        panic!("nothing was started within five seconds");
     }
 
-    /// Plans, and has every start accepted.
+    /// Plans and accepts every start.
     pub(crate) fn start_all(&mut self) -> Vec<(MinionId, TaskName, u32)> {
         let started = starts(&self.plan());
         for (minion, task, run) in &started {
@@ -162,7 +163,7 @@
         started
     }
 
-    /// A minion lists an end, and that everything else of its runs goes on.
+    /// Reports the end of a run; the minion's other runs continue.
     pub(crate) fn report_end(
         &mut self,
         minion: &MinionId,
@@ -174,7 +175,7 @@
         let number = self.last_end;
         let end = End { number, task, run, how, checkpoint: None };
         let report = Report { running: Vec::new(), finished: vec![end], ..Report::default() };
-        // Sent long ago, so that it says nothing about other runs.
+        // A report that was sent long ago doesn't imply that runs missing from it have ended.
         self.cell.report(minion, &report, Time(0), self.now);
         number
     }
@@ -186,7 +187,7 @@
     }
 }
 
-/// The starts among orders.
+/// Returns the starts among `orders`.
 pub(crate) fn starts(orders: &[Order]) -> Vec<(MinionId, TaskName, u32)> {
     orders
         .iter()
@@ -197,7 +198,7 @@
         .collect()
 }
 
-/// The stops among orders.
+/// Returns the stops among `orders`.
 pub(crate) fn stops(orders: &[Order]) -> Vec<(MinionId, TaskName, u32)> {
     orders
         .iter()
--- a/crates/engine/tests/all/former.rs
+++ b/crates/engine/tests/all/former.rs
@@ -1,4 +1,4 @@
-//! Which minions of a former owner are waited for.
+//! Tests of which minions of a former owner a new owner waits for.
 
 use celerythread_engine::former::has_terminated;
 use celerythread_engine::maintenance::Machine;
@@ -15,14 +15,18 @@
     minions.iter().map(machine).collect()
 }
 
-/// Nothing of a cell's inherited jobs is started for six seconds, with thirty machines in its pool.
-/// A machine was ordered down just before its cell changed hands; its former minion's entry stood
-/// among the minions for some seconds more, and the new owner waited for it to answer.
+/// Guards against a new owner that waits for a minion which was shut down for maintenance.  If its
+/// machine goes down just before the cell changes owner, the minion's entry stays listed for some
+/// seconds; nothing of the inherited jobs was started for six seconds, with thirty machines in the
+/// pool.
 #[test]
 fn a_minion_whose_machine_has_another_one_is_over() {
     let machines = machines(&[("m1", Some("new")), ("m2", None)]);
     assert!(has_terminated("old", &machines, true, Some("m1")));
-    assert!(has_terminated("old", &machines, true, Some("m2")), "it is down, or on its way");
+    assert!(
+        has_terminated("old", &machines, true, Some("m2")),
+        "the machine is down or on its way up"
+    );
 }
 
 #[test]
@@ -33,12 +37,9 @@
 #[test]
 fn a_minion_that_may_live_is_waited_for() {
     let list = machines(&[("m1", Some("old"))]);
-    assert!(!has_terminated("old", &list, false, Some("m1")), "its machine has it");
+    assert!(!has_terminated("old", &list, false, Some("m1")), "its machine still has it");
     let other = machines(&[("m2", Some("new"))]);
-    assert!(
-        !has_terminated("old", &other, true, None),
-        "it is listed, and its machine isn't known"
-    );
+    assert!(!has_terminated("old", &other, true, None), "it is listed and its machine is unknown");
     assert!(!has_terminated("old", &other, true, Some("m1")), "its machine isn't listed");
     assert!(
         !has_terminated("old", &BTreeMap::new(), false, Some("m1")),
--- a/crates/engine/tests/all/jobs.rs
+++ b/crates/engine/tests/all/jobs.rs
@@ -1,4 +1,4 @@
-//! A job's life: order of steps, attempts, cancellation, gangs, what a caller is told.
+//! Tests of a job's life cycle: order of steps, attempts, cancellation, gangs, reported states.
 
 use crate::fixture::*;
 use celerythread_engine::cell::{How, Refusal, StartResult};
@@ -19,8 +19,8 @@
     assert_eq!(starts(&harness.plan())[0].1, task(1, 1, 0));
 }
 
-/// A caller is told that a job is completed, the owner is lost before that is kept, and its
-/// successor runs the job again: done twice.  So nothing final is told before it is kept.
+/// Guards against reporting a final state before it is stored.  If the owner is lost in between, its
+/// successor runs a job again that was reported as completed.
 #[test]
 fn a_completion_is_reported_only_after_it_is_stored() {
     let mut harness = Harness::new(1);
@@ -32,8 +32,8 @@
     assert_eq!(harness.cell.state(&id(1)), Some(State::Completed));
 }
 
-/// An end is acknowledged, its minion forgets it, the owner is lost before it is kept, and its
-/// successor finds no trace of the run and starts it again.
+/// Guards against acknowledging an end before it is stored.  Its minion drops an acknowledged end; if
+/// the owner is then lost, its successor finds no trace of the run and starts the task again.
 #[test]
 fn an_end_is_acknowledged_only_after_it_is_stored() {
     let mut harness = Harness::new(1);
@@ -53,7 +53,7 @@
     harness.report_end(&first, name, run, How::Failed);
     assert_eq!(harness.cell.state(&id(1)), Some(State::Running));
     let (second, name, again) = harness.start_all().remove(0);
-    assert_ne!(first, second, "it is tried elsewhere");
+    assert_ne!(first, second, "the retry is on another minion");
     assert!(again > run);
     harness.report_end(&second, name, again, How::Failed);
     harness.store_progress();
@@ -61,9 +61,9 @@
     assert!(starts(&harness.plan()).is_empty());
 }
 
-/// The former owner counted a failure and was lost before it acknowledged it; its successor
-/// reads the kept count and is listed the same end again.  Counted twice, the job would be
-/// shown as failed with an attempt to spare.
+/// Guards against counting a failure twice.  If an owner stores a failure and is lost before it
+/// acknowledges it, the same end is reported to its successor, and the job would fail with an attempt
+/// left.
 #[test]
 fn a_failure_that_is_listed_again_counts_once() {
     let mut harness = Harness::new(2);
@@ -90,8 +90,8 @@
     assert_eq!(harness.cell.state(&id(1)), Some(State::Cancelled));
 }
 
-/// Members of a gang wait for each other; one started without room for the rest holds its
-/// cores for seconds and ends alone.
+/// Guards against starting part of a gang.  Its members wait for each other, so one that is started
+/// without capacity for the rest holds its cores for seconds and then ends without them.
 #[test]
 fn a_gang_starts_whole_or_not_at_all() {
     let mut harness = Harness::new(1);
@@ -106,8 +106,9 @@
     assert_eq!(numbers.len(), 1, "all members have the same run number");
 }
 
-/// A gang's members end done together and one such end stands for all: were the others waited
-/// for, a job whose minions report at different times could be run in part again.
+/// The members of a gang are done at the same time, so one end that is reported as done completes all
+/// of them.  Waiting for the others could run part of the job again, because minions report at
+/// different times.
 #[test]
 fn one_completed_member_completes_its_gang() {
     let mut harness = Harness::new(1);
@@ -162,8 +163,8 @@
     assert!(Progress::decode(&[0xff; 3]).is_err());
 }
 
-/// A new release takes a cell over whose rows were written by one that kept no suspicions.  Unread, they
-/// would have done tasks run again.
+/// Guards against rows that a new release can't decode because they were written by a release that
+/// stored no suspicions.  Tasks that are done would run again.
 #[test]
 fn rows_without_suspicions_are_read() {
     let progress = Progress { done: vec![0, 7], ..Progress::default() };
@@ -173,8 +174,9 @@
     assert_eq!(Progress::decode(without_list).unwrap(), progress);
 }
 
-/// One member of a gang is refused for want of room that the books didn't show.  The others would
-/// wait for it for seconds, holding their cores, and end alone.
+/// Guards against leaving the rest of a gang running after a minion refused one member for lack of
+/// capacity that the owner had recorded as free.  The others would hold their cores for seconds,
+/// waiting for it, and then end without it.
 #[test]
 fn the_rest_of_a_gang_is_stopped_when_one_member_is_refused() {
     let mut harness = Harness::new(1);
--- a/crates/engine/tests/all/load.rs
+++ b/crates/engine/tests/all/load.rs
@@ -1,10 +1,11 @@
-//! What a cell asks for.
+//! Tests of the demand for machines that a cell reports.
 
 use crate::fixture::*;
 use celerythread_engine::job::{Resources, Step};
 
-/// Tasks of one core and half of a minion's memory: two fill a minion, and its other cores are of no
-/// use.  Counted by cores, a pool of sixteen cores a minion asked for an eighth of what it needed.
+/// Guards against demand that is counted by cores alone.  Two tasks of one core and half of a minion's
+/// memory fill the minion and leave its other cores unusable; a pool whose minions have sixteen cores
+/// requested an eighth of what it needed.
 #[test]
 fn tasks_that_fill_the_memory_ask_for_whole_minions() {
     let mut harness = Harness::new(2);
@@ -16,8 +17,8 @@
     assert_eq!(load.waiting, 4 * capacity.cpu / 2, "two minions for a second");
 }
 
-/// A burst leaves late jobs, of no worth to their callers any more, and another queue's turn begins.
-/// Asking as much as fresh ones, they took the machines that the next callers needed in time.
+/// Guards against late jobs that demand as much as fresh ones.  After a burst, jobs that are too late
+/// to be of use to their callers took the machines that the next queue's callers needed in time.
 #[test]
 fn late_jobs_ask_for_less() {
     let mut harness = Harness::new(2);
@@ -27,9 +28,10 @@
     assert_eq!(harness.cell.load(harness.now).waiting * 4, fresh);
 }
 
-/// A turn of long tasks in two steps: with both steps and all their seconds counted as waiting, its pool
-/// asked for three times the machines that it could use, half of them idled, and the callers of the next
-/// turn found a twentieth of the machines that they needed.
+/// Guards against demand for more cores than the tasks can use.  With both steps of long tasks and
+/// their whole duration counted as waiting, a pool requested three times the machines that it could
+/// use; half of them were idle, and the callers of the next turn found a twentieth of the machines
+/// that they needed.
 #[test]
 fn tasks_ask_for_no_more_cores_than_they_can_use() {
     let mut harness = Harness::new(8);
@@ -47,12 +49,12 @@
     assert_eq!(
         (load.working, load.waiting),
         (cores, 0),
-        "the second step takes the first one's room"
+        "the second step reuses the first one's room"
     );
 }
 
-/// A wide step follows a narrow one: its machines are sent for while the narrow one still runs, since a
-/// machine takes two seconds to come.
+/// The machines for a wide step are requested while the narrow step before it still runs, because a
+/// machine takes two seconds to arrive.
 #[test]
 fn a_wider_step_requests_its_missing_cores_ahead() {
     let mut harness = Harness::new(8);
--- a/crates/engine/tests/all/main.rs
+++ b/crates/engine/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! The engine's rules, without network or clocks.
+//! Tests of the engine's rules, without a network or clocks.
 
 mod crashes;
 mod fixture;
--- a/crates/engine/tests/all/matrix.rs
+++ b/crates/engine/tests/all/matrix.rs
@@ -1,7 +1,7 @@
-//! Every fault at every call of a cell's owner, checked over what truly ran.
+//! Fault injection at every call of a cell's owner, checked against the recorded runs.
 //!
-//! The scenario is played once without faults and its calls are counted; then once more for each
-//! call and each fault.  A second test draws several faults at once.
+//! The scenario runs once without faults to count its calls, then once for each call and each fault.
+//! Property tests inject several faults into one simulation.
 
 use crate::fixture::task;
 use crate::model::Start;
@@ -11,8 +11,9 @@
 use std::collections::BTreeMap;
 use strum::VariantArray;
 
-/// A caller's job runs twice, is begun after its cancellation, never ends, or takes down one minion after the
-/// other, because one call of the owner was lost, came late, or its owner died or stood still just then.
+/// Guards against a job that runs twice, starts after its cancellation, never ends or crashes minion
+/// after minion because a call of the owner is lost or delayed, or because the owner crashes or pauses
+/// at that call.
 #[test]
 fn every_fault_at_every_call() {
     check_every_fault(Simulation::new);
@@ -49,7 +50,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
-    /// The same with several faults, which come together or during each other's recovery.
+    /// As above, with several faults that coincide or occur during the recovery from each other.
     #[test]
     fn several_faults(
         plan in prop::collection::btree_map(0..400_usize, prop::sample::select(Fault::VARIANTS), 2..5)
--- a/crates/engine/tests/all/model.rs
+++ b/crates/engine/tests/all/model.rs
@@ -1,4 +1,4 @@
-//! A model of minions and of the platform's table, which write down what truly happened.
+//! A model of minions and of the platform's table that records the actual runs.
 
 pub(crate) mod owner;
 pub(crate) mod simulation;
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A run as it truly was.
+/// A run as it actually happened.
 #[derive(Clone, Debug)]
 pub(crate) struct RunRecord {
     pub(crate) task: TaskName,
@@ -17,18 +17,18 @@
     pub(crate) ended: Option<(Time, How)>,
     /// Whether its end was acknowledged to its minion.
     pub(crate) acknowledged: bool,
-    /// Whether its minion crashed under it.
+    /// Whether its minion crashed while it ran.
     pub(crate) crashed: bool,
 }
 
-/// What runs on a minion.
+/// A run on a minion.
 #[derive(Clone, Debug)]
 struct Work {
     run: u32,
     need: Resources,
-    /// Its place in the history.
+    /// Index of its record in the history.
     record: usize,
-    /// When it is done; never for a task that lasts.
+    /// When it is done; none for a long-running task.
     done_at: Option<Time>,
     /// When a stop takes effect.
     stops_at: Option<Time>,
@@ -44,27 +44,27 @@
     token: u64,
     deadline: Time,
     running: BTreeMap<TaskName, Work>,
-    /// The highest run of each task that was stopped or ended here.
+    /// The highest run number of each task that was stopped or ended here.
     last_ended_runs: BTreeMap<TaskName, u32>,
     ends: Vec<End>,
     last_end: u64,
 }
 
-/// A start as it is sent.
+/// The order to start a task.
 #[derive(Clone, Debug)]
 pub(crate) struct Start {
     pub(crate) task: TaskName,
     pub(crate) run: u32,
-    /// Whether the task was never started before, as its owner knows.
+    /// Whether its owner knows that the task was never started before.
     pub(crate) first: bool,
     pub(crate) need: Resources,
-    /// How long it works; none for a task that lasts.
+    /// How long the task runs; none for a long-running task.
     pub(crate) work: Option<Duration>,
     pub(crate) deadline: Time,
     pub(crate) token: u64,
 }
 
-/// Time that a stop takes.
+/// Time from the order to stop a run until the run ends.
 const STOP_DURATION: Duration = Duration::from_millis(60);
 
 impl Minion {
@@ -178,7 +178,7 @@
         Ok(())
     }
 
-    /// Lets time pass.
+    /// Ends the runs that are done, stopped or expired at `now`.
     pub(crate) fn advance(&mut self, now: Time, history: &mut [RunRecord]) {
         let expired = now >= self.deadline;
         let ended = self.running.iter().filter_map(|(task, work)| {
@@ -207,7 +207,7 @@
         self.ends.push(end);
     }
 
-    /// Ends everything at once: the minion has crashed.
+    /// Crashes the minion, which ends all its runs.
     pub(crate) fn crash(&mut self, now: Time, history: &mut [RunRecord]) {
         for work in std::mem::take(&mut self.running).into_values() {
             history[work.record].ended = Some((now, How::Expired));
@@ -222,16 +222,16 @@
     (now.since(work.began_at).as_millis() * 100 / whole).min(100) as u8
 }
 
-/// The platform's table, as far as an owner of a cell uses it.
+/// The parts of the platform's table that an owner of a cell uses.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     /// The fencing token of the cell's holder.
     pub(crate) token: u64,
-    /// How often the holder has renewed.
+    /// Number of renewals of the cell's lease.
     pub(crate) renewals: u64,
-    /// The version of the row under whose condition the holder writes.
+    /// Version of the ledger, the row that makes the holder's writes conditional.
     pub(crate) ledger_version: u64,
     pub(crate) progress: BTreeMap<Id, Progress>,
-    /// When each end that was kept as done was kept.
+    /// When each task was stored as done.
     pub(crate) done_stored_at: BTreeMap<TaskName, Time>,
 }
--- a/crates/engine/tests/all/model/owner.rs
+++ b/crates/engine/tests/all/model/owner.rs
@@ -1,4 +1,4 @@
-//! An owner of a cell, as the daemon drives the engine: it decides on calls and takes in answers.
+//! An owner of a cell, which drives the engine like the daemon: it plans calls and handles answers.
 
 use super::Start;
 use super::simulation::step_of;
@@ -10,16 +10,16 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-// The daemon's default settings, and the margins that it adds to them.
+// The daemon's default settings, and the margin that it adds to leases.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
-/// From here on after its last renewal an owner starts only what was never started.
+/// Time after its last renewal from which an owner starts only tasks that were never started.
 const START_ALONE_LIMIT: Duration = Duration::from_millis(1000);
-/// And from here on it starts nothing and extends no lease.
+/// Time after its last renewal from which an owner starts nothing and extends no lease.
 pub(crate) const EXTEND_ALONE_LIMIT: Duration = Duration::from_millis(3000);
 pub(crate) const LEASE_DURATION: Duration = Duration::from_millis(4500);
 pub(crate) const LEASE_MARGIN: Duration = Duration::from_millis(150);
 
-/// Time between two looks at a minion.
+/// Time between two polls of a minion.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(crate) const CAPACITY: Resources = Resources { cpu: 4000, memory_mb: 4096, gpu: 0 };
@@ -43,15 +43,15 @@
         task: TaskName,
         run: u32,
     },
-    /// On condition that the ledger still has the version that the owner knows, so that a write
-    /// which is carried out late can't undo a newer one.
+    /// Stores progress if the ledger still has the version that the owner knows, so that a delayed
+    /// write can't overwrite a newer one.
     Store {
         batch: Batch,
         version: u64,
     },
 }
 
-/// What came back.
+/// The answer to a call.
 pub(crate) enum Answer {
     Unknown,
     Done,
@@ -61,7 +61,7 @@
     Superseded,
 }
 
-/// An owner.
+/// An owner of the cell.
 pub(crate) struct Owner {
     pub(crate) cell: Cell,
     pub(crate) token: u64,
@@ -71,10 +71,10 @@
     pub(crate) missed: BTreeSet<MinionId>,
     /// The incarnation that last answered on each open connection.
     connections: BTreeMap<MinionId, Incarnation>,
-    /// Calls decided on and not yet made.
+    /// Planned calls that haven't been made.
     pub(crate) calls: VecDeque<Call>,
     pub(crate) paused_until: Option<Time>,
-    /// Until when it reaches only this minion.
+    /// While isolated: until when, and the only minion that it can reach.
     pub(crate) isolation: Option<(Time, MinionId)>,
     pub(crate) is_stopped: bool,
 }
@@ -91,7 +91,7 @@
 }
 
 impl Owner {
-    /// An owner whose takeover has just been written.
+    /// An owner whose takeover has just been stored.
     pub(crate) fn new(cell: Cell, token: u64, now: Time) -> Self {
         Self {
             cell,
@@ -118,13 +118,14 @@
         }
     }
 
-    /// Whether it reaches a minion, or the table.
+    /// Whether it can reach a minion, or the table for none.
     pub(crate) fn can_reach(&self, minion: Option<MinionId>, now: Time) -> bool {
         let Some((until, only)) = &self.isolation else { return true };
         now >= *until || minion.as_ref() == Some(only)
     }
 
-    /// Whether a call may no longer be made: an order is checked again right before it is sent.
+    /// Whether a planned call is no longer allowed: starts are checked again right before they are
+    /// sent.
     pub(crate) fn is_forbidden(&self, call: &Call, now: Time) -> bool {
         let Call::Start { start, .. } = call else { return false };
         match self.permit(now) {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Decides on calls.
+    /// Plans the calls that are due.
     pub(crate) fn plan_calls(&mut self, listed: &[MinionId], ledger_version: u64, now: Time) {
         if now >= self.next_renewal {
             self.next_renewal = now + RENEWAL_INTERVAL;
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Takes in an answer.
+    /// Applies the answer to a call.
     pub(crate) fn handle_answer(&mut self, call: &Call, answer: Answer, now: Time) {
         if let Some(minion) = call.minion() {
             match answer {
--- a/crates/engine/tests/all/model/simulation.rs
+++ b/crates/engine/tests/all/model/simulation.rs
@@ -1,4 +1,4 @@
-//! A scenario with faults: owners that follow each other, minions, the table, a caller.
+//! A simulation with fault injection: successive owners, minions, the table and a caller.
 
 use super::owner::{
     Answer, CAPACITY, Call, EXTEND_ALONE_LIMIT, LEASE_DURATION, LEASE_MARGIN, Owner,
@@ -15,86 +15,86 @@
 use strum::VariantArray;
 
 const TICK: Duration = Duration::from_millis(20);
-/// Silence after which others take over, by the daemon's default settings.
+/// Time without a renewal after which another entry takes over, by the daemon's default settings.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(1300);
-/// How long a pause lasts: beyond every lease, and a successor has long taken over.
+/// Duration of an owner's pause: longer than every lease, and a successor has long taken over.
 const PAUSE_DURATION: Duration = Duration::from_secs(14);
-/// How long a minion is cut off.
+/// Duration of a network partition.
 const PARTITION_DURATION: Duration = Duration::from_secs(7);
 const OUTAGE_DURATION: Duration = Duration::from_secs(4);
-/// When a call that is carried out late is.
+/// Time until a delayed call is executed.
 const CALL_DELAY: Duration = Duration::from_secs(3);
-/// When a crashed minion's next life begins.
+/// Time until a crashed minion restarts.
 const RESTART_DELAY: Duration = Duration::from_millis(1500);
-/// When the caller cancels its job.
+/// When the caller cancels [`CANCELLED_JOB`].
 const CANCEL_TIME: Time = Time(10_700);
 const START_TIME: Time = Time(10_000);
-/// Longest play; the worst fault is over long before.
+/// End of a simulation that doesn't finish; recovery from the worst fault takes far less time.
 pub(crate) const TIME_LIMIT: Time = Time(70_000);
 const MINION_IDS: [&str; 3] = ["a", "b", "c"];
 pub(crate) const CHAINED_JOB: u8 = 1;
 const LONG_RUNNING_JOB: u8 = 2;
 const CANCELLED_JOB: u8 = 3;
-/// Its only task crashes each minion that starts it.
+/// The job whose only task crashes each minion that starts it.
 const CRASHING_JOB: u8 = 4;
-/// How soon after its start it does.
+/// Time from the start of the crashing task to the crash of its minion.
 const CRASH_DELAY: Duration = Duration::from_millis(10);
-/// Crashes under one task for which its job may be given up, whatever caused them.
+/// Crashes of minions with the same task after which its job may be given up, whatever caused them.
 const CRASHES_TO_GIVE_UP: usize = 2;
-/// Starts of it that are too many: three more after the third crash.
+/// Starts of the crashing task that are too many: three more after the third crash.
 const TOO_MANY_STARTS: usize = 6;
 
-/// What goes wrong at a call.
+/// A fault injected at a call.
 #[derive(Clone, Copy, Debug, VariantArray)]
 pub(crate) enum Fault {
-    /// It isn't carried out, and nobody knows.
+    /// The call is lost.
     Lost,
-    /// It is carried out, and nobody knows.
+    /// The call is executed, but its answer is lost.
     AnswerLost,
-    /// It is carried out seconds later, and nobody knows.
+    /// The call is executed seconds later, and its answer is lost.
     Delayed,
-    /// The owner dies before it is sent.
+    /// The owner crashes before it sends the call.
     KilledBefore,
-    /// The owner dies after it was carried out.
+    /// The owner crashes after the call is executed.
     KilledAfter,
-    /// The owner stands still past every lease, and then sends it.
+    /// The owner pauses until every lease has expired, then sends the call.
     Paused,
     /// The minion crashes and comes back after a delay.
     Crash,
     /// The minion restarts immediately under the same id.
     Restart,
-    /// The minion is cut off from all entries, and runs on.
+    /// The minion is cut off from all entries, but continues its runs.
     Partitioned,
     /// The owner is cut off from the table and from all minions but one.
     Isolated,
-    /// The table is down.
+    /// The table is unavailable.
     Outage,
 }
 
-/// A play of the scenario.
+/// A simulation of the scenario.
 pub(crate) struct Simulation {
     now: Time,
     faults: BTreeMap<usize, Fault>,
     pub(crate) call_count: usize,
     minions: Vec<Minion>,
     roster: BTreeSet<MinionId>,
-    /// When crashed minions come back, and under which ids.
+    /// When crashed minions restart, and under which ids.
     pending_restarts: Vec<(Time, String)>,
-    /// Whether crashed minions come back under their former ids.
+    /// Whether crashed minions restart under their former ids.
     keeps_ids: bool,
-    /// Numbers the incarnations of all minions.
+    /// Number of the last incarnation of any minion.
     last_incarnation: u64,
-    /// Minions that have started what crashes them, and when they are gone.
+    /// Minions that have started the crashing task, and when they crash.
     pending_crashes: Vec<(Time, MinionId)>,
     partitioned_until: BTreeMap<MinionId, Time>,
     outage_until: Time,
-    /// Delayed calls: when they are carried out, the caller's token, and the receiving incarnation.
+    /// Delayed calls: when they are executed, the caller's token, the call and the receiving incarnation.
     delayed_calls: Vec<(Time, u64, Call, Option<Incarnation>)>,
     table: Table,
     history: Vec<RunRecord>,
     violations: Vec<String>,
     owners: Vec<Owner>,
-    /// Renewals as a candidate saw them last, and since when.
+    /// Number of renewals that a candidate for the cell observed, and when it was first observed.
     observed_renewals: (u64, Time),
     cancelled: bool,
 }
@@ -126,7 +126,7 @@
         simulation
     }
 
-    /// Like [`Self::new`], with crashed minions coming back under their former ids.
+    /// Like [`Self::new`], but crashed minions restart under their former ids.
     pub(crate) fn with_kept_ids(faults: BTreeMap<usize, Fault>) -> Self {
         Self { keeps_ids: true, ..Self::new(faults) }
     }
@@ -176,7 +176,7 @@
         self
     }
 
-    /// Whether all is as it should be, and nothing that was set off is still to come.
+    /// Whether all jobs have their expected outcome and no effect of a fault is pending.
     fn is_finished(&self) -> bool {
         let unwanted = |run: &RunRecord| run.task.job == id(CANCELLED_JOB) && run.ended.is_none();
         let quiet = self.delayed_calls.is_empty()
@@ -188,14 +188,14 @@
         let crashing = self.table.progress.get(&id(CRASHING_JOB)).and_then(|kept| kept.outcome);
         let done = done == Some(State::Completed) || self.may_give_up(CHAINED_JOB);
         let ended = done && crashing == Some(State::Failed);
-        let lasting = self.active_long_running() == 2 || self.may_give_up(LONG_RUNNING_JOB);
-        quiet && !paused && ended && lasting
+        let long_running = self.active_long_running() == 2 || self.may_give_up(LONG_RUNNING_JOB);
+        quiet && !paused && ended && long_running
     }
 
     fn active_long_running(&self) -> usize {
-        let lasting =
+        let long_running =
             |run: &&RunRecord| run.task.job == id(LONG_RUNNING_JOB) && run.ended.is_none();
-        self.history.iter().filter(lasting).count()
+        self.history.iter().filter(long_running).count()
     }
 
     fn advance(&mut self) {
@@ -234,7 +234,7 @@
         }
     }
 
-    /// Another entry takes over from an owner that doesn't renew.
+    /// Lets another entry take over from an owner that doesn't renew.
     fn take_over_if_silent(&mut self) {
         let (observed, since) = self.observed_renewals;
         if self.now < self.outage_until || self.table.renewals != observed {
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Makes a call with its fault; false if its owner makes no further one now.
+    /// Makes a call, with its fault if there is one; false if the owner makes no further call now.
     fn make_call(&mut self, index: usize, call: Call) -> bool {
         if self.owners[index].is_forbidden(&call, self.now) {
             self.owners[index].handle_answer(&call, Answer::Refused(Refusal::Unhealthy), self.now);
@@ -425,7 +425,7 @@
         }
     }
 
-    /// Checks the start that is last in the history.
+    /// Checks the last start in the history.
     fn check_start(&mut self, at: usize) {
         let run = self.history[self.history.len() - 1].clone();
         let mut violations = Vec::new();
@@ -465,8 +465,8 @@
         }
     }
 
-    /// Whether a job may have been given up although none of its tasks crashes minions: so many crashed under one of
-    /// them for other causes that it can't be told from such a task.
+    /// Whether a job may have been given up although none of its tasks crashes minions: so many minions
+    /// crashed with one of its tasks for other reasons that it can't be told apart from such a task.
     fn may_give_up(&self, job: u8) -> bool {
         let is_given_up = self.table.progress.get(&id(job)).and_then(|kept| kept.outcome);
         let mut crashes: BTreeMap<TaskName, usize> = BTreeMap::new();
@@ -477,39 +477,39 @@
         is_given_up == Some(State::Failed) && most >= CRASHES_TO_GIVE_UP
     }
 
-    /// How often the crashing task was started.
+    /// Number of starts of the crashing task.
     pub(crate) fn crashing_starts(&self) -> usize {
         self.history.iter().filter(|run| run.task.job == id(CRASHING_JOB)).count()
     }
 
-    /// What was broken, and what is missing at the end.
+    /// Violations, and what is missing if the simulation isn't finished.
     pub(crate) fn failures(&self) -> Vec<String> {
         let mut found = self.violations.clone();
         if !self.is_finished() {
             let kept = self.table.progress.get(&id(CHAINED_JOB));
-            let lasting = self.active_long_running();
+            let long_running = self.active_long_running();
             let crashing = self.table.progress.get(&id(CRASHING_JOB));
             found.push(format!(
-                "not finished: {kept:?}, {crashing:?}, {lasting} lasting tasks at work"
+                "not finished: {kept:?}, {crashing:?}, {long_running} lasting tasks at work"
             ));
         }
         found
     }
 }
 
-/// The jobs that callers hand in.
+/// The jobs that callers submit.
 fn jobs() -> Vec<(Id, Definition)> {
     let after = |before: u32, step: Step| Step { after: [before].into_iter().collect(), ..step };
-    // Ends before the next look, so that an acknowledgement can cover an end not yet read.
+    // Ends before the next poll, so that an acknowledgement can cover an end not yet read.
     let quick = Step { estimate_ms: 40, ..step(2) };
     let chained = vec![step(3), after(0, step(2)), after(1, quick)];
-    let lasting =
+    let long_running =
         Step { long_running: true, max_unavailable: Some(1), max_per_minion: Some(1), ..step(2) };
     let long = Step { estimate_ms: 60_000, ..step(2) };
     let crashing = vec![step(1)];
     [
         (CHAINED_JOB, chained),
-        (LONG_RUNNING_JOB, vec![lasting]),
+        (LONG_RUNNING_JOB, vec![long_running]),
         (CANCELLED_JOB, vec![long]),
         (CRASHING_JOB, crashing),
     ]
--- a/crates/engine/tests/all/restarts.rs
+++ b/crates/engine/tests/all/restarts.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Time between a minion's crash and the first answer of its next incarnation.
-const DOWN_MS: u64 = 3000;
+const DOWNTIME_MS: u64 = 3000;
 
 /// A cell with one minion that a test restarts under the same id.
 struct RestartScenario {
@@ -196,7 +196,7 @@
     for _ in 0..40 {
         starts += scenario.harness.start_all().len();
         scenario.harness.cell.missed(&Harness::minion(0), scenario.harness.now);
-        scenario.harness.advance_ms(DOWN_MS);
+        scenario.harness.advance_ms(DOWNTIME_MS);
         scenario.restart();
         scenario.harness.store_progress();
         scenario.harness.advance_ms(Duration::from_secs(1).as_millis() as u64);
--- a/crates/engine/tests/all/runs.rs
+++ b/crates/engine/tests/all/runs.rs
@@ -1,4 +1,4 @@
-//! Runs: unanswered orders, lapses, minions that fail or hang.
+//! Tests of runs: unanswered orders, expired leases, failing and hanging minions.
 
 use crate::fixture::*;
 use celerythread_engine::cell::{
@@ -8,16 +8,16 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A start isn't answered and is carried out seconds later.  Started elsewhere meanwhile, the
-/// task would run twice.  So it waits until its minion has confirmed a stop, after which the
-/// run never begins, and then lists no such run.
+/// Guards against running a task twice when its start isn't answered and is executed seconds later.
+/// The task starts elsewhere only after its minion has confirmed a stop, after which the run can't
+/// begin, and has then reported that it doesn't run the task.
 #[test]
 fn an_unanswered_start_is_stopped_before_the_task_starts_elsewhere() {
     let mut harness = Harness::new(2);
     harness.submit(1, definition(vec![step(1)]));
     let (minion, name, run) = starts(&harness.plan()).remove(0);
     harness.cell.start_result(&minion, &name, run, StartResult::Unknown, harness.now);
-    assert!(harness.plan().is_empty(), "a look comes first");
+    assert!(harness.plan().is_empty(), "a poll comes first");
     harness.cell.report(&minion, &Report::default(), harness.now, harness.now);
     let orders = harness.plan();
     assert_eq!(stops(&orders), [(minion.clone(), name, run)]);
@@ -34,7 +34,7 @@
     assert!(again[0].2 > run);
 }
 
-/// An unanswered stop may be lost, and the run would then go on unseen for ever.
+/// Guards against a run that continues forever because its stop was lost.
 #[test]
 fn an_unanswered_stop_is_ordered_again() {
     let mut harness = Harness::new(1);
@@ -47,15 +47,15 @@
     assert_eq!(stops(&harness.plan()).len(), 1);
 }
 
-/// A minion is cut off and runs on until its lease lapses.  Restarted before, its tasks would
-/// run twice; never restarted, their jobs would be lost.
+/// A minion that is cut off continues its runs until its lease expires.  Restarted before that, its
+/// tasks would run twice; never restarted, their jobs would be lost.
 #[test]
 fn runs_of_a_silent_minion_are_given_up_after_their_lease_has_lapsed() {
     let mut harness = Harness::new(2);
     harness.submit(1, definition(vec![step(1)]));
     let (minion, name, run) = harness.start_all().remove(0);
-    let lapse = harness.now + Duration::from_millis(5000);
-    harness.cell.promise(&minion, lapse);
+    let expiry = harness.now + Duration::from_millis(5000);
+    harness.cell.promise(&minion, expiry);
     harness.cell.missed(&minion, harness.now);
     harness.advance_ms(4999);
     assert!(starts(&harness.plan()).is_empty());
@@ -66,8 +66,8 @@
     assert_ne!(again[0].0, minion);
 }
 
-/// Whoever can't be sure to own the cell still must not start anything: after a cut its
-/// successor may run what this owner sees lapse.
+/// Guards against starts by an owner that may have lost the cell.  After a network partition, its
+/// successor may run the tasks whose leases this owner considers expired.
 #[test]
 fn without_leave_to_start_nothing_is_started() {
     let mut harness = Harness::new(1);
@@ -76,8 +76,8 @@
     assert_eq!(starts(&harness.plan()).len(), 1);
 }
 
-/// Another life of the minion answers at its address: what ran there is over at once, and
-/// waiting for a lease would only keep callers waiting.
+/// When another incarnation answers at the minion's address, all its runs have ended.  Waiting for
+/// their lease would only delay callers.
 #[test]
 fn runs_of_a_terminated_minion_start_elsewhere_at_once() {
     let mut harness = Harness::new(2);
@@ -87,8 +87,8 @@
     assert_eq!(starts(&harness.plan_and_store())[0].1, name);
 }
 
-/// A minion that fails whatever it starts is always free and draws task after task; the
-/// callers of many jobs see them fail.
+/// Guards against a minion on which every task fails.  It always has free capacity, so task after task
+/// is placed on it and many jobs fail.
 #[test]
 fn a_minion_that_fails_two_jobs_in_a_row_is_quarantined() {
     let mut harness = Harness::new(2);
@@ -96,7 +96,7 @@
         harness.submit(job, definition(vec![step(1)]));
     }
     let started = harness.start_all();
-    assert_eq!(started[0].0, started[1].0, "packed on one minion");
+    assert_eq!(started[0].0, started[1].0, "both are placed on one minion");
     for (minion, name, run) in &started {
         harness.report_end(minion, *name, *run, How::Failed);
     }
@@ -107,8 +107,8 @@
     assert!(harness.start_all().iter().any(|(minion, _, _)| minion == bad));
 }
 
-/// A minion hangs: it answers and lists its runs, and nothing goes on.  Only the standing
-/// percentage shows it.
+/// Guards against a minion that hangs: it answers and lists its runs, but makes no progress.  Only the
+/// unchanged percentage shows that.
 #[test]
 fn a_stalled_run_is_stopped_and_its_minion_quarantined() {
     let mut harness = Harness::new(2);
@@ -133,8 +133,8 @@
     assert!(starts(&harness.plan()).iter().all(|(place, _, _)| *place != minion));
 }
 
-/// A task stands still wherever it runs.  Each minion that had it was left out as if it hung, one after the
-/// other, and callers of everything else waited for room beside idle minions.
+/// Guards against quarantining minion after minion as hung because one task stalls wherever it runs.
+/// All other tasks then waited for capacity while those minions were idle.
 #[test]
 fn a_task_that_stands_still_everywhere_leaves_no_minions_out() {
     let mut harness = Harness::new(3);
@@ -157,7 +157,7 @@
     }
     harness.submit(2, definition(vec![step(48)]));
     let used: BTreeSet<_> = harness.start_all().into_iter().map(|(minion, ..)| minion).collect();
-    assert_eq!(used.len(), 3, "of three minions {used:?} take work");
+    assert_eq!(used.len(), 3, "of three minions, only {used:?} are used");
 }
 
 #[test]
@@ -186,8 +186,8 @@
 #[test]
 fn a_long_running_task_is_restarted_however_it_ends() {
     let mut harness = Harness::new(3);
-    let lasting = Step { long_running: true, max_unavailable: Some(1), ..step(1) };
-    harness.submit(1, definition(vec![lasting]));
+    let long_running = Step { long_running: true, max_unavailable: Some(1), ..step(1) };
+    harness.submit(1, definition(vec![long_running]));
     for how in [How::Done, How::Failed, How::Failed, How::Failed, How::Expired] {
         let (minion, name, run) = harness.start_all().remove(0);
         harness.report_end(&minion, name, run, how);
@@ -196,14 +196,14 @@
     assert_eq!(harness.start_all().len(), 1);
 }
 
-/// A machine is due for maintenance and runs a task of a service that may miss one.  Taken away
-/// while another of its tasks is still starting, the service falls below its budget.
+/// Guards against breaking a service's availability budget when machines are emptied for maintenance.
+/// A task isn't stopped while a moved one of the same service is still starting.
 #[test]
 fn long_running_tasks_are_evacuated_within_max_unavailable() {
     let mut harness = Harness::new(6);
-    let lasting =
+    let long_running =
         Step { long_running: true, max_unavailable: Some(1), max_per_minion: Some(1), ..step(3) };
-    harness.submit(1, definition(vec![lasting]));
+    harness.submit(1, definition(vec![long_running]));
     let started = harness.start_all();
     let report = |harness: &mut Harness, start: &(std::sync::Arc<str>, _, u32), percent| {
         let running = vec![running(start.1, start.2, percent)];
@@ -222,22 +222,21 @@
     harness.report_end(&minion, name, run, How::Stopped);
     let moved = harness.start_all().remove(0);
     report(&mut harness, &moved, 40);
-    assert!(stops(&harness.plan()).is_empty(), "the moved one is not at work yet");
+    assert!(stops(&harness.plan()).is_empty(), "the moved one is not fully at work yet");
     report(&mut harness, &moved, 100);
     assert_eq!(stops(&harness.plan()).len(), 1);
 }
 
-/// A lasting task lost its minion while a burst of small tasks keeps every core busy.  Each core
-/// that comes free goes to the next small task, and the lasting one, which needs two at once,
-/// stays away for as long as the burst.
+/// Guards against starvation of a long-running task that needs several cores at once.  During a burst
+/// of small tasks, each core that becomes free would go to the next small task.
 #[test]
 fn a_lasting_task_gets_room_although_smaller_tasks_wait_for_it() {
     let mut harness = Harness::new(1);
     harness.submit(1, definition(vec![step(100)]));
     let mut active = harness.start_all();
     let need = celerythread_engine::job::Resources { cpu: 3000, memory_mb: 512, gpu: 0 };
-    let lasting = Step { long_running: true, need, ..step(1) };
-    harness.submit(2, definition(vec![lasting]));
+    let long_running = Step { long_running: true, need, ..step(1) };
+    harness.submit(2, definition(vec![long_running]));
     for _ in 0..3 {
         let (minion, name, run) = active.remove(0);
         harness.report_end(&minion, name, run, How::Done);
@@ -246,15 +245,15 @@
     assert!(active.iter().any(|(_, name, _)| name.job == id(2)));
 }
 
-/// A wave empties all minions of a pool but one, which is full.  A lasting task that has failed
-/// finds no room and stays away for as long as the wave, although the minion it ran on has room;
-/// and while it is away its service's other tasks may not leave, so the wave stands still as well.
+/// Guards against a deadlock in a maintenance wave that empties all minions of a pool but one, which is
+/// full.  A long-running task that fails finds no capacity although the minion that it ran on has some.
+/// While it is unavailable, its service's other tasks may not be stopped, so the wave stalls as well.
 #[test]
 fn a_lasting_task_returns_to_a_minion_that_is_being_emptied_if_nothing_else_has_room() {
     let mut harness = Harness::new(2);
     let need = celerythread_engine::job::Resources { cpu: 16_000, memory_mb: 512, gpu: 0 };
-    let lasting = Step { long_running: true, max_unavailable: Some(1), ..step(2) };
-    harness.submit(1, definition(vec![lasting]));
+    let long_running = Step { long_running: true, max_unavailable: Some(1), ..step(2) };
+    harness.submit(1, definition(vec![long_running]));
     let started = harness.start_all();
     let (home, full) = (started[0].0.clone(), Harness::minion(1));
     assert!(started.iter().all(|start| start.0 == home));
@@ -264,12 +263,12 @@
     harness.cell.set_leaving(&home, true);
     harness.report_end(&home, started[0].1, started[0].2, How::Failed);
     report_progress(&mut harness, &started[1..], 100);
-    assert!(harness.start_all().is_empty(), "room elsewhere may still come");
+    assert!(harness.start_all().is_empty(), "room may still become free elsewhere");
     (0..3).for_each(|_| report_progress(&mut harness, &started[1..], 100));
     let again = harness.start_all();
     assert_eq!(again[0].0, home);
 
-    // Once empty, it may go down at any moment.
+    // Once empty, the minion may be shut down at any time.
     harness.report_end(&home, again[0].1, again[0].2, How::Failed);
     harness.report_end(&home, started[1].1, started[1].2, How::Failed);
     assert_eq!(harness.cell.load(harness.now).empty, [home.to_string()]);
@@ -277,18 +276,18 @@
     assert!(harness.start_all().is_empty());
 }
 
-/// The six tasks of a lasting job stand on one minion, because lasting tasks are packed.  With
-/// that minion its users lose the whole service, and before maintenance of it the tasks have to
-/// leave one after the other.
+/// Guards against placing all tasks of a long-running job on one minion, as packing alone would.  Its
+/// users would lose the whole service with that minion, and maintenance would have to wait until the
+/// tasks have been moved one by one.
 #[test]
 fn the_tasks_of_a_lasting_job_are_spread() {
     let mut harness = Harness::new(6);
-    let lasting = Step { long_running: true, ..step(6) };
-    harness.submit(1, definition(vec![lasting.clone()]));
-    harness.submit(2, definition(vec![lasting]));
+    let long_running = Step { long_running: true, ..step(6) };
+    harness.submit(1, definition(vec![long_running.clone()]));
+    harness.submit(2, definition(vec![long_running]));
     let started = harness.start_all();
     let minions: std::collections::BTreeSet<_> = started.iter().map(|start| &start.0).collect();
-    assert_eq!(minions.len(), 3, "and the second job goes where the first one is");
+    assert_eq!(minions.len(), 3, "the second job uses the minions of the first one");
     for minion in minions {
         for job in [1, 2] {
             let here = started.iter().filter(|s| s.0 == *minion && s.1.job == id(job));
@@ -297,7 +296,7 @@
     }
 }
 
-/// Reports the same progress of runs on their minions, some time after the last report.
+/// Reports the same percentage for all `runs` on their minions, 400 ms after the last report.
 fn report_progress(
     harness: &mut Harness,
     runs: &[(std::sync::Arc<str>, celerythread_engine::job::TaskName, u32)],
@@ -313,8 +312,8 @@
     }
 }
 
-/// One minion works six times as slowly as the others and looks well otherwise.  Every job with
-/// a task there is late by seconds, although begun anew elsewhere it would be done in time.
+/// Guards against a minion that is six times slower than the others but otherwise healthy.  Every job
+/// with a task there would be late by seconds, although a restart elsewhere would complete in time.
 #[test]
 fn a_straggler_on_a_slow_minion_is_restarted_elsewhere() {
     let mut harness = Harness::new(2);
@@ -334,8 +333,8 @@
     assert_ne!(again[0].0, minion);
 }
 
-/// A job's estimate is a sixth of what its tasks take.  They look slow wherever they run; begun
-/// anew each time, they would never be done, and their caller would wait for ever.
+/// Guards against restarting the tasks of a job forever because its estimate is a sixth of their real
+/// duration and they look slow wherever they run.
 #[test]
 fn a_job_with_a_wrong_estimate_is_left_to_finish() {
     let mut harness = Harness::new(3);
@@ -387,9 +386,9 @@
     }
 }
 
-/// A job is never done, though its minions idle.  A run whose start was carried out late was found where
-/// it had been given up, after a newer run had failed elsewhere; when it ended, its end was taken for that
-/// of an older run, and the task counted as placed for ever.
+/// Guards against a task that counts as placed forever, although its minions are idle.  A start was
+/// executed late, after its run had been given up and a newer run had failed elsewhere.  When the late
+/// run ended, its end was ignored as that of an older run.
 #[test]
 fn the_end_of_a_late_run_lets_its_task_start_again() {
     let mut harness = Harness::new(2);
@@ -401,13 +400,13 @@
     harness.report_end(&second, name, newer, How::Failed);
     let number = (0..2).find(|number| Harness::minion(*number) == first).expect("one of two");
     harness.answer(number, Report { running: vec![running(name, run, 10)], ..Report::default() });
-    assert_eq!(starts(&harness.plan()), [], "it runs");
+    assert_eq!(starts(&harness.plan()), [], "the late one still runs");
     harness.report_end(&first, name, run, How::Stopped);
     let again = harness.start_all();
     assert!(again.iter().any(|(_, task, number)| *task == name && *number > newer), "{again:?}");
 }
 
-/// The same, when the late run's lease lapses and no end of it is ever listed.
+/// As above, but the late run's lease expires and its end is never reported.
 #[test]
 fn a_late_run_that_lapses_lets_its_task_start_again() {
     let mut harness = Harness::new(2);
@@ -423,8 +422,8 @@
     assert!(again.iter().any(|(_, task, number)| *task == name && *number > newer), "{again:?}");
 }
 
-/// A caller's job stands still while minions idle, and no line tells why.  Its task would fit, but each
-/// minion is kept from it by another guard.
+/// A job that makes no progress while minions are idle is noted for the log, with the reason for each
+/// minion.  Here its task fits on every minion, but a different guard excludes each of them.
 #[test]
 fn an_idle_job_is_noted_with_the_guards_that_block_it() {
     let mut harness = Harness::new(3);
@@ -440,7 +439,7 @@
         Note::Idle { task, placed: None, guards } => Some((*task, guards.clone())),
         _ => None,
     });
-    let (name, guards) = idle.expect("is noted");
+    let (name, guards) = idle.expect("a note on the idle job");
     assert_eq!(name, task(1, 0, 0));
     let noted: Vec<Guard> = guards.into_iter().map(|(_, guard)| guard).collect();
     assert_eq!(noted, [Guard::Leaving, Guard::Unreachable, Guard::Unlisted]);
@@ -448,9 +447,9 @@
     assert_eq!(harness.cell.take_notes(), [], "once a second at most");
 }
 
-/// A job is never done where minions stop runs within 0.2 s: a start isn't answered, its stop is confirmed,
-/// and the next look at the idle minion, which would show that nothing runs, is due a second later.  Before
-/// that the stop was ordered again, and its confirmation forgotten, again and again.
+/// Guards against ordering a confirmed stop again and again with a stop timeout of 0.2 s.  A start isn't
+/// answered and its stop is confirmed, but the next poll of the idle minion, which shows that nothing
+/// runs, is due a second later.  Each new order discarded the confirmation, so the job never completed.
 #[test]
 fn a_confirmed_stop_stays_confirmed_until_the_next_look() {
     let settings = Settings { stop_timeout: Duration::from_millis(200), ..Settings::default() };
@@ -458,7 +457,7 @@
     harness.submit(1, definition(vec![step(1)]));
     let (minion, name, run) = starts(&harness.plan()).remove(0);
     harness.cell.start_result(&minion, &name, run, StartResult::Unknown, harness.now);
-    // No look is answered either, so the stop is sent unseen.
+    // No poll is answered either, so the stop is sent without knowing whether the task runs.
     harness.advance_ms(900);
     for _ in 0..4 {
         if !stops(&harness.plan()).is_empty() {
@@ -471,8 +470,8 @@
     assert_eq!(starts(&harness.plan()).len(), 1, "the run never began and never will");
 }
 
-/// A minion carries a start out and only its answer is lost.  Stopped unseen, the work was thrown away, and
-/// the users of a lasting task lost it while others of its step were away.
+/// Guards against stopping a run when only the answer to its start was lost.  The work done was
+/// discarded, and a long-running task was stopped while others of its step were unavailable.
 #[test]
 fn a_run_whose_start_was_not_answered_goes_on_if_its_minion_lists_it() {
     let mut harness = Harness::new(2);
@@ -490,8 +489,8 @@
     assert_eq!(harness.cell.state(&id(1)), Some(State::Completed));
 }
 
-/// The same, and the minion answers no look: the stop is sent unseen, so that the task isn't held back
-/// until the lease lapses.
+/// As above, but the minion answers no poll.  The stop is sent without knowing whether the task runs,
+/// so that the task doesn't have to wait until the lease expires.
 #[test]
 fn an_unanswered_start_is_stopped_unseen_when_no_look_is_answered() {
     let mut harness = Harness::new(2);
@@ -504,8 +503,9 @@
     assert_eq!(stops(&harness.plan()), [(minion, name, run)]);
 }
 
-/// An owner is late with its looks for three seconds, and a task went on all the while.  Taken for hanging
-/// by the age of the last news, it was stopped, and its minion left out.
+/// Guards against treating a run as stalled because its owner was three seconds late with its polls.
+/// Judged by the age of the last report, a task that made progress was stopped and its minion was
+/// quarantined.
 #[test]
 fn a_run_without_news_is_not_taken_for_one_that_stands_still() {
     let mut harness = Harness::new(1);
--- a/crates/engine/tests/all/sharing.rs
+++ b/crates/engine/tests/all/sharing.rs
@@ -1,4 +1,4 @@
-//! Tasks that fill beside tasks that serve, and queues that need tickets.
+//! Tests of best-effort tasks beside serving tasks, and of queues that need tickets.
 
 use crate::fixture::*;
 use celerythread_engine::cell::{Order, Queue, Refusal, Report, Running, StartResult};
@@ -15,7 +15,7 @@
         .collect()
 }
 
-/// A harness with a serving task, whose tail must stay below 100 ms, and one that fills beside it.
+/// A harness with a serving task, whose tail latency target is 100 ms, and a best-effort task beside it.
 fn serving_and_best_effort() -> (Harness, Vec<(std::sync::Arc<str>, TaskName, u32)>) {
     let mut harness = Harness::new(1);
     let serving =
@@ -38,8 +38,8 @@
     harness.cell.report(&started[0].0, &report, harness.now, harness.now);
 }
 
-/// Batch work lengthens the response times of a service beside it past its target, second after
-/// second, and the service's users wait.
+/// Guards against batch work that keeps the response times of a service on the same minion above its
+/// target.
 #[test]
 fn best_effort_tasks_are_slowed_down_while_a_serving_task_exceeds_its_target() {
     let (mut harness, started) = serving_and_best_effort();
@@ -49,7 +49,7 @@
     assert_eq!(paces(&harness.plan()), [(task(2, 0, 0), 50)]);
     report_tail(&mut harness, &started, 130);
     assert_eq!(paces(&harness.plan()), [(task(2, 0, 0), 0)]);
-    assert!(stops(&harness.plan()).is_empty(), "the serving task stays");
+    assert!(stops(&harness.plan()).is_empty(), "the serving task continues");
 }
 
 #[test]
@@ -64,7 +64,8 @@
     assert_eq!(paces(&harness.plan()), [(task(2, 0, 0), 15)]);
 }
 
-/// The order to slow down was lost; taken for carried out, the disturbance would go on unseen.
+/// Guards against a lost order to slow down that counts as applied: the disturbance would continue
+/// unnoticed.
 #[test]
 fn a_pace_that_was_not_applied_is_ordered_again() {
     let (mut harness, started) = serving_and_best_effort();
@@ -82,8 +83,8 @@
     harness
 }
 
-/// A start without a ticket is refused, and refused starts are paid for; minions that may not run
-/// a step must never be tried.
+/// A start without a ticket is refused, and refused starts cost money, so minions that may not run a
+/// step must never be tried.
 #[test]
 fn nothing_is_started_without_a_ticket() {
     let mut harness = with_tickets(3);
@@ -92,7 +93,7 @@
     let queries = harness.cell.take_queries();
     assert_eq!(queries.len(), 1);
     assert!(starts(&harness.plan()).is_empty());
-    assert!(harness.cell.take_queries().is_empty(), "one question at a time");
+    assert!(harness.cell.take_queries().is_empty(), "one query at a time");
     let good = vec![(Harness::minion(2), "ticket".into())];
     let until = harness.now + Duration::from_millis(3000);
     harness.cell.advised(&queries[0], good, until);
@@ -120,7 +121,7 @@
     let query = harness.cell.take_queries().remove(0);
     harness.cell.advised(&query, vec![(Harness::minion(0), "second".into())], until);
     harness.advance_ms(1000);
-    assert!(starts(&harness.plan()).is_empty(), "over by now");
+    assert!(starts(&harness.plan()).is_empty(), "the ticket has expired");
     assert_eq!(harness.cell.take_queries().len(), 1);
 }
 
--- a/crates/engine/tests/all/submission.rs
+++ b/crates/engine/tests/all/submission.rs
@@ -1,4 +1,4 @@
-//! When callers get their time back.
+//! Tests of when an entry gives up on a submission.
 
 use celerythread_engine::submission::{Attempt, retry_after_s, usable_time};
 use std::time::Duration;
@@ -7,8 +7,9 @@
     Duration::from_millis(ms)
 }
 
-/// A zone is cut off from the store.  Its callers are told that nobody knows after 2.85 s, ask an
-/// entry of another zone with a tenth of a second left, and are turned away for want of time.
+/// Guards against holding callers until their deadline in a zone that is cut off from the store.
+/// They got the outcome `unknown` after 2.85 s, had a tenth of a second left to ask an entry of
+/// another zone, and were refused for lack of time.
 #[test]
 fn a_caller_of_an_entry_that_is_cut_off_has_time_left_for_another_one() {
     let attempt = |elapsed| Attempt {
@@ -19,12 +20,13 @@
         ..Attempt::default()
     };
     let over = (0..2850).step_by(50).map(ms).find(|elapsed| attempt(*elapsed).should_give_up());
-    let over = over.expect("is given back");
-    assert!(over * 4 <= ms(2850), "four tries fit into a caller's time: {over:?}");
+    let over = over.expect("gives up before the deadline");
+    assert!(over * 4 <= ms(2850), "four attempts fit into a caller's time: {over:?}");
 }
 
-/// A store that is a hundred times slower answers reads after 0.4 s and writes after some more.  Given
-/// back as if it were silent, no submission would ever be answered.
+/// Guards against giving up too early.  A store that is a hundred times slower than usual answers
+/// reads after 0.4 s and writes a little later.  Treated as unresponsive, it would never complete a
+/// submission.
 #[test]
 fn a_slow_store_is_waited_for() {
     let slow =
@@ -33,8 +35,8 @@
     assert_eq!(slow.write_timeout(), ms(850));
 }
 
-/// The store turns one entry away and serves the others: as long as another one can be asked, the
-/// submission isn't over.
+/// The store may refuse one entry and serve others, so a submission isn't given up as long as there
+/// is another entry to ask.
 #[test]
 fn peers_are_asked_before_a_submission_is_given_up() {
     let silent = Attempt {
@@ -56,8 +58,8 @@
     assert!(Attempt { elapsed: ms(400), ..refused }.should_give_up());
 }
 
-/// A caller comes back with 120 ms left.  A write takes ten, but all of its time was kept for the
-/// answer's way, and it was refused unheard.
+/// Guards against refusing a caller that retries with 120 ms left.  A write takes 10 ms, but the
+/// margin for the response took all of the caller's time.
 #[test]
 fn a_caller_with_little_time_is_served() {
     assert!(usable_time(ms(120)) >= ms(90));
@@ -65,7 +67,7 @@
     assert_eq!(usable_time(ms(0)), ms(0));
 }
 
-/// Told to come back in a second, a caller with less than that left never does.
+/// A caller that is told to retry after a second, but has less time than that, never retries.
 #[test]
 fn retry_after_fits_the_remaining_time() {
     assert_eq!(retry_after_s(ms(2500)), 1);
--- a/crates/engine/tests/all/takeover.rs
+++ b/crates/engine/tests/all/takeover.rs
@@ -1,4 +1,4 @@
-//! A new owner: what it starts when, and under which numbers.
+//! Tests of a new owner: what it starts, when, and with which run numbers.
 
 use crate::fixture::*;
 use celerythread_engine::cell::{Cell, How, Permit, Report, Settings};
@@ -16,8 +16,8 @@
     harness
 }
 
-/// A new owner starts a task that the former one runs on a minion which hasn't answered yet:
-/// it runs twice.
+/// Guards against starting a task that already runs on a minion which hasn't answered the new owner
+/// yet: it would run twice.
 #[test]
 fn inherited_tasks_wait_until_every_minion_has_answered() {
     let mut harness = successor(2);
@@ -25,7 +25,7 @@
     harness.submit(2, definition(vec![step(1)]));
     harness.answer(0, Report::default());
     let started = harness.start_all();
-    assert_eq!(started.len(), 1, "only the job that the former owner can't know");
+    assert_eq!(started.len(), 1, "only the job that the former owner can't have started");
     assert_eq!(started[0].1.job, id(2));
     let report = Report {
         running: vec![running(task(1, 0, 0), 3, 50)],
@@ -48,8 +48,9 @@
     assert_eq!(harness.start_all().len(), 1);
 }
 
-/// The new owner doesn't know the number of a run on a minion that doesn't answer.  A start
-/// with a number that isn't higher would be refused there for good.
+/// Guards against run numbers that a minion refuses.  The new owner doesn't know the numbers of runs on
+/// a minion that doesn't answer, and a start with a number that isn't higher would always be refused
+/// there.
 #[test]
 fn a_new_owner_numbers_its_runs_above_all_of_its_predecessors() {
     let mut harness = successor(1);
@@ -75,8 +76,8 @@
     assert_eq!(started.iter().map(|start| start.1).collect::<Vec<_>>(), [task(1, 0, 1)]);
 }
 
-/// The former owner restarted a task elsewhere and was lost; two runs of it answer to the new
-/// one.  One goes on, the other is stopped, and its room isn't used before it has ended.
+/// If the former owner restarted a task elsewhere before it was lost, its successor finds two runs.
+/// One continues, the other is stopped, and its capacity isn't reused before it has ended.
 #[test]
 fn a_second_run_of_a_task_is_stopped() {
     let mut harness = successor(2);
@@ -91,8 +92,8 @@
     assert_eq!(stops(&orders), [(Harness::minion(1), task(1, 0, 0), 2)]);
 }
 
-/// An end that was listed to the former owner, and neither kept nor acknowledged by it, is
-/// listed to the new one: the run counts, and isn't repeated.
+/// Guards against repeating a run whose end was reported to the former owner, but neither stored nor
+/// acknowledged by it.  The minion reports the end again to the new owner.
 #[test]
 fn an_end_that_the_former_owner_missed_counts() {
     let mut harness = successor(1);
@@ -102,8 +103,8 @@
     assert_eq!(harness.cell.state(&id(1)), Some(State::Completed));
 }
 
-/// A minion that joined after the former owner was lost doesn't answer.  It can't run anything
-/// of it, and waiting for it would keep every earlier job waiting.
+/// Guards against waiting for a minion that joined after the former owner was lost and doesn't answer.
+/// It can't run any inherited task, and waiting for it would delay every inherited job.
 #[test]
 fn a_minion_that_the_former_owner_did_not_use_is_not_waited_for() {
     let mut harness = successor(1);
@@ -113,7 +114,8 @@
     assert_eq!(harness.start_all().len(), 1);
 }
 
-/// The former owner's minion went down for maintenance and its machine has another one by now.
+/// A minion of the former owner that was shut down for maintenance never answers; its machine has
+/// another minion.
 #[test]
 fn a_terminated_minion_is_not_waited_for() {
     let mut harness = successor(1);
@@ -125,9 +127,9 @@
     assert_eq!(harness.start_all().len(), 1);
 }
 
-/// An owner is lost with a third of its minions.  Its successor can't start what may still run there,
-/// and asked for machines for it: they came, idled until the leases had lapsed, and were missing
-/// where another queue's turn had begun.
+/// Guards against requesting machines for tasks that can't be started yet.  After an owner is lost
+/// together with a third of its minions, their tasks may still run there.  Machines requested for them
+/// were idle until the leases had expired, while another queue needed them.
 #[test]
 fn what_may_still_run_elsewhere_asks_for_no_machines() {
     let mut harness = successor(1);
@@ -135,14 +137,14 @@
     harness.answer(0, Report::default());
     harness.add_job(1, definition(vec![step(40)]), true);
     harness.submit(2, definition(vec![step(4)]));
-    assert_eq!(harness.cell.load(harness.now).waiting, 4 * 500, "of the job that can be started");
+    assert_eq!(harness.cell.load(harness.now).waiting, 4 * 500, "only the job that can be started");
     harness.now = Time(30_000);
-    assert!(harness.cell.load(harness.now).waiting > 4 * 500, "and now of both");
+    assert!(harness.cell.load(harness.now).waiting > 4 * 500, "both jobs");
 }
 
-/// The store is away for three seconds, for everybody.  A job accepted before it stands still between
-/// two of its steps until the store is back, since its owner starts nothing while it can't prove that it
-/// still is the owner.  What was never started harms nobody: a successor waits for where it may run.
+/// Guards against stalling a job between two steps during a store outage of three seconds.  An owner
+/// that can't confirm its ownership must not start tasks again, but a task that was never started is
+/// safe to start: a successor waits for the minions on which it may run.
 #[test]
 fn tasks_never_started_are_started_during_a_store_outage() {
     let mut harness = Harness::new(2);
@@ -156,9 +158,10 @@
     assert_eq!(starts(&orders).first().map(|(_, task, _)| *task), Some(task(1, 1, 0)));
 }
 
-/// A task's run lapses on a minion that this owner can't reach and its successor can.  Started again
-/// elsewhere, it runs twice: the successor has adopted the first run.  And a job that came to be known
-/// after a takeover was possible may be a successor's, which doesn't wait for where this owner started it.
+/// Guards against running a task twice during a store outage.  If its lease expires on a minion that
+/// only a successor can reach, the successor may have adopted the run.  A job that became known after a
+/// takeover was possible may belong to a successor, which doesn't wait for the minions on which this
+/// owner starts it.
 #[test]
 fn tasks_that_a_successor_may_run_are_not_started_during_a_store_outage() {
     let mut harness = Harness::new(2);
@@ -170,12 +173,12 @@
     harness.submit(2, definition(vec![step(1)]));
     let orders = harness.cell.plan(harness.now, harness.now.0, fresh);
     assert_eq!(starts(&orders), []);
-    assert_eq!(starts(&harness.plan()).len(), 2, "both, once it is known to be the owner");
+    assert_eq!(starts(&harness.plan()).len(), 2, "both, once it is confirmed to be the owner");
 }
 
-/// A caller cancels its job and its task runs on.  The start was sent before the cancellation, carried out
-/// twelve seconds later on a minion that was cut off, and the entry that sent it is gone.  Whoever owns the
-/// cell then stops it as soon as the minion lists it.
+/// Guards against a task that runs on after its job was cancelled.  Its start was sent before the
+/// cancellation and executed twelve seconds later on a minion that was cut off, after the sending entry
+/// had terminated.  The next owner stops the run as soon as the minion reports it.
 #[test]
 fn a_late_run_of_a_cancelled_job_is_stopped_by_the_next_owner() {
     let mut harness = successor(2);
@@ -190,14 +193,15 @@
         stops(&ordered).first().map(|(_, name, run)| (*name, *run)),
         Some((task(1, 0, 0), 1))
     );
-    // The stop isn't answered, and is ordered again.
+    // The stop isn't answered and is ordered again.
     harness.advance_ms(800);
     harness.answer(0, late);
     assert_eq!(stops(&harness.plan()).len(), 1);
 }
 
-/// A former owner started a job that its successor doesn't know yet.  Its run is being stopped, and a minion that
-/// doesn't guard its capacity would be overloaded by what is started beside it meanwhile.
+/// Guards against overloading a minion that doesn't enforce its capacity.  A run of a job that the new
+/// owner doesn't know yet is stopped, but its resources are unknown, so nothing is started beside it
+/// until it has ended.
 #[test]
 fn a_run_of_an_unknown_job_occupies_its_minion_until_it_ends() {
     let mut harness = successor(1);
@@ -209,7 +213,7 @@
     };
     let orders = harness.answer(0, report);
     assert_eq!(stops(&orders), [(Harness::minion(0), task(9, 0, 0), 3)]);
-    assert_eq!(starts(&harness.plan()), [], "how much it takes isn't known");
+    assert_eq!(starts(&harness.plan()), [], "how much the run uses isn't known");
     harness.report_end(&Harness::minion(0), task(9, 0, 0), 3, How::Stopped);
     assert_eq!(harness.start_all().len(), 16);
 }
