--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -319,8 +319,8 @@
         self.steps.iter().map(Step::core_ms).sum()
     }
 
-    /// Estimated duration in milliseconds of the critical path; steps for which `open` returns false
-    /// take no time.
+    /// Estimated duration in milliseconds of the critical path; steps for which `open` returns
+    /// false take no time.
     pub fn critical_path_ms(&self, open: impl Fn(usize) -> bool) -> u64 {
         let mut ends: SmallVec<[u64; 8]> = SmallVec::new();
         for (number, step) in self.steps.iter().enumerate() {
--- a/crates/engine/src/submission.rs
+++ b/crates/engine/src/submission.rs
@@ -2,9 +2,9 @@
 //!
 //! If an availability zone is cut off from the platform's store, its callers still reach its
 //! entries, but these can't write.  An entry that retried until the deadline would leave the caller
-//! some 100 ms for another entry, and the submission would be lost.  Giving up early lets the caller
-//! retry in time; within three seconds the load balancer routes it to another zone.  A store that is
-//! only slow still answers reads, so pending writes to it are waited for.
+//! some 100 ms for another entry, and the submission would be lost.  Giving up early lets the
+//! caller retry in time; within three seconds the load balancer routes it to another zone.  A store
+//! that is only slow still answers reads, so pending writes to it are waited for.
 
 use std::time::Duration;
 
@@ -21,7 +21,8 @@
 /// so that a store which has recovered is noticed.
 const UNRESPONSIVE_STORE_WRITE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The reciprocal of the largest share of a caller's time that is reserved for sending the response.
+/// The reciprocal of the largest share of a caller's time that is reserved for sending the
+/// response.
 const RESPONSE_MARGIN_DIVISOR: u32 = 5;
 
 /// Maximum time that is reserved for sending the response: a slowed-down instance writes its
@@ -29,8 +30,8 @@
 const MAX_RESPONSE_MARGIN: Duration = Duration::from_millis(150);
 
 /// Minimum remaining time of a caller that is told to wait before its retry.  The wait is at least
-/// one second, the unit of `retry-after`; a caller with less time than this should ask another entry
-/// immediately.
+/// one second, the unit of `retry-after`; a caller with less time than this should ask another
+/// entry immediately.
 const MIN_TIME_FOR_RETRY_AFTER: Duration = Duration::from_millis(1300);
 
 /// The state of an attempt to write a submission.
--- a/crates/engine/tests/all/crashes.rs
+++ b/crates/engine/tests/all/crashes.rs
@@ -110,9 +110,9 @@
     }
 }
 
-/// Guards against endless starts of a task that crashes each minion within milliseconds.  Its caller
-/// was told `running` forever, and every three seconds all tasks that ran beside it had to be
-/// restarted.
+/// Guards against endless starts of a task that crashes each minion within milliseconds.  Its
+/// caller was told `running` forever, and every three seconds all tasks that ran beside it had to
+/// be restarted.
 #[test]
 fn a_task_that_crashes_its_minions_is_given_up() {
     let name = task(1, 0, 0);
@@ -124,8 +124,8 @@
     assert_eq!(fleet.harness.cell.state(&id(1)), Some(State::Failed));
 }
 
-/// Guards against blaming tasks that ran beside a crashing one and ended with its minions.  Their jobs
-/// complete, and the crashing task crashes no more minions than it would alone.
+/// Guards against blaming tasks that ran beside a crashing one and ended with its minions.  Their
+/// jobs complete, and the crashing task crashes no more minions than it would alone.
 #[test]
 fn tasks_beside_a_crashing_one_are_not_given_up() {
     let name = task(1, 0, 0);
@@ -155,8 +155,8 @@
 }
 
 /// Guards against blaming a task for a common cause, such as a rack that loses power just after the
-/// task was started there.  Idle minions of the rack fail together with the task's minion, so the task
-/// isn't the cause and its job completes.
+/// task was started there.  Idle minions of the rack fail together with the task's minion, so the
+/// task isn't the cause and its job completes.
 #[test]
 fn a_task_on_minions_that_went_down_together_is_not_given_up() {
     let mut harness = Harness::new(4);
@@ -208,8 +208,8 @@
     }
 }
 
-/// Guards against losing the count of crashes with the owner.  Its successor continues from the stored
-/// suspicions, so the task crashes only one more minion.
+/// Guards against losing the count of crashes with the owner.  Its successor continues from the
+/// stored suspicions, so the task crashes only one more minion.
 #[test]
 fn suspicions_survive_a_change_of_owner() {
     let name = task(1, 0, 0);
@@ -227,8 +227,8 @@
     assert_eq!(successor.crashed.len(), 1, "one more is enough");
 }
 
-/// Guards against losing a crash with an owner that is lost after a minion stopped answering and before
-/// the crash is certain.  That the task was on trial there is stored immediately.
+/// Guards against losing a crash with an owner that is lost after a minion stopped answering and
+/// before the crash is certain.  That the task was on trial there is stored immediately.
 #[test]
 fn a_trial_is_stored_when_its_minion_falls_silent() {
     let mut harness = Harness::new(2);
@@ -253,8 +253,8 @@
     assert!(batch.rows[0].2.suspicions.is_empty());
 }
 
-/// Guards against stopping the tasks of a failed job before the failure is persisted: a new owner would resume
-/// the job without them.
+/// Guards against stopping the tasks of a failed job before the failure is persisted: a new owner
+/// would resume the job without them.
 #[test]
 fn tasks_of_a_failed_job_are_stopped_after_its_outcome_is_kept() {
     let mut harness = Harness::new(4);
@@ -278,8 +278,8 @@
     assert_eq!(stops(&harness.plan()).len(), 2);
 }
 
-/// A task is retried only after the suspicion against it is stored.  During a store outage the owner may
-/// be lost, and the suspicion with it.
+/// A task is retried only after the suspicion against it is stored.  During a store outage the
+/// owner may be lost, and the suspicion with it.
 #[test]
 fn a_suspected_task_waits_until_its_suspicion_is_stored() {
     let mut harness = Harness::new(3);
@@ -293,8 +293,8 @@
     assert_eq!(starts(&harness.plan_and_store()).len(), 1);
 }
 
-/// Guards against giving up a long-running task whose minions crashed weeks apart.  Each time it had
-/// been running for long, so it isn't the cause.
+/// Guards against giving up a long-running task whose minions crashed weeks apart.  Each time it
+/// had been running for long, so it isn't the cause.
 #[test]
 fn a_task_that_ran_for_long_is_not_suspected() {
     let mut harness = Harness::new(1);
@@ -333,8 +333,8 @@
     assert_eq!(fleet.harness.cell.state(&id(1)), Some(State::Cancelled));
 }
 
-/// Guards against exceeding the capacity of a minion that was reduced while the minion was full.  Runs
-/// that are being stopped count until they have ended.
+/// Guards against exceeding the capacity of a minion that was reduced while the minion was full.
+/// Runs that are being stopped count until they have ended.
 #[test]
 fn nothing_is_started_beyond_a_reduced_capacity() {
     let mut harness = Harness::new(1);
@@ -360,10 +360,10 @@
     assert_eq!(harness.start_all().len(), 3);
 }
 
-/// Guards against suspecting tasks of minions that are cut off with their availability zone.  When the
-/// leases have expired, tasks that had been running for a while all start elsewhere in one plan.
-/// Treated as suspects, the tasks of a job were tried one at a time, which delayed each by another
-/// quarter of a second.
+/// Guards against suspecting tasks of minions that are cut off with their availability zone.  When
+/// the leases have expired, tasks that had been running for a while all start elsewhere in one
+/// plan.  Treated as suspects, the tasks of a job were tried one at a time, which delayed each by
+/// another quarter of a second.
 #[test]
 fn tasks_of_minions_that_are_cut_off_start_again_together() {
     let mut harness = Harness::new(4);
@@ -388,8 +388,8 @@
     assert_eq!(harness.start_all().len(), lost);
 }
 
-/// A strong suspect is tried alone on a minion.  A task that is started beside it would end in the same
-/// crash and be as likely a cause, so it waits until the trial is over.
+/// A strong suspect is tried alone on a minion.  A task that is started beside it would end in the
+/// same crash and be as likely a cause, so it waits until the trial is over.
 #[test]
 fn nothing_is_started_beside_a_task_on_trial() {
     let mut harness = Harness::new(1);
@@ -409,8 +409,8 @@
     assert_eq!(harness.start_all().len(), 1, "its trial has ended");
 }
 
-/// After a crash of a minion that had just started two tasks, either may be the cause.  They are tried
-/// separately; a second crash under both would prove nothing.
+/// After a crash of a minion that had just started two tasks, either may be the cause.  They are
+/// tried separately; a second crash under both would prove nothing.
 #[test]
 fn suspects_are_tried_separately() {
     let mut harness = Harness::new(1);
@@ -423,8 +423,8 @@
 }
 
 /// Guards against counting a start that was sent to a minion after its crash, before the crash was
-/// noticed.  The start was never delivered and explains nothing.  Counted as a task on trial, it made
-/// the task that had been running the only suspect, whose job failed after two such crashes.
+/// noticed.  The start was never delivered and explains nothing.  Counted as a task on trial, it
+/// made the task that had been running the only suspect, whose job failed after two such crashes.
 #[test]
 fn a_start_that_came_to_nobody_blames_no_one_else() {
     let mut harness = Harness::new(1);
--- a/crates/engine/tests/all/fixture.rs
+++ b/crates/engine/tests/all/fixture.rs
@@ -130,8 +130,8 @@
         self.cell.plan(self.now, self.now.0, Permit::All)
     }
 
-    /// Stores progress and plans until there is nothing left to store: a suspicion against a task is
-    /// stored before the task is tried again.
+    /// Stores progress and plans until there is nothing left to store: a suspicion against a task
+    /// is stored before the task is tried again.
     pub(crate) fn plan_and_store(&mut self) -> Vec<Order> {
         let mut orders = Vec::new();
         loop {
--- a/crates/engine/tests/all/jobs.rs
+++ b/crates/engine/tests/all/jobs.rs
@@ -19,8 +19,8 @@
     assert_eq!(starts(&harness.plan())[0].1, task(1, 1, 0));
 }
 
-/// Guards against reporting a final state before it is stored.  If the owner is lost in between, its
-/// successor runs a job again that was reported as completed.
+/// Guards against reporting a final state before it is stored.  If the owner is lost in between,
+/// its successor runs a job again that was reported as completed.
 #[test]
 fn a_completion_is_reported_only_after_it_is_stored() {
     let mut harness = Harness::new(1);
@@ -32,8 +32,8 @@
     assert_eq!(harness.cell.state(&id(1)), Some(State::Completed));
 }
 
-/// Guards against acknowledging an end before it is stored.  Its minion drops an acknowledged end; if
-/// the owner is then lost, its successor finds no trace of the run and starts the task again.
+/// Guards against acknowledging an end before it is stored.  Its minion drops an acknowledged end;
+/// if the owner is then lost, its successor finds no trace of the run and starts the task again.
 #[test]
 fn an_end_is_acknowledged_only_after_it_is_stored() {
     let mut harness = Harness::new(1);
@@ -62,8 +62,8 @@
 }
 
 /// Guards against counting a failure twice.  If an owner stores a failure and is lost before it
-/// acknowledges it, the same end is reported to its successor, and the job would fail with an attempt
-/// left.
+/// acknowledges it, the same end is reported to its successor, and the job would fail with an
+/// attempt left.
 #[test]
 fn a_failure_that_is_listed_again_counts_once() {
     let mut harness = Harness::new(2);
@@ -106,8 +106,8 @@
     assert_eq!(numbers.len(), 1, "all members have the same run number");
 }
 
-/// The members of a gang are done at the same time, so one end that is reported as done completes all
-/// of them.  Waiting for the others could run part of the job again, because minions report at
+/// The members of a gang are done at the same time, so one end that is reported as done completes
+/// all of them.  Waiting for the others could run part of the job again, because minions report at
 /// different times.
 #[test]
 fn one_completed_member_completes_its_gang() {
--- a/crates/engine/tests/all/load.rs
+++ b/crates/engine/tests/all/load.rs
@@ -3,9 +3,9 @@
 use crate::fixture::*;
 use celerythread_engine::job::{Resources, Step};
 
-/// Guards against demand that is counted by cores alone.  Two tasks of one core and half of a minion's
-/// memory fill the minion and leave its other cores unusable; a pool whose minions have sixteen cores
-/// requested an eighth of what it needed.
+/// Guards against demand that is counted by cores alone.  Two tasks of one core and half of a
+/// minion's memory fill the minion and leave its other cores unusable; a pool whose minions have
+/// sixteen cores requested an eighth of what it needed.
 #[test]
 fn tasks_that_fill_the_memory_ask_for_whole_minions() {
     let mut harness = Harness::new(2);
@@ -17,8 +17,9 @@
     assert_eq!(load.waiting, 4 * capacity.cpu / 2, "two minions for a second");
 }
 
-/// Guards against late jobs that demand as much as fresh ones.  After a burst, jobs that are too late
-/// to be of use to their callers took the machines that the next queue's callers needed in time.
+/// Guards against late jobs that demand as much as fresh ones.  After a burst, jobs that are too
+/// late to be of use to their callers took the machines that the next queue's callers needed in
+/// time.
 #[test]
 fn late_jobs_ask_for_less() {
     let mut harness = Harness::new(2);
--- a/crates/engine/tests/all/matrix.rs
+++ b/crates/engine/tests/all/matrix.rs
@@ -1,7 +1,7 @@
 //! Fault injection at every call of a cell's owner, checked against the recorded runs.
 //!
-//! The scenario runs once without faults to count its calls, then once for each call and each fault.
-//! Property tests inject several faults into one simulation.
+//! The scenario runs once without faults to count its calls, then once for each call and each
+//! fault.  Property tests inject several faults into one simulation.
 
 use crate::fixture::task;
 use crate::model::Start;
@@ -11,9 +11,9 @@
 use std::collections::BTreeMap;
 use strum::VariantArray;
 
-/// Guards against a job that runs twice, starts after its cancellation, never ends or crashes minion
-/// after minion because a call of the owner is lost or delayed, or because the owner crashes or pauses
-/// at that call.
+/// Guards against a job that runs twice, starts after its cancellation, never ends or crashes
+/// minion after minion because a call of the owner is lost or delayed, or because the owner crashes
+/// or pauses at that call.
 #[test]
 fn every_fault_at_every_call() {
     check_every_fault(Simulation::new);
@@ -69,8 +69,8 @@
     }
 }
 
-/// A task that crashes its minions is started a sixth time, because a crash is not counted when the owner
-/// is lost during a trial that was not persisted.
+/// A task that crashes its minions is started a sixth time, because a crash is not counted when the
+/// owner is lost during a trial that was not persisted.
 #[test]
 fn a_crashing_task_whose_owners_are_lost_is_given_up() {
     let plan = [(73, Fault::KilledBefore), (93, Fault::KilledBefore), (105, Fault::Crash)];
--- a/crates/engine/tests/all/model/owner.rs
+++ b/crates/engine/tests/all/model/owner.rs
@@ -65,7 +65,7 @@
 pub(crate) struct Owner {
     pub(crate) cell: Cell,
     pub(crate) token: u64,
-    pub(crate) renewed: Time,
+    pub(crate) last_renewal: Time,
     pub(crate) next_renewal: Time,
     pub(crate) next_poll: BTreeMap<MinionId, Time>,
     pub(crate) missed: BTreeSet<MinionId>,
@@ -96,7 +96,7 @@
         Self {
             cell,
             token,
-            renewed: now,
+            last_renewal: now,
             next_renewal: now,
             next_poll: BTreeMap::new(),
             missed: BTreeSet::new(),
@@ -109,10 +109,10 @@
     }
 
     fn permit(&self, now: Time) -> Permit {
-        match now.since(self.renewed) {
+        match now.since(self.last_renewal) {
             silence if silence <= START_ALONE_LIMIT => Permit::All,
             silence if silence <= EXTEND_ALONE_LIMIT => {
-                Permit::Fresh { known_by: self.renewed + START_ALONE_LIMIT }
+                Permit::Fresh { known_by: self.last_renewal + START_ALONE_LIMIT }
             }
             _ => Permit::Nothing,
         }
@@ -174,7 +174,7 @@
     }
 
     fn extend_lease(&mut self, minion: &MinionId, now: Time) -> Option<Time> {
-        if now.since(self.renewed) > EXTEND_ALONE_LIMIT {
+        if now.since(self.last_renewal) > EXTEND_ALONE_LIMIT {
             return None;
         }
         self.cell.promise(minion, now + LEASE_DURATION + LEASE_MARGIN);
@@ -225,7 +225,7 @@
         }
         match (call, answer) {
             (_, Answer::Superseded) => self.is_stopped = true,
-            (Call::Renew, Answer::Done) => self.renewed = now,
+            (Call::Renew, Answer::Done) => self.last_renewal = now,
             (Call::Store { batch, .. }, Answer::Done) => self.cell.kept(batch),
             (Call::Hold { minion, .. }, Answer::Report(report)) => {
                 if let Some(incarnation) = report.incarnation {
--- a/crates/engine/tests/all/model/simulation.rs
+++ b/crates/engine/tests/all/model/simulation.rs
@@ -88,7 +88,8 @@
     pending_crashes: Vec<(Time, MinionId)>,
     partitioned_until: BTreeMap<MinionId, Time>,
     outage_until: Time,
-    /// Delayed calls: when they are executed, the caller's token, the call and the receiving incarnation.
+    /// Delayed calls: when they are executed, the caller's token, the call and the receiving
+    /// incarnation.
     delayed_calls: Vec<(Time, u64, Call, Option<Incarnation>)>,
     table: Table,
     history: Vec<RunRecord>,
@@ -184,8 +185,8 @@
             && self.now > CANCEL_TIME
             && !self.history.iter().any(unwanted);
         let paused = self.owners.iter().any(|owner| owner.paused_until.is_some());
-        let done = self.table.progress.get(&id(CHAINED_JOB)).and_then(|kept| kept.outcome);
-        let crashing = self.table.progress.get(&id(CRASHING_JOB)).and_then(|kept| kept.outcome);
+        let done = self.table.progress.get(&id(CHAINED_JOB)).and_then(|stored| stored.outcome);
+        let crashing = self.table.progress.get(&id(CRASHING_JOB)).and_then(|stored| stored.outcome);
         let done = done == Some(State::Completed) || self.may_give_up(CHAINED_JOB);
         let ended = done && crashing == Some(State::Failed);
         let long_running = self.active_long_running() == 2 || self.may_give_up(LONG_RUNNING_JOB);
@@ -437,7 +438,7 @@
             violations.push("twice at once");
         }
         if self.table.done_stored_at.get(&run.task).is_some_and(|at| *at < self.now) {
-            violations.push("after its end was kept");
+            violations.push("after its end was stored");
         }
         let done = |other: &RunRecord| matches!(other.ended, Some((_, How::Done)));
         if self.history.iter().filter(earlier).any(|other| done(other) && other.acknowledged) {
@@ -465,10 +466,11 @@
         }
     }
 
-    /// Whether a job may have been given up although none of its tasks crashes minions: so many minions
-    /// crashed with one of its tasks for other reasons that it can't be told apart from such a task.
+    /// Whether a job may have been given up although none of its tasks crashes minions: so many
+    /// minions crashed with one of its tasks for other reasons that it can't be told apart from
+    /// such a task.
     fn may_give_up(&self, job: u8) -> bool {
-        let is_given_up = self.table.progress.get(&id(job)).and_then(|kept| kept.outcome);
+        let is_given_up = self.table.progress.get(&id(job)).and_then(|stored| stored.outcome);
         let mut crashes: BTreeMap<TaskName, usize> = BTreeMap::new();
         for run in self.history.iter().filter(|run| run.crashed && run.task.job == id(job)) {
             *crashes.entry(run.task).or_default() += 1;
@@ -486,11 +488,11 @@
     pub(crate) fn failures(&self) -> Vec<String> {
         let mut found = self.violations.clone();
         if !self.is_finished() {
-            let kept = self.table.progress.get(&id(CHAINED_JOB));
+            let chained = self.table.progress.get(&id(CHAINED_JOB));
             let long_running = self.active_long_running();
             let crashing = self.table.progress.get(&id(CRASHING_JOB));
             found.push(format!(
-                "not finished: {kept:?}, {crashing:?}, {long_running} lasting tasks at work"
+                "not finished: {chained:?}, {crashing:?}, {long_running} lasting tasks at work"
             ));
         }
         found
--- a/crates/engine/tests/all/runs.rs
+++ b/crates/engine/tests/all/runs.rs
@@ -87,8 +87,8 @@
     assert_eq!(starts(&harness.plan_and_store())[0].1, name);
 }
 
-/// Guards against a minion on which every task fails.  It always has free capacity, so task after task
-/// is placed on it and many jobs fail.
+/// Guards against a minion on which every task fails.  It always has free capacity, so task after
+/// task is placed on it and many jobs fail.
 #[test]
 fn a_minion_that_fails_two_jobs_in_a_row_is_quarantined() {
     let mut harness = Harness::new(2);
@@ -107,8 +107,8 @@
     assert!(harness.start_all().iter().any(|(minion, _, _)| minion == bad));
 }
 
-/// Guards against a minion that hangs: it answers and lists its runs, but makes no progress.  Only the
-/// unchanged percentage shows that.
+/// Guards against a minion that hangs: it answers and lists its runs, but makes no progress.  Only
+/// the unchanged percentage shows that.
 #[test]
 fn a_stalled_run_is_stopped_and_its_minion_quarantined() {
     let mut harness = Harness::new(2);
@@ -133,8 +133,8 @@
     assert!(starts(&harness.plan()).iter().all(|(place, _, _)| *place != minion));
 }
 
-/// Guards against quarantining minion after minion as hung because one task stalls wherever it runs.
-/// All other tasks then waited for capacity while those minions were idle.
+/// Guards against quarantining minion after minion as hung because one task stalls wherever it
+/// runs.  All other tasks then waited for capacity while those minions were idle.
 #[test]
 fn a_task_that_stands_still_everywhere_leaves_no_minions_out() {
     let mut harness = Harness::new(3);
@@ -196,8 +196,8 @@
     assert_eq!(harness.start_all().len(), 1);
 }
 
-/// Guards against breaking a service's availability budget when machines are emptied for maintenance.
-/// A task isn't stopped while a moved one of the same service is still starting.
+/// Guards against breaking a service's availability budget when machines are emptied for
+/// maintenance.  A task isn't stopped while a moved one of the same service is still starting.
 #[test]
 fn long_running_tasks_are_evacuated_within_max_unavailable() {
     let mut harness = Harness::new(6);
@@ -227,8 +227,8 @@
     assert_eq!(stops(&harness.plan()).len(), 1);
 }
 
-/// Guards against starvation of a long-running task that needs several cores at once.  During a burst
-/// of small tasks, each core that becomes free would go to the next small task.
+/// Guards against starvation of a long-running task that needs several cores at once.  During a
+/// burst of small tasks, each core that becomes free would go to the next small task.
 #[test]
 fn a_lasting_task_gets_room_although_smaller_tasks_wait_for_it() {
     let mut harness = Harness::new(1);
@@ -245,9 +245,10 @@
     assert!(active.iter().any(|(_, name, _)| name.job == id(2)));
 }
 
-/// Guards against a deadlock in a maintenance wave that empties all minions of a pool but one, which is
-/// full.  A long-running task that fails finds no capacity although the minion that it ran on has some.
-/// While it is unavailable, its service's other tasks may not be stopped, so the wave stalls as well.
+/// Guards against a deadlock in a maintenance wave that empties all minions of a pool but one,
+/// which is full.  A long-running task that fails finds no capacity although the minion that it ran
+/// on has some.  While it is unavailable, its service's other tasks may not be stopped, so the wave
+/// stalls as well.
 #[test]
 fn a_lasting_task_returns_to_a_minion_that_is_being_emptied_if_nothing_else_has_room() {
     let mut harness = Harness::new(2);
@@ -276,9 +277,9 @@
     assert!(harness.start_all().is_empty());
 }
 
-/// Guards against placing all tasks of a long-running job on one minion, as packing alone would.  Its
-/// users would lose the whole service with that minion, and maintenance would have to wait until the
-/// tasks have been moved one by one.
+/// Guards against placing all tasks of a long-running job on one minion, as packing alone would.
+/// Its users would lose the whole service with that minion, and maintenance would have to wait
+/// until the tasks have been moved one by one.
 #[test]
 fn the_tasks_of_a_lasting_job_are_spread() {
     let mut harness = Harness::new(6);
@@ -312,8 +313,9 @@
     }
 }
 
-/// Guards against a minion that is six times slower than the others but otherwise healthy.  Every job
-/// with a task there would be late by seconds, although a restart elsewhere would complete in time.
+/// Guards against a minion that is six times slower than the others but otherwise healthy.  Every
+/// job with a task there would be late by seconds, although a restart elsewhere would complete in
+/// time.
 #[test]
 fn a_straggler_on_a_slow_minion_is_restarted_elsewhere() {
     let mut harness = Harness::new(2);
@@ -333,8 +335,8 @@
     assert_ne!(again[0].0, minion);
 }
 
-/// Guards against restarting the tasks of a job forever because its estimate is a sixth of their real
-/// duration and they look slow wherever they run.
+/// Guards against restarting the tasks of a job forever because its estimate is a sixth of their
+/// real duration and they look slow wherever they run.
 #[test]
 fn a_job_with_a_wrong_estimate_is_left_to_finish() {
     let mut harness = Harness::new(3);
@@ -387,8 +389,8 @@
 }
 
 /// Guards against a task that counts as placed forever, although its minions are idle.  A start was
-/// executed late, after its run had been given up and a newer run had failed elsewhere.  When the late
-/// run ended, its end was ignored as that of an older run.
+/// executed late, after its run had been given up and a newer run had failed elsewhere.  When the
+/// late run ended, its end was ignored as that of an older run.
 #[test]
 fn the_end_of_a_late_run_lets_its_task_start_again() {
     let mut harness = Harness::new(2);
@@ -422,10 +424,11 @@
     assert!(again.iter().any(|(_, task, number)| *task == name && *number > newer), "{again:?}");
 }
 
-/// A job that makes no progress while minions are idle is noted for the log, with the reason for each
-/// minion.  Here its task fits on every minion, but a different guard excludes each of them.
+/// A job that makes no progress while minions are idle is reported for the log, with the reason for
+/// each minion.  Here its task fits on every minion, but a different condition excludes each of
+/// them.
 #[test]
-fn an_idle_job_is_noted_with_the_guards_that_block_it() {
+fn an_idle_job_is_reported_with_its_blockers() {
     let mut harness = Harness::new(3);
     harness.cell.set_leaving(&Harness::minion(0), true);
     harness.cell.missed(&Harness::minion(1), harness.now);
@@ -439,17 +442,18 @@
         Note::Idle { task, placed: None, guards } => Some((*task, guards.clone())),
         _ => None,
     });
-    let (name, guards) = idle.expect("a note on the idle job");
+    let (name, guards) = idle.expect("the idle job");
     assert_eq!(name, task(1, 0, 0));
-    let noted: Vec<Guard> = guards.into_iter().map(|(_, guard)| guard).collect();
-    assert_eq!(noted, [Guard::Leaving, Guard::Unreachable, Guard::Unlisted]);
+    let reasons: Vec<Guard> = guards.into_iter().map(|(_, guard)| guard).collect();
+    assert_eq!(reasons, [Guard::Leaving, Guard::Unreachable, Guard::Unlisted]);
     harness.plan();
     assert_eq!(harness.cell.take_notes(), [], "once a second at most");
 }
 
-/// Guards against ordering a confirmed stop again and again with a stop timeout of 0.2 s.  A start isn't
-/// answered and its stop is confirmed, but the next poll of the idle minion, which shows that nothing
-/// runs, is due a second later.  Each new order discarded the confirmation, so the job never completed.
+/// Guards against ordering a confirmed stop again and again with a stop timeout of 0.2 s.  A start
+/// isn't answered and its stop is confirmed, but the next poll of the idle minion, which shows that
+/// nothing runs, is due a second later.  Each new order discarded the confirmation, so the job
+/// never completed.
 #[test]
 fn a_confirmed_stop_stays_confirmed_until_the_next_look() {
     let settings = Settings { stop_timeout: Duration::from_millis(200), ..Settings::default() };
@@ -489,8 +493,8 @@
     assert_eq!(harness.cell.state(&id(1)), Some(State::Completed));
 }
 
-/// As above, but the minion answers no poll.  The stop is sent without knowing whether the task runs,
-/// so that the task doesn't have to wait until the lease expires.
+/// As above, but the minion answers no poll.  The stop is sent without knowing whether the task
+/// runs, so that the task doesn't have to wait until the lease expires.
 #[test]
 fn an_unanswered_start_is_stopped_unseen_when_no_look_is_answered() {
     let mut harness = Harness::new(2);
@@ -503,9 +507,9 @@
     assert_eq!(stops(&harness.plan()), [(minion, name, run)]);
 }
 
-/// Guards against treating a run as stalled because its owner was three seconds late with its polls.
-/// Judged by the age of the last report, a task that made progress was stopped and its minion was
-/// quarantined.
+/// Guards against treating a run as stalled because its owner was three seconds late with its
+/// polls.  Judged by the age of the last report, a task that made progress was stopped and its
+/// minion was quarantined.
 #[test]
 fn a_run_without_news_is_not_taken_for_one_that_stands_still() {
     let mut harness = Harness::new(1);
--- a/crates/engine/tests/all/sharing.rs
+++ b/crates/engine/tests/all/sharing.rs
@@ -15,7 +15,8 @@
         .collect()
 }
 
-/// A harness with a serving task, whose tail latency target is 100 ms, and a best-effort task beside it.
+/// A harness with a serving task, whose tail latency target is 100 ms, and a best-effort task
+/// beside it.
 fn serving_and_best_effort() -> (Harness, Vec<(std::sync::Arc<str>, TaskName, u32)>) {
     let mut harness = Harness::new(1);
     let serving =
@@ -38,8 +39,8 @@
     harness.cell.report(&started[0].0, &report, harness.now, harness.now);
 }
 
-/// Guards against batch work that keeps the response times of a service on the same minion above its
-/// target.
+/// Guards against batch work that keeps the response times of a service on the same minion above
+/// its target.
 #[test]
 fn best_effort_tasks_are_slowed_down_while_a_serving_task_exceeds_its_target() {
     let (mut harness, started) = serving_and_best_effort();
@@ -83,8 +84,8 @@
     harness
 }
 
-/// A start without a ticket is refused, and refused starts cost money, so minions that may not run a
-/// step must never be tried.
+/// A start without a ticket is refused, and refused starts are charged for, so minions that may not
+/// run a step must never be tried.
 #[test]
 fn nothing_is_started_without_a_ticket() {
     let mut harness = with_tickets(3);
--- a/crates/engine/tests/all/takeover.rs
+++ b/crates/engine/tests/all/takeover.rs
@@ -48,9 +48,9 @@
     assert_eq!(harness.start_all().len(), 1);
 }
 
-/// Guards against run numbers that a minion refuses.  The new owner doesn't know the numbers of runs on
-/// a minion that doesn't answer, and a start with a number that isn't higher would always be refused
-/// there.
+/// Guards against run numbers that a minion refuses.  The new owner doesn't know the numbers of
+/// runs on a minion that doesn't answer, and a start with a number that isn't higher would always
+/// be refused there.
 #[test]
 fn a_new_owner_numbers_its_runs_above_all_of_its_predecessors() {
     let mut harness = successor(1);
@@ -92,8 +92,8 @@
     assert_eq!(stops(&orders), [(Harness::minion(1), task(1, 0, 0), 2)]);
 }
 
-/// Guards against repeating a run whose end was reported to the former owner, but neither stored nor
-/// acknowledged by it.  The minion reports the end again to the new owner.
+/// Guards against repeating a run whose end was reported to the former owner, but neither stored
+/// nor acknowledged by it.  The minion reports the end again to the new owner.
 #[test]
 fn an_end_that_the_former_owner_missed_counts() {
     let mut harness = successor(1);
@@ -103,8 +103,8 @@
     assert_eq!(harness.cell.state(&id(1)), Some(State::Completed));
 }
 
-/// Guards against waiting for a minion that joined after the former owner was lost and doesn't answer.
-/// It can't run any inherited task, and waiting for it would delay every inherited job.
+/// Guards against waiting for a minion that joined after the former owner was lost and doesn't
+/// answer.  It can't run any inherited task, and waiting for it would delay every inherited job.
 #[test]
 fn a_minion_that_the_former_owner_did_not_use_is_not_waited_for() {
     let mut harness = successor(1);
@@ -128,8 +128,8 @@
 }
 
 /// Guards against requesting machines for tasks that can't be started yet.  After an owner is lost
-/// together with a third of its minions, their tasks may still run there.  Machines requested for them
-/// were idle until the leases had expired, while another queue needed them.
+/// together with a third of its minions, their tasks may still run there.  Machines requested for
+/// them were idle until the leases had expired, while another queue needed them.
 #[test]
 fn what_may_still_run_elsewhere_asks_for_no_machines() {
     let mut harness = successor(1);
@@ -142,9 +142,9 @@
     assert!(harness.cell.load(harness.now).waiting > 4 * 500, "both jobs");
 }
 
-/// Guards against stalling a job between two steps during a store outage of three seconds.  An owner
-/// that can't confirm its ownership must not start tasks again, but a task that was never started is
-/// safe to start: a successor waits for the minions on which it may run.
+/// Guards against stalling a job between two steps during a store outage of three seconds.  An
+/// owner that can't confirm its ownership must not start tasks again, but a task that was never
+/// started is safe to start: a successor waits for the minions on which it may run.
 #[test]
 fn tasks_never_started_are_started_during_a_store_outage() {
     let mut harness = Harness::new(2);
@@ -158,10 +158,10 @@
     assert_eq!(starts(&orders).first().map(|(_, task, _)| *task), Some(task(1, 1, 0)));
 }
 
-/// Guards against running a task twice during a store outage.  If its lease expires on a minion that
-/// only a successor can reach, the successor may have adopted the run.  A job that became known after a
-/// takeover was possible may belong to a successor, which doesn't wait for the minions on which this
-/// owner starts it.
+/// Guards against running a task twice during a store outage.  If its lease expires on a minion
+/// that only a successor can reach, the successor may have adopted the run.  A job that became
+/// known after a takeover was possible may belong to a successor, which doesn't wait for the
+/// minions on which this owner starts it.
 #[test]
 fn tasks_that_a_successor_may_run_are_not_started_during_a_store_outage() {
     let mut harness = Harness::new(2);
@@ -177,8 +177,8 @@
 }
 
 /// Guards against a task that runs on after its job was cancelled.  Its start was sent before the
-/// cancellation and executed twelve seconds later on a minion that was cut off, after the sending entry
-/// had terminated.  The next owner stops the run as soon as the minion reports it.
+/// cancellation and executed twelve seconds later on a minion that was cut off, after the sending
+/// entry had terminated.  The next owner stops the run as soon as the minion reports it.
 #[test]
 fn a_late_run_of_a_cancelled_job_is_stopped_by_the_next_owner() {
     let mut harness = successor(2);
@@ -199,9 +199,9 @@
     assert_eq!(stops(&harness.plan()).len(), 1);
 }
 
-/// Guards against overloading a minion that doesn't enforce its capacity.  A run of a job that the new
-/// owner doesn't know yet is stopped, but its resources are unknown, so nothing is started beside it
-/// until it has ended.
+/// Guards against overloading a minion that doesn't enforce its capacity.  A run of a job that the
+/// new owner doesn't know yet is stopped, but its resources are unknown, so nothing is started
+/// beside it until it has ended.
 #[test]
 fn a_run_of_an_unknown_job_occupies_its_minion_until_it_ends() {
     let mut harness = successor(1);
