--- a/crates/engine/src/cell.rs
+++ b/crates/engine/src/cell.rs
@@ -352,7 +352,7 @@
         if self.jobs.contains_key(&id) {
             return false;
         }
-        let core_ms = accepted.definition.work() as f64;
+        let core_ms = accepted.definition.core_ms() as f64;
         let mean_core_ms = self.mean_core_ms.entry(accepted.queue.clone()).or_insert(core_ms);
         // A weight of a twentieth averages over some twenty jobs.  At ten jobs a second this
         // follows a change of the mix within a few seconds.
--- a/crates/engine/src/cell/crash.rs
+++ b/crates/engine/src/cell/crash.rs
@@ -332,7 +332,7 @@
     /// next suspect of its job.  A long-running task does not wait for others, because its users
     /// are without it.
     pub(crate) fn may_start_suspect(&self, job: &Job, name: &TaskName) -> bool {
-        let long_running = job.accepted.definition.steps[name.step as usize].lasting;
+        let long_running = job.accepted.definition.steps[name.step as usize].long_running;
         let needs_isolation = job.task(name).is_some_and(|task| task.suspicion.needs_isolation());
         let is_persisted = job.is_persisted() || !needs_isolation;
         is_persisted && (long_running || self.is_next_suspect(job, name))
--- a/crates/engine/src/cell/idle.rs
+++ b/crates/engine/src/cell/idle.rs
@@ -96,7 +96,8 @@
     /// What prevents a task from starting on each minion; `None` if no minion has capacity for it.
     fn blockers(&self, name: &TaskName, now: Time) -> Option<Vec<(MinionId, Blocker)>> {
         let step = &self.jobs.get(&name.job)?.accepted.definition.steps[name.step as usize];
-        let has_room = |minion: &Minion| minion.listed && minion.free().holds(&step.counted_need());
+        let has_room =
+            |minion: &Minion| minion.listed && minion.free().holds(&step.reserved_resources());
         self.minions.values().find(|minion| has_room(minion))?;
         let spread = self.spread(name);
         let entry = |minion: &Minion| (minion.id.clone(), blocker(minion, step, &spread, now));
@@ -128,7 +129,7 @@
         (now < minion.quarantined_until, Blocker::Quarantined),
         (minion.runs_isolated_trial(), Blocker::OnTrial),
         (!crate::cell::place::is_suitable(minion, step, spread), Blocker::Unsuitable),
-        (!minion.free().holds(&step.counted_need()), Blocker::Full),
+        (!minion.free().holds(&step.reserved_resources()), Blocker::Full),
     ];
     let failed = checks.into_iter().find(|(holds, _)| *holds);
     failed.map_or(Blocker::Nothing, |(_, blocker)| blocker)
--- a/crates/engine/src/cell/load.rs
+++ b/crates/engine/src/cell/load.rs
@@ -92,9 +92,9 @@
 
 /// Minimum number of minions that a job's long-running tasks need.
 fn min_minions(job: &Job) -> usize {
-    let steps = job.accepted.definition.steps.iter().filter(|step| step.lasting);
+    let steps = job.accepted.definition.steps.iter().filter(|step| step.long_running);
     let needed = |step: &crate::job::Step| {
-        step.per_minion.map_or(1, |limit| step.count.div_ceil(limit.max(1)) as usize)
+        step.max_per_minion.map_or(1, |limit| step.count.div_ceil(limit.max(1)) as usize)
     };
     steps.map(needed).max().unwrap_or(0)
 }
@@ -119,7 +119,7 @@
         let step = &definition.steps[number as usize];
         // A long-running task needs its cores permanently, so it counts with work for the whole
         // horizon.
-        let ms = if step.lasting { HORIZON_MS } else { step.estimate_ms.min(HORIZON_MS) };
+        let ms = if step.long_running { HORIZON_MS } else { step.estimate_ms.min(HORIZON_MS) };
         let work = average.equivalent_cores(&step.need) * ms / 1000;
         if task.phase != Phase::Waiting {
             running += work;
--- a/crates/engine/src/cell/minion.rs
+++ b/crates/engine/src/cell/minion.rs
@@ -116,10 +116,10 @@
         Self {
             number,
             phase,
-            need: step.map(Step::counted_need).unwrap_or_default(),
+            need: step.map(Step::reserved_resources).unwrap_or_default(),
             charge: None,
-            long_running: step.is_some_and(|step| step.lasting),
-            best_effort: step.is_some_and(|step| step.fills),
+            long_running: step.is_some_and(|step| step.long_running),
+            best_effort: step.is_some_and(|step| step.best_effort),
             ordered_at: now,
             load: None,
             pace_percent: 100,
@@ -215,14 +215,14 @@
 
     /// Its free capacity, as far as known.
     pub fn free(&self) -> Resources {
-        self.listing.capacity.less(&self.used)
+        self.listing.capacity.minus(&self.used)
     }
 
     /// Its free capacity once all runs that end by themselves have ended.
     pub(crate) fn free_after_ending_runs(&self) -> Resources {
         let lasting = self.runs.values().filter(|run| run.long_running);
         let used = lasting.fold(Resources::default(), |sum, run| sum.plus(&run.need));
-        self.listing.capacity.less(&used)
+        self.listing.capacity.minus(&used)
     }
 
     /// Whether nothing runs there, as far as known.
@@ -280,7 +280,7 @@
 
     pub(crate) fn remove_run(&mut self, task: &TaskName) -> Option<Run> {
         let run = self.runs.remove(task)?;
-        self.used = self.used.less(&run.need);
+        self.used = self.used.minus(&run.need);
         self.long_running_count -= usize::from(run.long_running);
         self.isolated_runs -= usize::from(run.suspicion.needs_isolation());
         Some(run)
--- a/crates/engine/src/cell/place.rs
+++ b/crates/engine/src/cell/place.rs
@@ -112,7 +112,7 @@
         now: Time,
         may_run: impl Fn(&str) -> bool,
     ) -> Option<MinionId> {
-        if !step.lasting || now.since(task.waiting_since) < FALLBACK_DELAY {
+        if !step.long_running || now.since(task.waiting_since) < FALLBACK_DELAY {
             return None;
         }
         let may_run = |minion: &Minion| minion.is_fallback(now) && may_run(&minion.id);
@@ -126,7 +126,7 @@
         spread: &Spread,
         may_run: impl Fn(&Minion) -> bool,
     ) -> Option<MinionId> {
-        let need = step.counted_need();
+        let need = step.reserved_resources();
         self.minions
             .values()
             .filter(|minion| may_run(minion) && fits(minion, step, &need, spread))
@@ -142,7 +142,7 @@
         spread: &Spread,
         now: Time,
     ) -> Option<MinionId> {
-        let need = step.counted_need();
+        let need = step.reserved_resources();
         self.minions
             .values()
             .filter(|minion| minion.accepts_tasks(now))
@@ -167,7 +167,7 @@
             racks.sort_unstable();
             racks.dedup();
             // The rack with the data comes first, then order by name.
-            racks.sort_by_key(|rack| step.near.as_deref() != Some(*rack));
+            racks.sort_by_key(|rack| step.preferred_rack.as_deref() != Some(*rack));
             let in_rack = racks
                 .into_iter()
                 .find_map(|rack| self.place_gang(job, name, step, Some(rack), now, may_run));
@@ -187,7 +187,7 @@
         now: Time,
         may_run: &dyn Fn(&str) -> bool,
     ) -> Option<Vec<MinionId>> {
-        let need = step.counted_need();
+        let need = step.reserved_resources();
         let mut free: BTreeMap<MinionId, Resources> = self
             .minions
             .values()
@@ -211,7 +211,7 @@
                 })?;
             let id = place.id.clone();
             let room = free.get_mut(&id)?;
-            *room = room.less(&need);
+            *room = room.minus(&need);
             *spread.entry(id.clone()).or_default() += 1;
             places.push(id);
         }
@@ -233,11 +233,12 @@
 /// Whether a step's tasks may run on a minion, regardless of free capacity.
 pub(crate) fn is_suitable(minion: &Minion, step: &Step, spread: &Spread) -> bool {
     let has_label = step
-        .requires
+        .required_label
         .as_ref()
         .is_none_or(|label| minion.listing.labels.iter().any(|own| own == label));
-    let is_below_limit =
-        step.per_minion.is_none_or(|limit| spread.get(&minion.id).copied().unwrap_or(0) < limit);
+    let is_below_limit = step
+        .max_per_minion
+        .is_none_or(|limit| spread.get(&minion.id).copied().unwrap_or(0) < limit);
     has_label && is_below_limit
 }
 
@@ -249,7 +250,7 @@
     spread: &Spread,
 ) -> u64 {
     let mut cost = minion.free().cpu - need.cpu.min(minion.free().cpu);
-    if step.lasting {
+    if step.long_running {
         // Long-running tasks of different jobs share minions: these cannot be given to another pool
         // and have to be evacuated for maintenance, so there should be few of them.
         let same_step =
@@ -258,7 +259,7 @@
             + penalty::NO_LONG_RUNNING_TASK * u64::from(minion.long_running_count == 0)
             + penalty::SAME_STEP * u64::from(same_step);
     }
-    if step.fills {
+    if step.best_effort {
         // Best-effort tasks go where most capacity is unused, away from serving tasks.
         cost = minion.used.cpu + penalty::NO_LONG_RUNNING_TASK * minion.long_running_count as u64;
     }
@@ -269,7 +270,7 @@
     if task.avoid.as_ref() == Some(&minion.id) {
         cost += penalty::FAILED_TASK;
     }
-    if step.near.is_some() && step.near.as_deref() != minion.rack() {
+    if step.preferred_rack.is_some() && step.preferred_rack.as_deref() != minion.rack() {
         cost += penalty::REMOTE_DATA;
     }
     if !minion.failing_jobs.is_empty() || minion.quarantine_count > 0 || minion.is_slow() {
--- a/crates/engine/src/cell/plan.rs
+++ b/crates/engine/src/cell/plan.rs
@@ -218,7 +218,7 @@
                 let has_stalled = minion.reported_at.since(run.progressed_at) > bound;
                 if run.phase == RunPhase::Active
                     && has_stalled
-                    && !(step.lasting && run.percent >= 100)
+                    && !(step.long_running && run.percent >= 100)
                 {
                     let percent = run.percent;
                     let minion = minion.id.clone();
@@ -256,7 +256,7 @@
                 let remaining_ms = minion.listing.remaining_ms.unwrap_or(u64::MAX);
                 minion.listing.draining && remaining_ms < FORCED_EVACUATION_MS
             });
-            if !step.lasting || !(is_forced || self.can_evacuate(job, &task, step)) {
+            if !step.long_running || !(is_forced || self.can_evacuate(job, &task, step)) {
                 continue;
             }
             // Only if another minion has capacity; otherwise the stop gains nothing.
@@ -277,7 +277,7 @@
     /// Whether one more task of a long-running step may be stopped on purpose: fewer of its other
     /// tasks than its allowance may be inactive.
     fn can_evacuate(&self, job: &Job, name: &TaskName, step: &Step) -> bool {
-        let allowance = step.may_be_away.unwrap_or(0);
+        let allowance = step.max_unavailable.unwrap_or(0);
         let is_active = |index: u32| {
             let other = TaskName { index, ..*name };
             let Some(task) = job.task(&other) else { return false };
@@ -382,8 +382,8 @@
         let job = self.jobs.get(&first.job)?;
         let step = &job.accepted.definition.steps[first.step as usize];
         let needs_ticket = self.needs_ticket(&job.accepted.queue);
-        let need = step.counted_need();
-        if self.unmet_needs.covers(&need) && !(step.gang || step.lasting || needs_ticket) {
+        let need = step.reserved_resources();
+        if self.unmet_needs.covers(&need) && !(step.gang || step.long_running || needs_ticket) {
             return job.first_waiting(first, now);
         }
         let step = step.clone();
@@ -413,7 +413,7 @@
                 self.record_held_back(&name, &step.need, waiting, now);
                 return None;
             }
-            if (step.per_minion.is_some() || step.lasting) && spread.is_none() {
+            if (step.max_per_minion.is_some() || step.long_running) && spread.is_none() {
                 spread = Some(self.spread(&name));
             }
             let no_spread = Default::default();
@@ -437,7 +437,7 @@
                     continue;
                 }
                 // Otherwise a label or a limit per minion may be the reason.
-                if step.requires.is_none() && step.per_minion.is_none() {
+                if step.required_label.is_none() && step.max_per_minion.is_none() {
                     self.unmet_needs.add(need);
                 }
                 return Some(name);
--- a/crates/engine/src/cell/sequence.rs
+++ b/crates/engine/src/cell/sequence.rs
@@ -59,7 +59,7 @@
         value_density: 0.0,
         accepted_at: job.accepted_at,
     };
-    if definition.is_lasting() {
+    if definition.is_long_running() {
         return base;
     }
     let objective = job.total.critical_path_ms as f64 * queue.stretch + queue.target_ms as f64;
--- a/crates/engine/src/cell/straggler.rs
+++ b/crates/engine/src/cell/straggler.rs
@@ -56,7 +56,9 @@
         let elapsed = now.since(run.ordered_at);
         let total =
             if percent >= 100 { Some(elapsed) } else { projected_duration(elapsed, percent) };
-        let (Some(total), false) = (total, step.lasting || step.estimate_ms == 0) else { return };
+        let (Some(total), false) = (total, step.long_running || step.estimate_ms == 0) else {
+            return;
+        };
         let ratio = total.as_millis() as f64 / step.estimate_ms as f64;
         if ratio > SLOW_RATIO {
             minion.slow_jobs.insert(name.job);
@@ -103,7 +105,8 @@
         if job.task(name).is_none_or(|task| task.was_straggler) {
             return false;
         }
-        if run.phase != RunPhase::Active || step.lasting || step.gang || step.estimate_ms == 0 {
+        if run.phase != RunPhase::Active || step.long_running || step.gang || step.estimate_ms == 0
+        {
             return false;
         }
         let Some(total) = projected_duration(run.progressed_at.since(run.ordered_at), run.percent)
--- a/crates/engine/src/cell/work.rs
+++ b/crates/engine/src/cell/work.rs
@@ -116,7 +116,7 @@
             u64::from(count_open(number)) * step.need.cpu * step.estimate_ms / 1000
         };
         Self {
-            critical_path_ms: definition.chain_ms(|step| count_open(step) > 0),
+            critical_path_ms: definition.critical_path_ms(|step| count_open(step) > 0),
             core_ms: definition.steps.iter().enumerate().map(step_core_ms).sum(),
         }
     }
@@ -137,8 +137,8 @@
         let task = Task { waiting_since: accepted_at, ..Task::default() };
         let tasks = vec![task; (next * occurrences) as usize];
         let total = Estimate {
-            critical_path_ms: definition.chain_ms(|_| true),
-            core_ms: definition.work(),
+            critical_path_ms: definition.critical_path_ms(|_| true),
+            core_ms: definition.core_ms(),
         };
         let remaining = Estimate::of(definition, &open_counts);
         Self {
--- a/crates/engine/tests/all/fixture.rs
+++ b/crates/engine/tests/all/fixture.rs
@@ -1,4 +1,4 @@
-//! A cell with minions that a test moves by hand.
+//! A test harness: a cell with a manual clock and simulated minions.
 
 use celerythread_engine::cell::{
     Cell, End, EndReason, Incarnation, Listing, MinionId, Order, Permit, Queue, Report, Running,
@@ -10,7 +10,7 @@
 use celerythread_engine::time::Time;
 use std::time::Duration;
 
-/// A minion's capacity, as the deployments have it.
+/// Capacity of a minion, as in the deployments.
 pub(crate) const CAPACITY: Resources = Resources { cpu: 16_000, memory_mb: 32_768, gpu: 0 };
 
 pub(crate) fn id(number: u8) -> Id {
@@ -21,7 +21,7 @@
     TaskName { job: id(job), occurrence: 0, step, index }
 }
 
-/// A step of so many tasks of one core and half a second.
+/// A step of `count` tasks that take one core for half a second each.
 pub(crate) fn step(count: u32) -> Step {
     let need = Resources { cpu: 1000, memory_mb: 512, gpu: 0 };
     Step { count, need, estimate_ms: 500, ..Step::default() }
@@ -31,20 +31,20 @@
     Definition { spec: "work".into(), steps, schedule: None }
 }
 
-/// A cell under a hand-moved clock.
-pub(crate) struct World {
+/// A cell under a manual clock.
+pub(crate) struct Harness {
     pub(crate) cell: Cell,
     pub(crate) now: Time,
-    ends: u64,
+    last_end: u64,
 }
 
-impl World {
+impl Harness {
     pub(crate) fn new(minions: usize) -> Self {
         Self::with_cell(Cell::new(Settings::default(), 0, None), minions)
     }
 
     pub(crate) fn with_cell(cell: Cell, minions: usize) -> Self {
-        let mut world = Self { cell, now: Time(10_000), ends: 0 };
+        let mut harness = Self { cell, now: Time(10_000), last_end: 0 };
         let queue = Queue {
             priority: 0,
             attempts: 2,
@@ -53,18 +53,18 @@
             needs_ticket: false,
             public: true,
         };
-        world.cell.configure([("queue".into(), queue)]);
+        harness.cell.configure([("queue".into(), queue)]);
         for number in 0..minions {
-            world.join(number);
+            harness.add_minion(number);
         }
-        world
+        harness
     }
 
     pub(crate) fn minion(number: usize) -> MinionId {
         format!("minion-{number}").into()
     }
 
-    pub(crate) fn list(&mut self, number: usize) {
+    pub(crate) fn list_minion(&mut self, number: usize) {
         self.list_with(number, None);
     }
 
@@ -80,44 +80,49 @@
         self.cell.update_listing(&Self::minion(number), listing);
     }
 
-    /// A further minion is listed, and runs nothing.
-    pub(crate) fn join(&mut self, number: usize) {
-        self.list(number);
+    /// Lists a minion and lets it answer that it runs nothing.
+    pub(crate) fn add_minion(&mut self, number: usize) {
+        self.list_minion(number);
         self.answer(number, Report::default());
     }
 
-    /// A minion falls silent, and is known to be over three seconds later.
+    /// Makes a minion stop answering, and marks it as terminated three seconds later.
     pub(crate) fn crash(&mut self, minion: &MinionId) {
         self.cell.record_missed_answer(minion, self.now);
-        self.pass(3000);
+        self.advance_ms(3000);
         self.cell.remove_terminated_minion(minion, self.now);
     }
 
-    /// The minion answers a hold that was sent just now.
+    /// Answers a hold that was sent at the current time.
     pub(crate) fn answer(&mut self, number: usize, report: Report) -> Vec<Order> {
         self.now = self.now + Duration::from_millis(1);
         self.cell.process_report(&Self::minion(number), &report, self.now, self.now)
     }
 
     pub(crate) fn submit(&mut self, job: u8, definition: Definition) {
-        self.add(job, definition, false);
+        self.add_job(job, definition, false);
     }
 
-    pub(crate) fn add(&mut self, job: u8, definition: Definition, inherited: bool) {
+    pub(crate) fn add_job(&mut self, job: u8, definition: Definition, inherited: bool) {
         let accepted =
             Accepted { queue: "queue".into(), at_ms: 0, definition, origin: Origin::Public };
         self.cell.add_job(id(job), accepted, None, inherited, Duration::ZERO, self.now);
     }
 
-    /// A job of which a former owner kept some progress.
-    pub(crate) fn add_kept(&mut self, job: u8, definition: Definition, progress: &Progress) {
+    /// Adds a job with progress that a former owner stored.
+    pub(crate) fn add_job_with_progress(
+        &mut self,
+        job: u8,
+        definition: Definition,
+        progress: &Progress,
+    ) {
         let accepted =
             Accepted { queue: "queue".into(), at_ms: 0, definition, origin: Origin::Public };
         let now = self.now;
         self.cell.add_job(id(job), accepted, Some(progress), false, Duration::ZERO, now);
     }
 
-    pub(crate) fn pass(&mut self, ms: u64) {
+    pub(crate) fn advance_ms(&mut self, ms: u64) {
         self.now = self.now + Duration::from_millis(ms);
     }
 
@@ -125,11 +130,12 @@
         self.cell.plan(self.now, self.now.0, Permit::All)
     }
 
-    /// Plans until nothing is to be kept any more: what is held against a task is kept before it is tried again.
-    pub(crate) fn plan_kept(&mut self) -> Vec<Order> {
+    /// Stores progress and plans until there is nothing left to store: a suspicion against a task
+    /// is stored before the task is tried again.
+    pub(crate) fn plan_and_store(&mut self) -> Vec<Order> {
         let mut orders = Vec::new();
         loop {
-            self.keep();
+            self.store_progress();
             orders.extend(self.plan());
             if !self.cell.has_unpersisted() {
                 return orders;
@@ -137,18 +143,18 @@
         }
     }
 
-    /// The next start, once what comes before it is kept and over.
+    /// Plans, stores progress and advances the clock until a task is started.
     pub(crate) fn next_start(&mut self) -> (MinionId, TaskName, u32) {
         for _ in 0..100 {
-            if let Some(start) = starts(&self.plan_kept()).pop() {
+            if let Some(start) = starts(&self.plan_and_store()).pop() {
                 return start;
             }
-            self.pass(50);
+            self.advance_ms(50);
         }
-        panic!("nothing is started within five seconds");
+        panic!("nothing was started within five seconds");
     }
 
-    /// Plans, and has every start accepted.
+    /// Plans and accepts every start.
     pub(crate) fn start_all(&mut self) -> Vec<(MinionId, TaskName, u32)> {
         let started = starts(&self.plan());
         for (minion, task, run) in &started {
@@ -157,31 +163,31 @@
         started
     }
 
-    /// A minion lists an end, and that everything else of its runs goes on.
-    pub(crate) fn end(
+    /// Reports the end of a run; the minion's other runs continue.
+    pub(crate) fn report_end(
         &mut self,
         minion: &MinionId,
         task: TaskName,
         run: u32,
-        how: EndReason,
+        reason: EndReason,
     ) -> u64 {
-        self.ends += 1;
-        let number = self.ends;
-        let end = End { number, task, run, reason: how, checkpoint: None };
+        self.last_end += 1;
+        let number = self.last_end;
+        let end = End { number, task, run, reason, checkpoint: None };
         let report = Report { running: Vec::new(), finished: vec![end], ..Report::default() };
-        // Sent long ago, so that it says nothing about other runs.
+        // A report that was sent long ago doesn't imply that runs missing from it have ended.
         self.cell.process_report(minion, &report, Time(0), self.now);
         number
     }
 
-    pub(crate) fn keep(&mut self) {
+    pub(crate) fn store_progress(&mut self) {
         while let Some(batch) = self.cell.unpersisted_batch(90) {
             self.cell.record_persisted(&batch);
         }
     }
 }
 
-/// The starts among orders.
+/// Returns the starts among `orders`.
 pub(crate) fn starts(orders: &[Order]) -> Vec<(MinionId, TaskName, u32)> {
     orders
         .iter()
@@ -192,7 +198,7 @@
         .collect()
 }
 
-/// The stops among orders.
+/// Returns the stops among `orders`.
 pub(crate) fn stops(orders: &[Order]) -> Vec<(MinionId, TaskName, u32)> {
     orders
         .iter()
--- a/crates/engine/tests/all/model/owner.rs
+++ b/crates/engine/tests/all/model/owner.rs
@@ -1,7 +1,7 @@
-//! An owner of a cell, as the daemon drives the engine: it decides on calls and takes in answers.
+//! An owner of a cell, which drives the engine like the daemon: it plans calls and handles answers.
 
 use super::Start;
-use super::play::step_of;
+use super::simulation::step_of;
 use celerythread_engine::cell::{
     Batch, Cell, Incarnation, Listing, MinionId, Order, Permit, Refusal, Report, StartResult,
 };
@@ -10,17 +10,17 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-// The daemon's default settings, and the margins that it adds to them.
-const RENEW: Duration = Duration::from_millis(300);
-/// From here on after its last renewal an owner starts only what was never started.
-const START_ALONE: Duration = Duration::from_millis(1000);
-/// And from here on it starts nothing and extends no lease.
-pub(crate) const EXTEND_ALONE: Duration = Duration::from_millis(3000);
-pub(crate) const LEASE: Duration = Duration::from_millis(4500);
-pub(crate) const MARGIN: Duration = Duration::from_millis(150);
+// The daemon's default settings, and the margin that it adds to leases.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
+/// Time after its last renewal from which an owner starts only tasks that were never started.
+const START_ALONE_LIMIT: Duration = Duration::from_millis(1000);
+/// Time after its last renewal from which an owner starts nothing and extends no lease.
+pub(crate) const EXTEND_ALONE_LIMIT: Duration = Duration::from_millis(3000);
+pub(crate) const LEASE_DURATION: Duration = Duration::from_millis(4500);
+pub(crate) const LEASE_MARGIN: Duration = Duration::from_millis(150);
 
-/// Time between two looks at a minion.
-const LOOK: Duration = Duration::from_millis(100);
+/// Time between two polls of a minion.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(crate) const CAPACITY: Resources = Resources { cpu: 4000, memory_mb: 4096, gpu: 0 };
 
@@ -43,46 +43,46 @@
         task: TaskName,
         run: u32,
     },
-    /// On condition that the ledger still has the version that the owner knows, so that a write
-    /// which is carried out late can't undo a newer one.
-    Keep {
+    /// Stores progress if the ledger still has the version that the owner knows, so that a delayed
+    /// write can't overwrite a newer one.
+    Store {
         batch: Batch,
         version: u64,
     },
 }
 
-/// What came back.
+/// The answer to a call.
 pub(crate) enum Answer {
     Unknown,
     Done,
     Report(Report),
     Refused(Refusal),
-    OtherLife,
+    OtherIncarnation,
     Superseded,
 }
 
-/// An owner.
+/// An owner of the cell.
 pub(crate) struct Owner {
     pub(crate) cell: Cell,
     pub(crate) token: u64,
-    pub(crate) renewed: Time,
+    pub(crate) last_renewal: Time,
     pub(crate) next_renewal: Time,
-    pub(crate) next_look: BTreeMap<MinionId, Time>,
+    pub(crate) next_poll: BTreeMap<MinionId, Time>,
     pub(crate) missed: BTreeSet<MinionId>,
     /// The incarnation that last answered on each open connection.
     connections: BTreeMap<MinionId, Incarnation>,
-    /// Calls decided on and not yet made.
+    /// Planned calls that haven't been made.
     pub(crate) calls: VecDeque<Call>,
     pub(crate) paused_until: Option<Time>,
-    /// Until when it reaches only this minion.
-    pub(crate) apart: Option<(Time, MinionId)>,
-    pub(crate) over: bool,
+    /// While isolated: until when, and the only minion that it can reach.
+    pub(crate) isolation: Option<(Time, MinionId)>,
+    pub(crate) is_stopped: bool,
 }
 
 impl Call {
     pub(crate) fn minion(&self) -> Option<MinionId> {
         match self {
-            Call::Renew | Call::Keep { .. } => None,
+            Call::Renew | Call::Store { .. } => None,
             Call::Hold { minion, .. } | Call::Start { minion, .. } | Call::Stop { minion, .. } => {
                 Some(minion.clone())
             }
@@ -91,40 +91,41 @@
 }
 
 impl Owner {
-    /// An owner whose takeover has just been written.
+    /// An owner whose takeover has just been stored.
     pub(crate) fn new(cell: Cell, token: u64, now: Time) -> Self {
         Self {
             cell,
             token,
-            renewed: now,
+            last_renewal: now,
             next_renewal: now,
-            next_look: BTreeMap::new(),
+            next_poll: BTreeMap::new(),
             missed: BTreeSet::new(),
             connections: BTreeMap::new(),
             calls: VecDeque::new(),
             paused_until: None,
-            apart: None,
-            over: false,
+            isolation: None,
+            is_stopped: false,
         }
     }
 
     fn permit(&self, now: Time) -> Permit {
-        match now.since(self.renewed) {
-            silence if silence <= START_ALONE => Permit::All,
-            silence if silence <= EXTEND_ALONE => {
-                Permit::NeverStarted { known_by: self.renewed + START_ALONE }
+        match now.since(self.last_renewal) {
+            silence if silence <= START_ALONE_LIMIT => Permit::All,
+            silence if silence <= EXTEND_ALONE_LIMIT => {
+                Permit::NeverStarted { known_by: self.last_renewal + START_ALONE_LIMIT }
             }
             _ => Permit::Nothing,
         }
     }
 
-    /// Whether it reaches a minion, or the table.
-    pub(crate) fn reaches(&self, minion: Option<MinionId>, now: Time) -> bool {
-        let Some((until, only)) = &self.apart else { return true };
+    /// Whether it can reach a minion, or the table for none.
+    pub(crate) fn can_reach(&self, minion: Option<MinionId>, now: Time) -> bool {
+        let Some((until, only)) = &self.isolation else { return true };
         now >= *until || minion.as_ref() == Some(only)
     }
 
-    /// Whether a call may no longer be made: an order is checked again right before it is sent.
+    /// Whether a planned call is no longer allowed: starts are checked again right before they are
+    /// sent.
     pub(crate) fn is_forbidden(&self, call: &Call, now: Time) -> bool {
         let Call::Start { start, .. } = call else { return false };
         match self.permit(now) {
@@ -134,10 +135,10 @@
         }
     }
 
-    /// Decides on calls.
-    pub(crate) fn decide(&mut self, listed: &[MinionId], ledger: u64, now: Time) {
+    /// Plans the calls that are due.
+    pub(crate) fn plan_calls(&mut self, listed: &[MinionId], ledger_version: u64, now: Time) {
         if now >= self.next_renewal {
-            self.next_renewal = now + RENEW;
+            self.next_renewal = now + RENEWAL_INTERVAL;
             self.calls.push_back(Call::Renew);
         }
         for minion in listed {
@@ -153,12 +154,12 @@
             if !listed.contains(&minion) {
                 self.cell.mark_unlisted(&minion);
             }
-            if self.next_look.get(&minion).is_some_and(|at| now < *at) {
+            if self.next_poll.get(&minion).is_some_and(|at| now < *at) {
                 continue;
             }
-            self.next_look.insert(minion.clone(), now + LOOK);
+            self.next_poll.insert(minion.clone(), now + POLL_INTERVAL);
             let missed = self.missed.contains(&minion);
-            let deadline = if missed { None } else { self.promise(&minion, now) };
+            let deadline = if missed { None } else { self.extend_lease(&minion, now) };
             // Acknowledges ends only on a connection that can't reach another incarnation.
             let connected_to = self.connections.get(&minion).copied();
             let is_current = connected_to.is_some() && connected_to == incarnation;
@@ -166,27 +167,27 @@
             self.calls.push_back(Call::Hold { minion, connected_to, acknowledged, deadline });
         }
         let orders = self.cell.plan(now, now.0, self.permit(now));
-        self.give(orders, now);
+        self.queue_orders(orders, now);
         if let Some(batch) = self.cell.unpersisted_batch(90) {
-            self.calls.push_back(Call::Keep { batch, version: ledger });
+            self.calls.push_back(Call::Store { batch, version: ledger_version });
         }
     }
 
-    fn promise(&mut self, minion: &MinionId, now: Time) -> Option<Time> {
-        if now.since(self.renewed) > EXTEND_ALONE {
+    fn extend_lease(&mut self, minion: &MinionId, now: Time) -> Option<Time> {
+        if now.since(self.last_renewal) > EXTEND_ALONE_LIMIT {
             return None;
         }
-        self.cell.extend_lease_expiry(minion, now + LEASE + MARGIN);
-        Some(now + LEASE)
+        self.cell.extend_lease_expiry(minion, now + LEASE_DURATION + LEASE_MARGIN);
+        Some(now + LEASE_DURATION)
     }
 
-    fn give(&mut self, orders: Vec<Order>, now: Time) {
+    fn queue_orders(&mut self, orders: Vec<Order>, now: Time) {
         for order in orders {
             match order {
                 Order::Start { minion, task, run, first, .. } => {
                     let step = step_of(&task);
                     let work = Duration::from_millis(step.estimate_ms);
-                    let Some(deadline) = self.promise(&minion, now) else {
+                    let Some(deadline) = self.extend_lease(&minion, now) else {
                         let refused = StartResult::Refused(Refusal::Unhealthy);
                         self.cell.process_start_result(&minion, &task, run, refused, now);
                         continue;
@@ -196,7 +197,7 @@
                         run,
                         first,
                         need: step.need,
-                        work: (!step.lasting).then_some(work),
+                        work: (!step.long_running).then_some(work),
                         deadline,
                         token: self.token,
                     };
@@ -210,11 +211,13 @@
         }
     }
 
-    /// Takes in an answer.
-    pub(crate) fn take(&mut self, call: &Call, answer: Answer, now: Time) {
+    /// Applies the answer to a call.
+    pub(crate) fn handle_answer(&mut self, call: &Call, answer: Answer, now: Time) {
         if let Some(minion) = call.minion() {
             match answer {
-                Answer::OtherLife => return self.cell.remove_terminated_minion(&minion, now),
+                Answer::OtherIncarnation => {
+                    return self.cell.remove_terminated_minion(&minion, now);
+                }
                 Answer::Unknown => {
                     self.connections.remove(&minion);
                     self.missed.insert(minion);
@@ -223,16 +226,16 @@
             }
         }
         match (call, answer) {
-            (_, Answer::Superseded) => self.over = true,
-            (Call::Renew, Answer::Done) => self.renewed = now,
-            (Call::Keep { batch, .. }, Answer::Done) => self.cell.record_persisted(batch),
+            (_, Answer::Superseded) => self.is_stopped = true,
+            (Call::Renew, Answer::Done) => self.last_renewal = now,
+            (Call::Store { batch, .. }, Answer::Done) => self.cell.record_persisted(batch),
             (Call::Hold { minion, .. }, Answer::Report(report)) => {
                 if let Some(incarnation) = report.incarnation {
                     self.connections.insert(minion.clone(), incarnation);
                 }
                 let sent = now - Duration::from_millis(1);
                 let orders = self.cell.process_report(minion, &report, sent, now);
-                self.give(orders, now);
+                self.queue_orders(orders, now);
             }
             (Call::Hold { minion, .. }, _) => self.cell.record_missed_answer(minion, now),
             (Call::Start { minion, start }, answer) => {
--- /dev/null
+++ b/crates/engine/tests/all/model/simulation.rs
@@ -0,0 +1,527 @@
+//! A simulation with fault injection: successive owners, minions, the table and a caller.
+
+use super::owner::{
+    Answer, CAPACITY, Call, EXTEND_ALONE_LIMIT, LEASE_DURATION, LEASE_MARGIN, Owner,
+};
+use super::{Minion, RunRecord, Table};
+use crate::fixture::{definition, id, step};
+use celerythread_engine::cell::{
+    Batch, Cell, EndReason, Incarnation, MinionId, Queue, Refusal, Settings,
+};
+use celerythread_engine::job::{Accepted, Definition, Id, State, Step, TaskName};
+use celerythread_engine::time::Time;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+use strum::VariantArray;
+
+const TICK: Duration = Duration::from_millis(20);
+/// Time without a renewal after which another entry takes over, by the daemon's default settings.
+const TAKEOVER_DELAY: Duration = Duration::from_millis(1300);
+/// Duration of an owner's pause: longer than every lease, and a successor has long taken over.
+const PAUSE_DURATION: Duration = Duration::from_secs(14);
+/// Duration of a network partition.
+const PARTITION_DURATION: Duration = Duration::from_secs(7);
+const OUTAGE_DURATION: Duration = Duration::from_secs(4);
+/// Time until a delayed call is executed.
+const CALL_DELAY: Duration = Duration::from_secs(3);
+/// Time until a crashed minion restarts.
+const RESTART_DELAY: Duration = Duration::from_millis(1500);
+/// When the caller cancels [`CANCELLED_JOB`].
+const CANCEL_TIME: Time = Time(10_700);
+const START_TIME: Time = Time(10_000);
+/// End of a simulation that doesn't finish; recovery from the worst fault takes far less time.
+pub(crate) const TIME_LIMIT: Time = Time(70_000);
+const MINION_IDS: [&str; 3] = ["a", "b", "c"];
+pub(crate) const CHAINED_JOB: u8 = 1;
+const LONG_RUNNING_JOB: u8 = 2;
+const CANCELLED_JOB: u8 = 3;
+/// The job whose only task crashes each minion that starts it.
+const CRASHING_JOB: u8 = 4;
+/// Time from the start of the crashing task to the crash of its minion.
+const CRASH_DELAY: Duration = Duration::from_millis(10);
+/// Crashes of minions with the same task after which its job may be given up, whatever caused them.
+const CRASHES_TO_GIVE_UP: usize = 2;
+/// Starts of the crashing task that are too many: three more after the third crash.
+const TOO_MANY_STARTS: usize = 6;
+
+/// A fault injected at a call.
+#[derive(Clone, Copy, Debug, VariantArray)]
+pub(crate) enum Fault {
+    /// The call is lost.
+    Lost,
+    /// The call is executed, but its answer is lost.
+    AnswerLost,
+    /// The call is executed seconds later, and its answer is lost.
+    Delayed,
+    /// The owner crashes before it sends the call.
+    KilledBefore,
+    /// The owner crashes after the call is executed.
+    KilledAfter,
+    /// The owner pauses until every lease has expired, then sends the call.
+    Paused,
+    /// The minion crashes and comes back after a delay.
+    Crash,
+    /// The minion restarts immediately under the same id.
+    Restart,
+    /// The minion is cut off from all entries, but continues its runs.
+    Partitioned,
+    /// The owner is cut off from the table and from all minions but one.
+    Isolated,
+    /// The table is unavailable.
+    Outage,
+}
+
+/// A simulation of the scenario.
+pub(crate) struct Simulation {
+    now: Time,
+    faults: BTreeMap<usize, Fault>,
+    pub(crate) call_count: usize,
+    minions: Vec<Minion>,
+    roster: BTreeSet<MinionId>,
+    /// When crashed minions restart, and under which ids.
+    pending_restarts: Vec<(Time, String)>,
+    /// Whether crashed minions restart under their former ids.
+    keeps_ids: bool,
+    /// Number of the last incarnation of any minion.
+    last_incarnation: u64,
+    /// Minions that have started the crashing task, and when they crash.
+    pending_crashes: Vec<(Time, MinionId)>,
+    partitioned_until: BTreeMap<MinionId, Time>,
+    outage_until: Time,
+    /// Delayed calls: when they are executed, the caller's token, the call and the receiving
+    /// incarnation.
+    delayed_calls: Vec<(Time, u64, Call, Option<Incarnation>)>,
+    table: Table,
+    history: Vec<RunRecord>,
+    violations: Vec<String>,
+    owners: Vec<Owner>,
+    /// Number of renewals that a candidate for the cell observed, and when it was first observed.
+    observed_renewals: (u64, Time),
+    cancelled: bool,
+}
+
+impl Simulation {
+    pub(crate) fn new(faults: BTreeMap<usize, Fault>) -> Self {
+        let mut simulation = Self {
+            now: START_TIME,
+            faults,
+            call_count: 0,
+            minions: Vec::new(),
+            roster: MINION_IDS.map(MinionId::from).into(),
+            pending_restarts: Vec::new(),
+            keeps_ids: false,
+            last_incarnation: 0,
+            pending_crashes: Vec::new(),
+            partitioned_until: BTreeMap::new(),
+            outage_until: Time(0),
+            delayed_calls: Vec::new(),
+            table: Table::default(),
+            history: Vec::new(),
+            violations: Vec::new(),
+            owners: Vec::new(),
+            observed_renewals: (0, START_TIME),
+            cancelled: false,
+        };
+        MINION_IDS.iter().for_each(|name| simulation.start_minion(name));
+        simulation.take_over(None);
+        simulation
+    }
+
+    /// Like [`Self::new`], but crashed minions restart under their former ids.
+    pub(crate) fn with_kept_ids(faults: BTreeMap<usize, Fault>) -> Self {
+        Self { keeps_ids: true, ..Self::new(faults) }
+    }
+
+    fn start_minion(&mut self, name: &str) {
+        self.last_incarnation += 1;
+        self.minions.push(Minion::new(name, Incarnation(self.last_incarnation), CAPACITY));
+    }
+
+    /// A new owner takes the cell and reads the table.
+    fn take_over(&mut self, former_lapse: Option<Time>) {
+        self.table.token += 1;
+        let generation = self.table.token as u32 - 1;
+        let mut cell = Cell::new(Settings::default(), generation, former_lapse);
+        let queue = Queue { attempts: 2, ..Queue::default() };
+        cell.configure([("queue".into(), queue)]);
+        let inherited = former_lapse.is_some();
+        if inherited {
+            self.roster.iter().for_each(|minion| cell.inherit_minion(minion));
+        }
+        for (id, definition) in jobs() {
+            let accepted = Accepted {
+                queue: "queue".into(),
+                at_ms: 0,
+                definition,
+                origin: celerythread_engine::job::Origin::Public,
+            };
+            let progress = self.table.progress.get(&id);
+            cell.add_job(id, accepted, progress, inherited, Duration::ZERO, self.now);
+        }
+        if self.cancelled {
+            cell.cancel(&id(CANCELLED_JOB), self.now);
+        }
+        self.owners.push(Owner::new(cell, self.table.token, self.now));
+        self.observed_renewals = (self.table.renewals, self.now);
+    }
+
+    pub(crate) fn run(mut self) -> Self {
+        while self.now < TIME_LIMIT && !self.is_finished() {
+            self.advance();
+            for index in 0..self.owners.len() {
+                self.drive(index);
+            }
+            self.owners.retain(|owner| !owner.is_stopped);
+            self.take_over_if_silent();
+        }
+        self
+    }
+
+    /// Whether all jobs have their expected outcome and no effect of a fault is pending.
+    fn is_finished(&self) -> bool {
+        let unwanted = |run: &RunRecord| run.task.job == id(CANCELLED_JOB) && run.ended.is_none();
+        let quiet = self.delayed_calls.is_empty()
+            && self.pending_restarts.is_empty()
+            && self.now > CANCEL_TIME
+            && !self.history.iter().any(unwanted);
+        let paused = self.owners.iter().any(|owner| owner.paused_until.is_some());
+        let done = self.table.progress.get(&id(CHAINED_JOB)).and_then(|stored| stored.outcome);
+        let crashing = self.table.progress.get(&id(CRASHING_JOB)).and_then(|stored| stored.outcome);
+        let done = done == Some(State::Completed) || self.may_give_up(CHAINED_JOB);
+        let ended = done && crashing == Some(State::Failed);
+        let long_running = self.active_long_running() == 2 || self.may_give_up(LONG_RUNNING_JOB);
+        quiet && !paused && ended && long_running
+    }
+
+    fn active_long_running(&self) -> usize {
+        let long_running =
+            |run: &&RunRecord| run.task.job == id(LONG_RUNNING_JOB) && run.ended.is_none();
+        self.history.iter().filter(long_running).count()
+    }
+
+    fn advance(&mut self) {
+        self.now = self.now + TICK;
+        for minion in &mut self.minions {
+            minion.advance(self.now, &mut self.history);
+        }
+        let now = self.now;
+        let (due, rest) =
+            std::mem::take(&mut self.pending_crashes).into_iter().partition(|d| d.0 <= now);
+        self.pending_crashes = rest;
+        for (_, minion) in Vec::from_iter::<Vec<_>>(due) {
+            self.crash(Some(minion));
+        }
+        let (due, rest) =
+            std::mem::take(&mut self.delayed_calls).into_iter().partition(|c| c.0 <= now);
+        self.delayed_calls = rest;
+        for (_, token, call, receiver) in Vec::from_iter::<Vec<_>>(due) {
+            // Delayed calls are lost when the minion that received them restarts.
+            if self.incarnation_of(call.minion()) == receiver {
+                self.execute(token, &call);
+            }
+        }
+        let (due, rest) =
+            std::mem::take(&mut self.pending_restarts).into_iter().partition(|r| r.0 <= now);
+        self.pending_restarts = rest;
+        for (_, name) in Vec::from_iter::<Vec<_>>(due) {
+            self.roster.insert(name.as_str().into());
+            self.start_minion(&name);
+        }
+        if now >= CANCEL_TIME && !self.cancelled {
+            self.cancelled = true;
+            for owner in &mut self.owners {
+                owner.cell.cancel(&id(CANCELLED_JOB), now);
+            }
+        }
+    }
+
+    /// Lets another entry take over from an owner that doesn't renew.
+    fn take_over_if_silent(&mut self) {
+        let (observed, since) = self.observed_renewals;
+        if self.now < self.outage_until || self.table.renewals != observed {
+            self.observed_renewals = (self.table.renewals, self.now);
+        } else if self.now.since(since) >= TAKEOVER_DELAY {
+            let extends = EXTEND_ALONE_LIMIT.saturating_sub(TAKEOVER_DELAY);
+            self.take_over(Some(self.now + extends + LEASE_DURATION + LEASE_MARGIN));
+        }
+    }
+
+    fn drive(&mut self, index: usize) {
+        let now = self.now;
+        let listed: Vec<MinionId> = self.minions.iter().map(|minion| minion.id.clone()).collect();
+        let owner = &mut self.owners[index];
+        if owner.paused_until.is_some_and(|until| now < until) {
+            return;
+        }
+        owner.paused_until = None;
+        owner.plan_calls(&listed, self.table.ledger_version, now);
+        while let Some(call) = self.owners[index].calls.pop_front() {
+            if !self.make_call(index, call) {
+                return;
+            }
+        }
+    }
+
+    /// Makes a call, with its fault if there is one; false if the owner makes no further call now.
+    fn make_call(&mut self, index: usize, call: Call) -> bool {
+        if self.owners[index].is_forbidden(&call, self.now) {
+            self.owners[index].handle_answer(&call, Answer::Refused(Refusal::Unhealthy), self.now);
+            return true;
+        }
+        let token = self.owners[index].token;
+        let fault = self.faults.get(&self.call_count).copied();
+        self.call_count += 1;
+        let answer = match fault {
+            Some(Fault::Lost) => Answer::Unknown,
+            Some(Fault::AnswerLost) => {
+                self.execute(token, &call);
+                Answer::Unknown
+            }
+            Some(Fault::Delayed) => {
+                let receiver = self.incarnation_of(call.minion());
+                self.delayed_calls.push((self.now + CALL_DELAY, token, call.clone(), receiver));
+                Answer::Unknown
+            }
+            Some(Fault::KilledBefore) => {
+                self.owners[index].is_stopped = true;
+                return false;
+            }
+            Some(Fault::KilledAfter) => {
+                self.execute(token, &call);
+                self.owners[index].is_stopped = true;
+                return false;
+            }
+            Some(Fault::Paused) => {
+                let owner = &mut self.owners[index];
+                owner.paused_until = Some(self.now + PAUSE_DURATION);
+                owner.calls.push_front(call);
+                return false;
+            }
+            Some(Fault::Crash) => {
+                self.crash(call.minion());
+                self.execute(token, &call)
+            }
+            Some(Fault::Restart) => {
+                if let Some(name) = self.remove_minion(call.minion()) {
+                    self.start_minion(&name);
+                }
+                self.execute(token, &call)
+            }
+            Some(Fault::Partitioned) => {
+                let minion = call.minion().unwrap_or(MINION_IDS[0].into());
+                self.partitioned_until.insert(minion, self.now + PARTITION_DURATION);
+                self.execute(token, &call)
+            }
+            Some(Fault::Isolated) => {
+                let minion = call.minion().unwrap_or(MINION_IDS[0].into());
+                self.owners[index].isolation = Some((self.now + PARTITION_DURATION, minion));
+                Answer::Unknown
+            }
+            Some(Fault::Outage) => {
+                self.outage_until = self.now + OUTAGE_DURATION;
+                self.execute(token, &call)
+            }
+            None if !self.owners[index].can_reach(call.minion(), self.now) => Answer::Unknown,
+            None => self.execute(token, &call),
+        };
+        self.owners[index].handle_answer(&call, answer, self.now);
+        !self.owners[index].is_stopped
+    }
+
+    fn crash(&mut self, minion: Option<MinionId>) {
+        let Some(name) = self.remove_minion(minion) else { return };
+        let name = if self.keeps_ids { name.to_string() } else { format!("{name}'") };
+        self.pending_restarts.push((self.now + RESTART_DELAY, name));
+    }
+
+    fn incarnation_of(&self, minion: Option<MinionId>) -> Option<Incarnation> {
+        let minion = minion?;
+        self.minions.iter().find(|up| up.id == minion).map(|up| up.incarnation)
+    }
+
+    /// Crashes and removes a minion; returns its id.
+    fn remove_minion(&mut self, minion: Option<MinionId>) -> Option<MinionId> {
+        let name = minion.unwrap_or(MINION_IDS[0].into());
+        let at = self.minions.iter().position(|minion| minion.id == name)?;
+        self.minions.remove(at).crash(self.now, &mut self.history);
+        self.pending_crashes.retain(|(_, minion)| *minion != name);
+        Some(name)
+    }
+
+    pub(crate) fn execute(&mut self, token: u64, call: &Call) -> Answer {
+        let now = self.now;
+        match call {
+            Call::Renew | Call::Store { .. } if now < self.outage_until => return Answer::Unknown,
+            Call::Renew | Call::Store { .. } if token != self.table.token => {
+                return Answer::Superseded;
+            }
+            Call::Renew => {
+                self.table.renewals += 1;
+                return Answer::Done;
+            }
+            Call::Store { version, .. } if *version != self.table.ledger_version => {
+                return Answer::Refused(Refusal::StaleRun);
+            }
+            Call::Store { batch, .. } => {
+                self.table.ledger_version += 1;
+                self.store_progress(batch);
+                return Answer::Done;
+            }
+            _ => {}
+        }
+        let name = call.minion().unwrap();
+        if self.partitioned_until.get(&name).is_some_and(|until| now < *until) {
+            return Answer::Unknown;
+        }
+        let Some(at) = self.minions.iter().position(|minion| minion.id == name) else {
+            let up = self.minions.iter().any(|minion| minion.id.starts_with(&*name));
+            return if up { Answer::OtherIncarnation } else { Answer::Unknown };
+        };
+        let before = self.history.len();
+        let minion = &mut self.minions[at];
+        if let Call::Hold { connected_to: Some(incarnation), .. } = call
+            && *incarnation != minion.incarnation
+        {
+            // The connection was closed when the incarnation that accepted it ended.
+            return Answer::Unknown;
+        }
+        let result = match call {
+            Call::Hold { acknowledged, deadline, .. } => {
+                let history = &mut self.history;
+                minion.hold(token, *acknowledged, *deadline, now, history).map(Answer::Report)
+            }
+            Call::Start { start, .. } => {
+                minion.start(start, now, &mut self.history).map(|()| Answer::Done)
+            }
+            Call::Stop { task, run, .. } => {
+                minion.stop(*task, *run, token, now).map(|()| Answer::Done)
+            }
+            _ => Ok(Answer::Done),
+        };
+        if self.history.len() > before {
+            if self.history[before].task.job == id(CRASHING_JOB) {
+                self.pending_crashes.push((now + CRASH_DELAY, name));
+            }
+            self.check_start(at);
+        }
+        result.unwrap_or_else(Answer::Refused)
+    }
+
+    fn store_progress(&mut self, batch: &Batch) {
+        for (id, _, progress) in &batch.rows {
+            let (_, definition) = jobs().into_iter().find(|(known, _)| known == id).unwrap();
+            let mut flat = 0;
+            for (number, step) in definition.steps.iter().enumerate() {
+                for index in 0..step.count {
+                    let done =
+                        progress.done.contains(&flat) || progress.outcome == Some(State::Completed);
+                    if done {
+                        let name = TaskName { job: *id, occurrence: 0, step: number as u32, index };
+                        self.table.done_stored_at.entry(name).or_insert(self.now);
+                    }
+                    flat += 1;
+                }
+            }
+            self.table.progress.insert(*id, progress.clone());
+        }
+    }
+
+    /// Checks the last start in the history.
+    fn check_start(&mut self, at: usize) {
+        let run = self.history[self.history.len() - 1].clone();
+        let mut violations = Vec::new();
+        if !self.minions[at].capacity.holds(&self.minions[at].used()) {
+            violations.push("over its capacity");
+        }
+        let earlier = |other: &&RunRecord| other.task == run.task && other.run != run.run;
+        if self.history.iter().filter(earlier).any(|other| other.ended.is_none()) {
+            violations.push("twice at once");
+        }
+        if self.table.done_stored_at.get(&run.task).is_some_and(|at| *at < self.now) {
+            violations.push("after its end was stored");
+        }
+        let done = |other: &RunRecord| matches!(other.ended, Some((_, EndReason::Done)));
+        if self.history.iter().filter(earlier).any(|other| done(other) && other.acknowledged) {
+            violations.push("after its end was acknowledged");
+        }
+        if run.task.job == id(CANCELLED_JOB) && self.cancelled {
+            violations.push("after its job was cancelled");
+        }
+        if run.task.job == id(CRASHING_JOB) && self.crashing_starts() == TOO_MANY_STARTS {
+            violations.push("three times more after three crashes");
+        }
+        for before in step_of(&run.task).after {
+            let count = step_of(&TaskName { step: before, ..run.task }).count;
+            let is_done = |index: u32| {
+                let name = TaskName { step: before, index, ..run.task };
+                self.history.iter().any(|record| record.task == name && done(record))
+            };
+            if !(0..count).all(is_done) {
+                violations.push("before an earlier step was done");
+            }
+        }
+        for violation in violations {
+            self.violations
+                .push(format!("{} run {} {violation} at {:?}", run.task, run.run, self.now));
+        }
+    }
+
+    /// Whether a job may have been given up although none of its tasks crashes minions: so many
+    /// minions crashed with one of its tasks for other reasons that it can't be told apart from
+    /// such a task.
+    fn may_give_up(&self, job: u8) -> bool {
+        let is_given_up = self.table.progress.get(&id(job)).and_then(|stored| stored.outcome);
+        let mut crashes: BTreeMap<TaskName, usize> = BTreeMap::new();
+        for run in self.history.iter().filter(|run| run.crashed && run.task.job == id(job)) {
+            *crashes.entry(run.task).or_default() += 1;
+        }
+        let most = crashes.into_values().max().unwrap_or(0);
+        is_given_up == Some(State::Failed) && most >= CRASHES_TO_GIVE_UP
+    }
+
+    /// Number of starts of the crashing task.
+    pub(crate) fn crashing_starts(&self) -> usize {
+        self.history.iter().filter(|run| run.task.job == id(CRASHING_JOB)).count()
+    }
+
+    /// Violations, and what is missing if the simulation isn't finished.
+    pub(crate) fn failures(&self) -> Vec<String> {
+        let mut found = self.violations.clone();
+        if !self.is_finished() {
+            let chained = self.table.progress.get(&id(CHAINED_JOB));
+            let long_running = self.active_long_running();
+            let crashing = self.table.progress.get(&id(CRASHING_JOB));
+            found.push(format!(
+                "not finished: {chained:?}, {crashing:?}, {long_running} lasting tasks at work"
+            ));
+        }
+        found
+    }
+}
+
+/// The jobs that callers submit.
+fn jobs() -> Vec<(Id, Definition)> {
+    let after = |before: u32, step: Step| Step { after: [before].into_iter().collect(), ..step };
+    // Ends before the next poll, so that an acknowledgement can cover an end not yet read.
+    let quick = Step { estimate_ms: 40, ..step(2) };
+    let chained = vec![step(3), after(0, step(2)), after(1, quick)];
+    let long_running =
+        Step { long_running: true, max_unavailable: Some(1), max_per_minion: Some(1), ..step(2) };
+    let long = Step { estimate_ms: 60_000, ..step(2) };
+    let crashing = vec![step(1)];
+    [
+        (CHAINED_JOB, chained),
+        (LONG_RUNNING_JOB, vec![long_running]),
+        (CANCELLED_JOB, vec![long]),
+        (CRASHING_JOB, crashing),
+    ]
+    .map(|(number, steps)| (id(number), definition(steps)))
+    .into()
+}
+
+/// The step that a task belongs to.
+pub(crate) fn step_of(task: &TaskName) -> Step {
+    let jobs = jobs();
+    let (_, definition) = jobs.iter().find(|(id, _)| *id == task.job).unwrap();
+    definition.steps[task.step as usize].clone()
+}
--- a/crates/engine/tests/all/runs.rs
+++ b/crates/engine/tests/all/runs.rs
@@ -1,4 +1,4 @@
-//! Runs: unanswered orders, lapses, minions that fail or hang.
+//! Tests of runs: unanswered orders, expired leases, failing and hanging minions.
 
 use crate::fixture::*;
 use celerythread_engine::cell::{
@@ -8,186 +8,186 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A start isn't answered and is carried out seconds later.  Started elsewhere meanwhile, the
-/// task would run twice.  So it waits until its minion has confirmed a stop, after which the
-/// run never begins, and then lists no such run.
+/// Guards against running a task twice when its start isn't answered and is executed seconds later.
+/// The task starts elsewhere only after its minion has confirmed a stop, after which the run can't
+/// begin, and has then reported that it doesn't run the task.
 #[test]
-fn an_unanswered_start_is_stopped_for_sure_before_the_task_goes_elsewhere() {
-    let mut world = World::new(2);
-    world.submit(1, definition(vec![step(1)]));
-    let (minion, name, run) = starts(&world.plan()).remove(0);
-    world.cell.process_start_result(&minion, &name, run, StartResult::Unknown, world.now);
-    assert!(world.plan().is_empty(), "a look comes first");
-    world.cell.process_report(&minion, &Report::default(), world.now, world.now);
-    let orders = world.plan();
+fn an_unanswered_start_is_stopped_before_the_task_starts_elsewhere() {
+    let mut harness = Harness::new(2);
+    harness.submit(1, definition(vec![step(1)]));
+    let (minion, name, run) = starts(&harness.plan()).remove(0);
+    harness.cell.process_start_result(&minion, &name, run, StartResult::Unknown, harness.now);
+    assert!(harness.plan().is_empty(), "a poll comes first");
+    harness.cell.process_report(&minion, &Report::default(), harness.now, harness.now);
+    let orders = harness.plan();
     assert_eq!(stops(&orders), [(minion.clone(), name, run)]);
     assert!(starts(&orders).is_empty());
     // A report from before the confirmation proves nothing.
-    world.cell.process_report(&minion, &Report::default(), world.now, world.now);
-    assert!(starts(&world.plan()).is_empty());
-    world.pass(10);
-    world.cell.confirm_stop(&minion, &name, run, world.now);
-    world.pass(10);
-    world.cell.process_report(&minion, &Report::default(), world.now, world.now);
-    let again = starts(&world.plan());
+    harness.cell.process_report(&minion, &Report::default(), harness.now, harness.now);
+    assert!(starts(&harness.plan()).is_empty());
+    harness.advance_ms(10);
+    harness.cell.confirm_stop(&minion, &name, run, harness.now);
+    harness.advance_ms(10);
+    harness.cell.process_report(&minion, &Report::default(), harness.now, harness.now);
+    let again = starts(&harness.plan());
     assert_eq!(again[0].1, name);
     assert!(again[0].2 > run);
 }
 
-/// An unanswered stop may be lost, and the run would then go on unseen for ever.
+/// Guards against a run that continues forever because its stop was lost.
 #[test]
 fn an_unanswered_stop_is_ordered_again() {
-    let mut world = World::new(1);
-    world.submit(1, definition(vec![step(1)]));
-    world.start_all();
-    world.cell.cancel(&id(1), world.now);
-    assert_eq!(stops(&world.plan()).len(), 1);
-    assert!(stops(&world.plan()).is_empty());
-    world.pass(800);
-    assert_eq!(stops(&world.plan()).len(), 1);
+    let mut harness = Harness::new(1);
+    harness.submit(1, definition(vec![step(1)]));
+    harness.start_all();
+    harness.cell.cancel(&id(1), harness.now);
+    assert_eq!(stops(&harness.plan()).len(), 1);
+    assert!(stops(&harness.plan()).is_empty());
+    harness.advance_ms(800);
+    assert_eq!(stops(&harness.plan()).len(), 1);
 }
 
-/// A minion is cut off and runs on until its lease lapses.  Restarted before, its tasks would
-/// run twice; never restarted, their jobs would be lost.
+/// A minion that is cut off continues its runs until its lease expires.  Restarted before that, its
+/// tasks would run twice; never restarted, their jobs would be lost.
 #[test]
-fn runs_of_a_silent_minion_are_given_up_when_their_lease_must_have_lapsed() {
-    let mut world = World::new(2);
-    world.submit(1, definition(vec![step(1)]));
-    let (minion, name, run) = world.start_all().remove(0);
-    let lapse = world.now + Duration::from_millis(5000);
-    world.cell.extend_lease_expiry(&minion, lapse);
-    world.cell.record_missed_answer(&minion, world.now);
-    world.pass(4999);
-    assert!(starts(&world.plan()).is_empty());
-    world.pass(1);
-    let again = starts(&world.plan());
+fn runs_of_a_silent_minion_are_given_up_after_their_lease_has_lapsed() {
+    let mut harness = Harness::new(2);
+    harness.submit(1, definition(vec![step(1)]));
+    let (minion, name, run) = harness.start_all().remove(0);
+    let expiry = harness.now + Duration::from_millis(5000);
+    harness.cell.extend_lease_expiry(&minion, expiry);
+    harness.cell.record_missed_answer(&minion, harness.now);
+    harness.advance_ms(4999);
+    assert!(starts(&harness.plan()).is_empty());
+    harness.advance_ms(1);
+    let again = starts(&harness.plan());
     assert_eq!(again[0].1, name);
     assert!(again[0].2 > run);
     assert_ne!(again[0].0, minion);
 }
 
-/// Whoever can't be sure to own the cell still must not start anything: after a cut its
-/// successor may run what this owner sees lapse.
+/// Guards against starts by an owner that may have lost the cell.  After a network partition, its
+/// successor may run the tasks whose leases this owner considers expired.
 #[test]
 fn without_leave_to_start_nothing_is_started() {
-    let mut world = World::new(1);
-    world.submit(1, definition(vec![step(1)]));
-    assert!(world.cell.plan(world.now, world.now.0, Permit::Nothing).is_empty());
-    assert_eq!(starts(&world.plan()).len(), 1);
+    let mut harness = Harness::new(1);
+    harness.submit(1, definition(vec![step(1)]));
+    assert!(harness.cell.plan(harness.now, harness.now.0, Permit::Nothing).is_empty());
+    assert_eq!(starts(&harness.plan()).len(), 1);
 }
 
-/// Another life of the minion answers at its address: what ran there is over at once, and
-/// waiting for a lease would only keep callers waiting.
+/// When another incarnation answers at the minion's address, all its runs have ended.  Waiting for
+/// their lease would only delay callers.
 #[test]
-fn the_runs_of_a_life_that_is_over_start_elsewhere_at_once() {
-    let mut world = World::new(2);
-    world.submit(1, definition(vec![step(1)]));
-    let (minion, name, _) = world.start_all().remove(0);
-    world.cell.remove_terminated_minion(&minion, world.now);
-    assert_eq!(starts(&world.plan_kept())[0].1, name);
+fn runs_of_a_terminated_minion_start_elsewhere_at_once() {
+    let mut harness = Harness::new(2);
+    harness.submit(1, definition(vec![step(1)]));
+    let (minion, name, _) = harness.start_all().remove(0);
+    harness.cell.remove_terminated_minion(&minion, harness.now);
+    assert_eq!(starts(&harness.plan_and_store())[0].1, name);
 }
 
-/// A minion that fails whatever it starts is always free and draws task after task; the
-/// callers of many jobs see them fail.
+/// Guards against a minion on which every task fails.  It always has free capacity, so task after
+/// task is placed on it and many jobs fail.
 #[test]
-fn a_minion_that_fails_two_jobs_in_a_row_is_left_out_for_a_while() {
-    let mut world = World::new(2);
+fn a_minion_that_fails_two_jobs_in_a_row_is_quarantined() {
+    let mut harness = Harness::new(2);
     for job in 1..=2 {
-        world.submit(job, definition(vec![step(1)]));
+        harness.submit(job, definition(vec![step(1)]));
     }
-    let started = world.start_all();
-    assert_eq!(started[0].0, started[1].0, "packed on one minion");
+    let started = harness.start_all();
+    assert_eq!(started[0].0, started[1].0, "both are placed on one minion");
     for (minion, name, run) in &started {
-        world.end(minion, *name, *run, EndReason::Failed);
+        harness.report_end(minion, *name, *run, EndReason::Failed);
     }
-    world.submit(3, definition(vec![step(20)]));
+    harness.submit(3, definition(vec![step(20)]));
     let bad = &started[0].0;
-    assert!(world.start_all().iter().all(|(minion, _, _)| minion != bad));
-    world.pass(2001);
-    assert!(world.start_all().iter().any(|(minion, _, _)| minion == bad));
+    assert!(harness.start_all().iter().all(|(minion, _, _)| minion != bad));
+    harness.advance_ms(2001);
+    assert!(harness.start_all().iter().any(|(minion, _, _)| minion == bad));
 }
 
-/// A minion hangs: it answers and lists its runs, and nothing goes on.  Only the standing
-/// percentage shows it.
+/// Guards against a minion that hangs: it answers and lists its runs, but makes no progress.  Only
+/// the unchanged percentage shows that.
 #[test]
-fn a_run_that_stands_still_is_stopped_and_its_minion_left_out() {
-    let mut world = World::new(2);
-    world.submit(1, definition(vec![Step { estimate_ms: 2000, ..step(1) }]));
-    let (minion, name, run) = world.start_all().remove(0);
+fn a_stalled_run_is_stopped_and_its_minion_quarantined() {
+    let mut harness = Harness::new(2);
+    harness.submit(1, definition(vec![Step { estimate_ms: 2000, ..step(1) }]));
+    let (minion, name, run) = harness.start_all().remove(0);
     for percent in [40, 80] {
-        world.pass(1000);
+        harness.advance_ms(1000);
         let report = Report {
             running: vec![running(name, run, percent)],
             finished: vec![],
             ..Report::default()
         };
-        world.cell.process_report(&minion, &report, world.now, world.now);
-        assert!(stops(&world.plan()).is_empty());
+        harness.cell.process_report(&minion, &report, harness.now, harness.now);
+        assert!(stops(&harness.plan()).is_empty());
     }
-    world.pass(2100);
+    harness.advance_ms(2100);
     let report =
         Report { running: vec![running(name, run, 80)], finished: vec![], ..Report::default() };
-    world.cell.process_report(&minion, &report, world.now, world.now);
-    assert_eq!(stops(&world.plan()), [(minion.clone(), name, run)]);
-    world.end(&minion, name, run, EndReason::Stopped);
-    assert!(starts(&world.plan()).iter().all(|(place, _, _)| *place != minion));
+    harness.cell.process_report(&minion, &report, harness.now, harness.now);
+    assert_eq!(stops(&harness.plan()), [(minion.clone(), name, run)]);
+    harness.report_end(&minion, name, run, EndReason::Stopped);
+    assert!(starts(&harness.plan()).iter().all(|(place, _, _)| *place != minion));
 }
 
-/// A task stands still wherever it runs.  Each minion that had it was left out as if it hung, one after the
-/// other, and callers of everything else waited for room beside idle minions.
+/// Guards against quarantining minion after minion as hung because one task stalls wherever it
+/// runs.  All other tasks then waited for capacity while those minions were idle.
 #[test]
 fn a_task_that_stands_still_everywhere_leaves_no_minions_out() {
-    let mut world = World::new(3);
-    world.submit(1, definition(vec![step(1)]));
-    let mut stood = BTreeSet::new();
-    while stood.len() < 3 {
-        let (minion, name, run) = world.start_all().remove(0);
+    let mut harness = Harness::new(3);
+    harness.submit(1, definition(vec![step(1)]));
+    let mut stalled_on = BTreeSet::new();
+    while stalled_on.len() < 3 {
+        let (minion, name, run) = harness.start_all().remove(0);
         for _ in 0..2 {
-            world.pass(1600);
+            harness.advance_ms(1600);
             let report = Report {
                 running: vec![running(name, run, 50)],
                 finished: vec![],
                 ..Report::default()
             };
-            world.cell.process_report(&minion, &report, world.now, world.now);
+            harness.cell.process_report(&minion, &report, harness.now, harness.now);
         }
-        assert_eq!(stops(&world.plan()), [(minion.clone(), name, run)]);
-        world.end(&minion, name, run, EndReason::Stopped);
-        stood.insert(minion);
+        assert_eq!(stops(&harness.plan()), [(minion.clone(), name, run)]);
+        harness.report_end(&minion, name, run, EndReason::Stopped);
+        stalled_on.insert(minion);
     }
-    world.submit(2, definition(vec![step(48)]));
-    let used: BTreeSet<_> = world.start_all().into_iter().map(|(minion, ..)| minion).collect();
-    assert_eq!(used.len(), 3, "of three minions {used:?} take work");
+    harness.submit(2, definition(vec![step(48)]));
+    let used: BTreeSet<_> = harness.start_all().into_iter().map(|(minion, ..)| minion).collect();
+    assert_eq!(used.len(), 3, "of three minions, only {used:?} are used");
 }
 
 #[test]
 fn a_start_without_room_waits_for_the_next_report() {
-    let mut world = World::new(1);
-    world.submit(1, definition(vec![step(1)]));
-    let (minion, name, run) = starts(&world.plan()).remove(0);
+    let mut harness = Harness::new(1);
+    harness.submit(1, definition(vec![step(1)]));
+    let (minion, name, run) = starts(&harness.plan()).remove(0);
     let refused = StartResult::Refused(Refusal::NoRoom);
-    world.cell.process_start_result(&minion, &name, run, refused, world.now);
-    assert!(starts(&world.plan()).is_empty());
-    world.pass(200);
-    assert_eq!(starts(&world.plan()).len(), 1);
+    harness.cell.process_start_result(&minion, &name, run, refused, harness.now);
+    assert!(starts(&harness.plan()).is_empty());
+    harness.advance_ms(200);
+    assert_eq!(starts(&harness.plan()).len(), 1);
 }
 
 #[test]
-fn capacity_is_never_exceeded_and_comes_back_with_the_end() {
-    let mut world = World::new(1);
-    world.submit(1, definition(vec![step(17)]));
-    let started = world.start_all();
+fn capacity_is_never_exceeded_and_is_freed_when_a_run_ends() {
+    let mut harness = Harness::new(1);
+    harness.submit(1, definition(vec![step(17)]));
+    let started = harness.start_all();
     assert_eq!(started.len(), 16);
     let (minion, name, run) = &started[0];
-    world.end(minion, *name, *run, EndReason::Done);
-    assert_eq!(starts(&world.plan()).len(), 1);
+    harness.report_end(minion, *name, *run, EndReason::Done);
+    assert_eq!(starts(&harness.plan()).len(), 1);
 }
 
 #[test]
-fn a_lasting_task_is_restarted_however_it_ends() {
-    let mut world = World::new(3);
-    let lasting = Step { lasting: true, may_be_away: Some(1), ..step(1) };
-    world.submit(1, definition(vec![lasting]));
+fn a_long_running_task_is_restarted_however_it_ends() {
+    let mut harness = Harness::new(3);
+    let long_running = Step { long_running: true, max_unavailable: Some(1), ..step(1) };
+    harness.submit(1, definition(vec![long_running]));
     for how in [
         EndReason::Done,
         EndReason::Failed,
@@ -195,105 +195,106 @@
         EndReason::Failed,
         EndReason::Expired,
     ] {
-        let (minion, name, run) = world.start_all().remove(0);
-        world.end(&minion, name, run, how);
-        world.pass(150);
+        let (minion, name, run) = harness.start_all().remove(0);
+        harness.report_end(&minion, name, run, how);
+        harness.advance_ms(150);
     }
-    assert_eq!(world.start_all().len(), 1);
+    assert_eq!(harness.start_all().len(), 1);
 }
 
-/// A machine is due for maintenance and runs a task of a service that may miss one.  Taken away
-/// while another of its tasks is still starting, the service falls below its budget.
+/// Guards against breaking a service's availability budget when machines are emptied for
+/// maintenance.  A task isn't stopped while a moved one of the same service is still starting.
 #[test]
-fn lasting_tasks_leave_one_after_the_other_within_what_may_be_away() {
-    let mut world = World::new(6);
-    let lasting = Step { lasting: true, may_be_away: Some(1), per_minion: Some(1), ..step(3) };
-    world.submit(1, definition(vec![lasting]));
-    let started = world.start_all();
-    let report = |world: &mut World, start: &(std::sync::Arc<str>, _, u32), percent| {
+fn long_running_tasks_are_evacuated_within_max_unavailable() {
+    let mut harness = Harness::new(6);
+    let long_running =
+        Step { long_running: true, max_unavailable: Some(1), max_per_minion: Some(1), ..step(3) };
+    harness.submit(1, definition(vec![long_running]));
+    let started = harness.start_all();
+    let report = |harness: &mut Harness, start: &(std::sync::Arc<str>, _, u32), percent| {
         let running = vec![running(start.1, start.2, percent)];
         let report = Report { running, finished: vec![], ..Report::default() };
-        world.pass(1);
-        world.cell.process_report(&start.0, &report, world.now, world.now);
+        harness.advance_ms(1);
+        harness.cell.process_report(&start.0, &report, harness.now, harness.now);
     };
     for start in &started {
-        report(&mut world, start, 100);
+        report(&mut harness, start, 100);
     }
-    world.cell.set_leaving(&started[0].0, true);
-    world.cell.set_leaving(&started[1].0, true);
-    let first = stops(&world.plan());
+    harness.cell.set_leaving(&started[0].0, true);
+    harness.cell.set_leaving(&started[1].0, true);
+    let first = stops(&harness.plan());
     assert_eq!(first.len(), 1);
     let (minion, name, run) = first[0].clone();
-    world.end(&minion, name, run, EndReason::Stopped);
-    let moved = world.start_all().remove(0);
-    report(&mut world, &moved, 40);
-    assert!(stops(&world.plan()).is_empty(), "the moved one is not at work yet");
-    report(&mut world, &moved, 100);
-    assert_eq!(stops(&world.plan()).len(), 1);
+    harness.report_end(&minion, name, run, EndReason::Stopped);
+    let moved = harness.start_all().remove(0);
+    report(&mut harness, &moved, 40);
+    assert!(stops(&harness.plan()).is_empty(), "the moved one is not fully at work yet");
+    report(&mut harness, &moved, 100);
+    assert_eq!(stops(&harness.plan()).len(), 1);
 }
 
-/// A lasting task lost its minion while a burst of small tasks keeps every core busy.  Each core
-/// that comes free goes to the next small task, and the lasting one, which needs two at once,
-/// stays away for as long as the burst.
+/// Guards against starvation of a long-running task that needs several cores at once.  During a
+/// burst of small tasks, each core that becomes free would go to the next small task.
 #[test]
 fn a_lasting_task_gets_room_although_smaller_tasks_wait_for_it() {
-    let mut world = World::new(1);
-    world.submit(1, definition(vec![step(100)]));
-    let mut active = world.start_all();
+    let mut harness = Harness::new(1);
+    harness.submit(1, definition(vec![step(100)]));
+    let mut active = harness.start_all();
     let need = celerythread_engine::job::Resources { cpu: 3000, memory_mb: 512, gpu: 0 };
-    let lasting = Step { lasting: true, need, ..step(1) };
-    world.submit(2, definition(vec![lasting]));
+    let long_running = Step { long_running: true, need, ..step(1) };
+    harness.submit(2, definition(vec![long_running]));
     for _ in 0..3 {
         let (minion, name, run) = active.remove(0);
-        world.end(&minion, name, run, EndReason::Done);
-        active.extend(world.start_all());
+        harness.report_end(&minion, name, run, EndReason::Done);
+        active.extend(harness.start_all());
     }
     assert!(active.iter().any(|(_, name, _)| name.job == id(2)));
 }
 
-/// A wave empties all minions of a pool but one, which is full.  A lasting task that has failed
-/// finds no room and stays away for as long as the wave, although the minion it ran on has room;
-/// and while it is away its service's other tasks may not leave, so the wave stands still as well.
+/// Guards against a deadlock in a maintenance wave that empties all minions of a pool but one,
+/// which is full.  A long-running task that fails finds no capacity although the minion that it ran
+/// on has some.  While it is unavailable, its service's other tasks may not be stopped, so the wave
+/// stalls as well.
 #[test]
 fn a_lasting_task_returns_to_a_minion_that_is_being_emptied_if_nothing_else_has_room() {
-    let mut world = World::new(2);
+    let mut harness = Harness::new(2);
     let need = celerythread_engine::job::Resources { cpu: 16_000, memory_mb: 512, gpu: 0 };
-    let lasting = Step { lasting: true, may_be_away: Some(1), ..step(2) };
-    world.submit(1, definition(vec![lasting]));
-    let started = world.start_all();
-    let (home, full) = (started[0].0.clone(), World::minion(1));
+    let long_running = Step { long_running: true, max_unavailable: Some(1), ..step(2) };
+    harness.submit(1, definition(vec![long_running]));
+    let started = harness.start_all();
+    let (home, full) = (started[0].0.clone(), Harness::minion(1));
     assert!(started.iter().all(|start| start.0 == home));
-    world.submit(2, definition(vec![Step { need, ..step(1) }]));
-    assert_eq!(world.start_all()[0].0, full);
+    harness.submit(2, definition(vec![Step { need, ..step(1) }]));
+    assert_eq!(harness.start_all()[0].0, full);
 
-    world.cell.set_leaving(&home, true);
-    world.end(&home, started[0].1, started[0].2, EndReason::Failed);
-    progress(&mut world, &started[1..], 100);
-    assert!(world.start_all().is_empty(), "room elsewhere may still come");
-    (0..3).for_each(|_| progress(&mut world, &started[1..], 100));
-    let again = world.start_all();
+    harness.cell.set_leaving(&home, true);
+    harness.report_end(&home, started[0].1, started[0].2, EndReason::Failed);
+    report_progress(&mut harness, &started[1..], 100);
+    assert!(harness.start_all().is_empty(), "room may still become free elsewhere");
+    (0..3).for_each(|_| report_progress(&mut harness, &started[1..], 100));
+    let again = harness.start_all();
     assert_eq!(again[0].0, home);
 
-    // Once empty, it may go down at any moment.
-    world.end(&home, again[0].1, again[0].2, EndReason::Failed);
-    world.end(&home, started[1].1, started[1].2, EndReason::Failed);
-    assert_eq!(world.cell.load(world.now).empty, [home.to_string()]);
-    world.pass(3000);
-    assert!(world.start_all().is_empty());
+    // Once empty, the minion may be shut down at any time.
+    harness.report_end(&home, again[0].1, again[0].2, EndReason::Failed);
+    harness.report_end(&home, started[1].1, started[1].2, EndReason::Failed);
+    assert_eq!(harness.cell.load(harness.now).empty, [home.to_string()]);
+    harness.advance_ms(3000);
+    assert!(harness.start_all().is_empty());
 }
 
-/// The six tasks of a lasting job stand on one minion, because lasting tasks are packed.  With
-/// that minion its users lose the whole service, and before maintenance of it the tasks have to
-/// leave one after the other.
+/// Guards against placing all tasks of a long-running job on one minion, as packing alone would.
+/// Its users would lose the whole service with that minion, and maintenance would have to wait
+/// until the tasks have been moved one by one.
 #[test]
 fn the_tasks_of_a_lasting_job_are_spread() {
-    let mut world = World::new(6);
-    let lasting = Step { lasting: true, ..step(6) };
-    world.submit(1, definition(vec![lasting.clone()]));
-    world.submit(2, definition(vec![lasting]));
-    let started = world.start_all();
+    let mut harness = Harness::new(6);
+    let long_running = Step { long_running: true, ..step(6) };
+    harness.submit(1, definition(vec![long_running.clone()]));
+    harness.submit(2, definition(vec![long_running]));
+    let started = harness.start_all();
     let minions: std::collections::BTreeSet<_> = started.iter().map(|start| &start.0).collect();
-    assert_eq!(minions.len(), 3, "and the second job goes where the first one is");
+    assert_eq!(minions.len(), 3, "the second job uses the minions of the first one");
     for minion in minions {
         for job in [1, 2] {
             let here = started.iter().filter(|s| s.0 == *minion && s.1.job == id(job));
@@ -302,223 +303,227 @@
     }
 }
 
-/// Reports the same progress of runs on their minions, some time after the last report.
-fn progress(
-    world: &mut World,
+/// Reports the same percentage for all `runs` on their minions, 400 ms after the last report.
+fn report_progress(
+    harness: &mut Harness,
     runs: &[(std::sync::Arc<str>, celerythread_engine::job::TaskName, u32)],
     percent: u8,
 ) {
-    world.pass(400);
+    harness.advance_ms(400);
     let minions: std::collections::BTreeSet<_> = runs.iter().map(|run| run.0.clone()).collect();
     for minion in minions {
         let here = runs.iter().filter(|run| run.0 == minion);
         let running = here.map(|(_, name, run)| running(*name, *run, percent)).collect();
         let report = Report { running, finished: vec![], ..Report::default() };
-        world.cell.process_report(&minion, &report, world.now, world.now);
+        harness.cell.process_report(&minion, &report, harness.now, harness.now);
     }
 }
 
-/// One minion works six times as slowly as the others and looks well otherwise.  Every job with
-/// a task there is late by seconds, although begun anew elsewhere it would be done in time.
+/// Guards against a minion that is six times slower than the others but otherwise healthy.  Every
+/// job with a task there would be late by seconds, although a restart elsewhere would complete in
+/// time.
 #[test]
-fn a_task_far_behind_on_a_slow_minion_is_begun_anew_elsewhere() {
-    let mut world = World::new(2);
+fn a_straggler_on_a_slow_minion_is_restarted_elsewhere() {
+    let mut harness = Harness::new(2);
     for job in 1..=2 {
-        world.submit(job, definition(vec![Step { estimate_ms: 1000, ..step(1) }]));
+        harness.submit(job, definition(vec![Step { estimate_ms: 1000, ..step(1) }]));
     }
-    let started = world.start_all();
+    let started = harness.start_all();
     assert_eq!(started[0].0, started[1].0, "both on one minion");
     for percent in [5, 10, 14] {
-        progress(&mut world, &started, percent);
+        report_progress(&mut harness, &started, percent);
     }
-    assert_eq!(stops(&world.plan()).len(), 2);
+    assert_eq!(stops(&harness.plan()).len(), 2);
     let (minion, name, run) = started[0].clone();
-    world.end(&minion, name, run, EndReason::Stopped);
-    let again = starts(&world.plan());
+    harness.report_end(&minion, name, run, EndReason::Stopped);
+    let again = starts(&harness.plan());
     assert_eq!(again[0].1, name);
     assert_ne!(again[0].0, minion);
 }
 
-/// A job's estimate is a sixth of what its tasks take.  They look slow wherever they run; begun
-/// anew each time, they would never be done, and their caller would wait for ever.
+/// Guards against restarting the tasks of a job forever because its estimate is a sixth of their
+/// real duration and they look slow wherever they run.
 #[test]
 fn a_job_with_a_wrong_estimate_is_left_to_finish() {
-    let mut world = World::new(3);
-    world.submit(1, definition(vec![Step { estimate_ms: 1000, ..step(20) }]));
-    let started = world.start_all();
+    let mut harness = Harness::new(3);
+    harness.submit(1, definition(vec![Step { estimate_ms: 1000, ..step(20) }]));
+    let started = harness.start_all();
     for percent in [5, 10, 14, 20] {
-        progress(&mut world, &started, percent);
-        assert!(stops(&world.plan()).is_empty());
+        report_progress(&mut harness, &started, percent);
+        assert!(stops(&harness.plan()).is_empty());
     }
 }
 
 #[test]
 fn a_task_is_begun_anew_once_at_most() {
-    let mut world = World::new(3);
+    let mut harness = Harness::new(3);
     for job in 1..=2 {
-        world.submit(job, definition(vec![Step { estimate_ms: 1000, ..step(1) }]));
+        harness.submit(job, definition(vec![Step { estimate_ms: 1000, ..step(1) }]));
     }
-    let mut started = world.start_all();
+    let mut started = harness.start_all();
     let mut stopped = 0;
     for _ in 0..4 {
         for percent in [5, 10, 14] {
-            progress(&mut world, &started, percent);
+            report_progress(&mut harness, &started, percent);
         }
-        let orders = stops(&world.plan());
+        let orders = stops(&harness.plan());
         stopped += orders.len();
         for (minion, name, run) in orders {
-            world.end(&minion, name, run, EndReason::Stopped);
+            harness.report_end(&minion, name, run, EndReason::Stopped);
             started.retain(|start| start.1 != name);
         }
-        started.extend(world.start_all());
+        started.extend(harness.start_all());
     }
     assert_eq!(stopped, 2, "each task once");
 }
 
 #[test]
-fn a_task_in_time_is_left_where_it_is() {
-    let mut world = World::new(2);
-    world.submit(1, definition(vec![Step { estimate_ms: 1000, ..step(1) }]));
-    let (minion, name, run) = world.start_all().remove(0);
+fn a_task_on_schedule_is_not_moved() {
+    let mut harness = Harness::new(2);
+    harness.submit(1, definition(vec![Step { estimate_ms: 1000, ..step(1) }]));
+    let (minion, name, run) = harness.start_all().remove(0);
     for percent in [20, 40, 60] {
-        world.pass(400);
+        harness.advance_ms(400);
         let report = Report {
             running: vec![running(name, run, percent)],
             finished: vec![],
             ..Report::default()
         };
-        world.cell.process_report(&minion, &report, world.now, world.now);
-        assert!(world.plan().is_empty());
+        harness.cell.process_report(&minion, &report, harness.now, harness.now);
+        assert!(harness.plan().is_empty());
     }
 }
 
-/// A job is never done, though its minions idle.  A run whose start was carried out late was found where
-/// it had been given up, after a newer run had failed elsewhere; when it ended, its end was taken for that
-/// of an older run, and the task counted as placed for ever.
+/// Guards against a task that counts as placed forever, although its minions are idle.  A start was
+/// executed late, after its run had been given up and a newer run had failed elsewhere.  When the
+/// late run ended, its end was ignored as that of an older run.
 #[test]
 fn the_end_of_a_late_run_lets_its_task_start_again() {
-    let mut world = World::new(2);
-    world.submit(1, definition(vec![step(1)]));
-    let (first, name, run) = world.start_all().remove(0);
-    world.cell.record_missed_answer(&first, world.now);
-    let (second, _, newer) = world.start_all().remove(0);
+    let mut harness = Harness::new(2);
+    harness.submit(1, definition(vec![step(1)]));
+    let (first, name, run) = harness.start_all().remove(0);
+    harness.cell.record_missed_answer(&first, harness.now);
+    let (second, _, newer) = harness.start_all().remove(0);
     assert!(second != first && newer > run);
-    world.end(&second, name, newer, EndReason::Failed);
-    let number = (0..2).find(|number| World::minion(*number) == first).expect("one of two");
-    world.answer(number, Report { running: vec![running(name, run, 10)], ..Report::default() });
-    assert_eq!(starts(&world.plan()), [], "it runs");
-    world.end(&first, name, run, EndReason::Stopped);
-    let again = world.start_all();
+    harness.report_end(&second, name, newer, EndReason::Failed);
+    let number = (0..2).find(|number| Harness::minion(*number) == first).expect("one of two");
+    harness.answer(number, Report { running: vec![running(name, run, 10)], ..Report::default() });
+    assert_eq!(starts(&harness.plan()), [], "the late one still runs");
+    harness.report_end(&first, name, run, EndReason::Stopped);
+    let again = harness.start_all();
     assert!(again.iter().any(|(_, task, number)| *task == name && *number > newer), "{again:?}");
 }
 
-/// The same, when the late run's lease lapses and no end of it is ever listed.
+/// As above, but the late run's lease expires and its end is never reported.
 #[test]
 fn a_late_run_that_lapses_lets_its_task_start_again() {
-    let mut world = World::new(2);
-    world.submit(1, definition(vec![step(1)]));
-    let (first, name, run) = world.start_all().remove(0);
-    world.cell.record_missed_answer(&first, world.now);
-    let (second, _, newer) = world.start_all().remove(0);
-    world.end(&second, name, newer, EndReason::Failed);
-    let number = (0..2).find(|number| World::minion(*number) == first).expect("one of two");
-    world.answer(number, Report { running: vec![running(name, run, 10)], ..Report::default() });
-    world.cell.record_missed_answer(&first, world.now);
-    let again = starts(&world.plan_kept());
+    let mut harness = Harness::new(2);
+    harness.submit(1, definition(vec![step(1)]));
+    let (first, name, run) = harness.start_all().remove(0);
+    harness.cell.record_missed_answer(&first, harness.now);
+    let (second, _, newer) = harness.start_all().remove(0);
+    harness.report_end(&second, name, newer, EndReason::Failed);
+    let number = (0..2).find(|number| Harness::minion(*number) == first).expect("one of two");
+    harness.answer(number, Report { running: vec![running(name, run, 10)], ..Report::default() });
+    harness.cell.record_missed_answer(&first, harness.now);
+    let again = starts(&harness.plan_and_store());
     assert!(again.iter().any(|(_, task, number)| *task == name && *number > newer), "{again:?}");
 }
 
-/// A caller's job stands still while minions idle, and no line tells why.  Its task would fit, but each
-/// minion is kept from it by another guard.
+/// A job that makes no progress while minions are idle is reported for the log, with the reason for
+/// each minion.  Here its task fits on every minion, but a different condition excludes each of
+/// them.
 #[test]
-fn a_job_that_could_run_and_does_not_is_noted_with_what_keeps_it() {
-    let mut world = World::new(3);
-    world.cell.set_leaving(&World::minion(0), true);
-    world.cell.record_missed_answer(&World::minion(1), world.now);
-    world.cell.mark_unlisted(&World::minion(2));
-    world.submit(1, definition(vec![step(1)]));
-    world.plan();
-    world.pass(1100);
-    world.plan();
-    let notes = world.cell.take_events();
+fn an_idle_job_is_reported_with_its_blockers() {
+    let mut harness = Harness::new(3);
+    harness.cell.set_leaving(&Harness::minion(0), true);
+    harness.cell.record_missed_answer(&Harness::minion(1), harness.now);
+    harness.cell.mark_unlisted(&Harness::minion(2));
+    harness.submit(1, definition(vec![step(1)]));
+    harness.plan();
+    harness.advance_ms(1100);
+    harness.plan();
+    let notes = harness.cell.take_events();
     let idle = notes.iter().find_map(|note| match note {
-        Event::Idle { task, placed: None, blockers: guards } => Some((*task, guards.clone())),
+        Event::Idle { task, placed: None, blockers } => Some((*task, blockers.clone())),
         _ => None,
     });
-    let (name, guards) = idle.expect("is noted");
+    let (name, blockers) = idle.expect("the idle job");
     assert_eq!(name, task(1, 0, 0));
-    let said: Vec<Blocker> = guards.into_iter().map(|(_, guard)| guard).collect();
-    assert_eq!(said, [Blocker::Leaving, Blocker::Unreachable, Blocker::Unlisted]);
-    world.plan();
-    assert_eq!(world.cell.take_events(), [], "once a second at most");
+    let reasons: Vec<Blocker> = blockers.into_iter().map(|(_, guard)| guard).collect();
+    assert_eq!(reasons, [Blocker::Leaving, Blocker::Unreachable, Blocker::Unlisted]);
+    harness.plan();
+    assert_eq!(harness.cell.take_events(), [], "once a second at most");
 }
 
-/// A job is never done where minions stop runs within 0.2 s: a start isn't answered, its stop is confirmed,
-/// and the next look at the idle minion, which would show that nothing runs, is due a second later.  Before
-/// that the stop was ordered again, and its confirmation forgotten, again and again.
+/// Guards against ordering a confirmed stop again and again with a stop timeout of 0.2 s.  A start
+/// isn't answered and its stop is confirmed, but the next poll of the idle minion, which shows that
+/// nothing runs, is due a second later.  Each new order discarded the confirmation, so the job
+/// never completed.
 #[test]
 fn a_confirmed_stop_stays_confirmed_until_the_next_look() {
     let settings = Settings { stop_timeout: Duration::from_millis(200), ..Settings::default() };
-    let mut world = World::with_cell(Cell::new(settings, 0, None), 1);
-    world.submit(1, definition(vec![step(1)]));
-    let (minion, name, run) = starts(&world.plan()).remove(0);
-    world.cell.process_start_result(&minion, &name, run, StartResult::Unknown, world.now);
-    // No look is answered either, so the stop is sent unseen.
-    world.pass(900);
+    let mut harness = Harness::with_cell(Cell::new(settings, 0, None), 1);
+    harness.submit(1, definition(vec![step(1)]));
+    let (minion, name, run) = starts(&harness.plan()).remove(0);
+    harness.cell.process_start_result(&minion, &name, run, StartResult::Unknown, harness.now);
+    // No poll is answered either, so the stop is sent without knowing whether the task runs.
+    harness.advance_ms(900);
     for _ in 0..4 {
-        if !stops(&world.plan()).is_empty() {
-            world.cell.confirm_stop(&minion, &name, run, world.now);
+        if !stops(&harness.plan()).is_empty() {
+            harness.cell.confirm_stop(&minion, &name, run, harness.now);
         }
-        world.pass(500);
-        world.plan();
+        harness.advance_ms(500);
+        harness.plan();
     }
-    world.answer(0, Report::default());
-    assert_eq!(starts(&world.plan()).len(), 1, "the run never began and never will");
+    harness.answer(0, Report::default());
+    assert_eq!(starts(&harness.plan()).len(), 1, "the run never began and never will");
 }
 
-/// A minion carries a start out and only its answer is lost.  Stopped unseen, the work was thrown away, and
-/// the users of a lasting task lost it while others of its step were away.
+/// Guards against stopping a run when only the answer to its start was lost.  The work done was
+/// discarded, and a long-running task was stopped while others of its step were unavailable.
 #[test]
 fn a_run_whose_start_was_not_answered_goes_on_if_its_minion_lists_it() {
-    let mut world = World::new(2);
-    world.submit(1, definition(vec![step(1)]));
-    let (minion, name, run) = starts(&world.plan()).remove(0);
-    world.pass(300);
-    world.cell.process_start_result(&minion, &name, run, StartResult::Unknown, world.now);
+    let mut harness = Harness::new(2);
+    harness.submit(1, definition(vec![step(1)]));
+    let (minion, name, run) = starts(&harness.plan()).remove(0);
+    harness.advance_ms(300);
+    harness.cell.process_start_result(&minion, &name, run, StartResult::Unknown, harness.now);
     let report = Report { running: vec![running(name, run, 10)], ..Report::default() };
-    world.cell.process_report(&minion, &report, world.now, world.now);
-    world.pass(1000);
-    assert!(world.plan().is_empty());
-    let end = world.end(&minion, name, run, EndReason::Done);
+    harness.cell.process_report(&minion, &report, harness.now, harness.now);
+    harness.advance_ms(1000);
+    assert!(harness.plan().is_empty());
+    let end = harness.report_end(&minion, name, run, EndReason::Done);
     assert_eq!(end, 1);
-    world.keep();
-    assert_eq!(world.cell.state(&id(1)), Some(State::Completed));
+    harness.store_progress();
+    assert_eq!(harness.cell.state(&id(1)), Some(State::Completed));
 }
 
-/// The same, and the minion answers no look: the stop is sent unseen, so that the task isn't held back
-/// until the lease lapses.
+/// As above, but the minion answers no poll.  The stop is sent without knowing whether the task
+/// runs, so that the task doesn't have to wait until the lease expires.
 #[test]
 fn an_unanswered_start_is_stopped_unseen_when_no_look_is_answered() {
-    let mut world = World::new(2);
-    world.submit(1, definition(vec![step(1)]));
-    let (minion, name, run) = starts(&world.plan()).remove(0);
-    world.cell.process_start_result(&minion, &name, run, StartResult::Unknown, world.now);
-    world.pass(800);
-    assert!(stops(&world.plan()).is_empty());
-    world.pass(100);
-    assert_eq!(stops(&world.plan()), [(minion, name, run)]);
+    let mut harness = Harness::new(2);
+    harness.submit(1, definition(vec![step(1)]));
+    let (minion, name, run) = starts(&harness.plan()).remove(0);
+    harness.cell.process_start_result(&minion, &name, run, StartResult::Unknown, harness.now);
+    harness.advance_ms(800);
+    assert!(stops(&harness.plan()).is_empty());
+    harness.advance_ms(100);
+    assert_eq!(stops(&harness.plan()), [(minion, name, run)]);
 }
 
-/// An owner is late with its looks for three seconds, and a task went on all the while.  Taken for hanging
-/// by the age of the last news, it was stopped, and its minion left out.
+/// Guards against treating a run as stalled because its owner was three seconds late with its
+/// polls.  Judged by the age of the last report, a task that made progress was stopped and its
+/// minion was quarantined.
 #[test]
 fn a_run_without_news_is_not_taken_for_one_that_stands_still() {
-    let mut world = World::new(1);
-    world.submit(1, definition(vec![Step { estimate_ms: 600, ..step(1) }]));
-    let (minion, name, run) = world.start_all().remove(0);
-    world.pass(3000);
-    assert!(stops(&world.plan()).is_empty());
+    let mut harness = Harness::new(1);
+    harness.submit(1, definition(vec![Step { estimate_ms: 600, ..step(1) }]));
+    let (minion, name, run) = harness.start_all().remove(0);
+    harness.advance_ms(3000);
+    assert!(stops(&harness.plan()).is_empty());
     let report = Report { running: vec![running(name, run, 50)], ..Report::default() };
-    world.cell.process_report(&minion, &report, world.now, world.now);
-    assert!(stops(&world.plan()).is_empty());
+    harness.cell.process_report(&minion, &report, harness.now, harness.now);
+    assert!(stops(&harness.plan()).is_empty());
 }
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -67,26 +67,26 @@
     let mut peers = choose_peers(node).into_iter();
     loop {
         let attempt = Attempt {
-            waited: clock::now().since(began),
-            left: job.deadline.since(clock::now()),
-            silent: node.is_outage_ongoing(),
+            elapsed: clock::now().since(began),
+            remaining: job.deadline.since(clock::now()),
+            is_store_unresponsive: node.is_outage_ongoing(),
             has_peers: peers.len() > 0,
             unanswered,
         };
-        if attempt.is_over() {
+        if attempt.should_give_up() {
             return if unanswered { WriteOutcome::Unknown } else { WriteOutcome::Refused(refusal) };
         }
         // While the store does not answer this entry, peers are tried first to save time.
-        let peer = if attempt.silent { peers.next() } else { None };
+        let peer = if attempt.is_store_unresponsive { peers.next() } else { None };
         let outcome = match peer {
             Some(peer) => write_through_peer(node, peer, job).await,
-            None if attempt.silent => {
+            None if attempt.is_store_unresponsive => {
                 refusal = Error::Refused { reason: "the store is unavailable".into() };
                 async_std::task::sleep(STORE_POLL_INTERVAL.min(job.deadline.since(clock::now())))
                     .await;
                 continue;
             }
-            None => write_directly(node, job, attempt.write_limit()).await,
+            None => write_directly(node, job, attempt.write_timeout()).await,
         };
         match outcome {
             WriteOutcome::Accepted(_) => return outcome,
