--- a/crates/engine/src/maintenance.rs
+++ b/crates/engine/src/maintenance.rs
@@ -22,12 +22,16 @@
     /// the list.
     pub list_lag: Duration,
     /// Machines emptied ahead, beyond those that may be down at once.
-    pub ahead: usize,
+    pub extra_emptying: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Self { duration: Duration::from_secs(2), list_lag: Duration::from_millis(1500), ahead: 2 }
+        Self {
+            duration: Duration::from_secs(2),
+            list_lag: Duration::from_millis(1500),
+            extra_emptying: 2,
+        }
     }
 }
 
@@ -76,15 +80,15 @@
 impl Wave {
     fn window(&self, wall_ms: u64) -> Window {
         Window {
-            whole: Duration::from_millis(self.window_ms),
-            passed: Duration::from_millis(wall_ms.saturating_sub(self.seen_ms)),
+            total: Duration::from_millis(self.window_ms),
+            elapsed: Duration::from_millis(wall_ms.saturating_sub(self.seen_ms)),
         }
     }
 }
 
 /// What to do next.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum Action {
     /// Ask the owner of a machine's minion to empty it.
     Empty {
         /// The machine.
@@ -112,14 +116,14 @@
     settings: Settings,
     waves: BTreeMap<u64, Wave>,
     /// When each machine's maintenance was last ordered by this holder.
-    ordered: BTreeMap<String, Time>,
+    ordered_at: BTreeMap<String, Time>,
     /// Machines that this holder has asked to be emptied, and since when.
-    emptying: BTreeMap<String, Time>,
+    emptying_since: BTreeMap<String, Time>,
     pace: Pace,
 }
 
 /// What a plan goes by.
-struct Seen<'a> {
+struct Snapshot<'a> {
     machines: &'a BTreeMap<String, Machine>,
     /// Minions asked to be emptied.
     emptying: &'a BTreeSet<String>,
@@ -130,7 +134,7 @@
 
 /// How far a wave is, for the log and for operators.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Extent {
+pub struct Progress {
     /// Machines whose maintenance has not begun.
     pub left: usize,
     /// Machines that are being emptied.
@@ -146,7 +150,7 @@
     }
 
     /// Takes in a wave; one that is known stays as it is.
-    pub fn add(&mut self, number: u64, wave: Wave) {
+    pub fn add_wave(&mut self, number: u64, wave: Wave) {
         self.waves.entry(number).or_insert(wave);
     }
 
@@ -156,41 +160,41 @@
     }
 
     /// The numbers of the waves that are not completed.
-    pub fn open(&self) -> impl Iterator<Item = u64> {
+    pub fn open_waves(&self) -> impl Iterator<Item = u64> {
         self.waves.iter().filter(|(_, wave)| !wave.completed).map(|(number, _)| *number)
     }
 
     /// Whether any wave is not completed.
-    pub fn is_busy(&self) -> bool {
-        self.open().next().is_some()
+    pub fn has_open_waves(&self) -> bool {
+        self.open_waves().next().is_some()
     }
 
     /// Notes that a machine's maintenance was ordered, whether it is answered or not.
-    pub fn ordered(&mut self, machine: &str, now: Time) {
-        self.ordered.insert(machine.into(), now);
+    pub fn record_order(&mut self, machine: &str, now: Time) {
+        self.ordered_at.insert(machine.into(), now);
     }
 
     /// Notes that an order was refused before anything was done, so that it can be given again at once.
     ///
     /// Taken for one that may have been carried out, it kept its machine emptied and its place among
     /// those that may be down for seconds; a rate limit hits dozens of machines at a time.
-    pub fn put_off(&mut self, machine: &str) {
-        self.ordered.remove(machine);
+    pub fn record_refusal(&mut self, machine: &str) {
+        self.ordered_at.remove(machine);
     }
 
     /// Notes that a machine's maintenance has begun.
-    pub fn begun(&mut self, number: u64, machine: &str) {
+    pub fn record_start(&mut self, number: u64, machine: &str) {
         if let Some(wave) = self.waves.get_mut(&number) {
             wave.begun.insert(machine.into());
         }
-        let asked = self.emptying.remove(machine);
-        if let (Some(asked), Some(ordered)) = (asked, self.ordered.get(machine)) {
+        let asked = self.emptying_since.remove(machine);
+        if let (Some(asked), Some(ordered)) = (asked, self.ordered_at.get(machine)) {
             self.pace.observe(ordered.since(asked));
         }
     }
 
     /// Notes that a wave was reported as completed.
-    pub fn completed(&mut self, number: u64) {
+    pub fn record_completion(&mut self, number: u64) {
         if let Some(wave) = self.waves.get_mut(&number) {
             wave.completed = true;
         }
@@ -198,17 +202,22 @@
 
     /// Whether a machine must not go to another pool just now: it is about to go down.
     pub fn is_emptying(&self, machine: &str) -> bool {
-        self.emptying.contains_key(machine)
+        self.emptying_since.contains_key(machine)
     }
 
     /// Notes that a machine could not be asked to empty, so that it is chosen again.
-    pub fn not_asked(&mut self, machine: &str) {
-        self.emptying.remove(machine);
+    pub fn cancel_emptying(&mut self, machine: &str) {
+        self.emptying_since.remove(machine);
     }
 
     /// How far a wave is.
-    pub fn extent(&self, number: u64, machines: &BTreeMap<String, Machine>, now: Time) -> Extent {
-        let Some(wave) = self.waves.get(&number) else { return Extent::default() };
+    pub fn progress(
+        &self,
+        number: u64,
+        machines: &BTreeMap<String, Machine>,
+        now: Time,
+    ) -> Progress {
+        let Some(wave) = self.waves.get(&number) else { return Progress::default() };
         let open = wave.machines.iter().filter(|name| !wave.begun.contains(*name));
         let listed = open.filter(|name| machines.contains_key(*name));
         let (mut left, mut emptying) = (0, 0);
@@ -216,7 +225,7 @@
             left += 1;
             emptying += usize::from(self.is_emptying(name));
         }
-        Extent { left, emptying, down: self.down(wave, machines, now) }
+        Progress { left, emptying, down: self.down_count(wave, machines, now) }
     }
 
     /// What to do next.
@@ -231,124 +240,126 @@
         empty: &BTreeSet<String>,
         now: Time,
         wall_ms: u64,
-    ) -> Vec<Step> {
-        let seen = Seen { machines, emptying, empty, now };
-        let mut steps = Vec::new();
+    ) -> Vec<Action> {
+        let snapshot = Snapshot { machines, emptying, empty, now };
+        let mut actions = Vec::new();
         for (number, wave) in self.waves.iter().filter(|(_, wave)| !wave.completed) {
-            self.plan_wave(*number, wave, &seen, wall_ms, &mut steps);
+            self.plan_wave(*number, wave, &snapshot, wall_ms, &mut actions);
         }
-        for step in &steps {
-            if let Step::Empty { machine, .. } | Step::Begin { machine, .. } = step {
-                self.emptying.entry(machine.clone()).or_insert(now);
+        for action in &actions {
+            if let Action::Empty { machine, .. } | Action::Begin { machine, .. } = action {
+                self.emptying_since.entry(machine.clone()).or_insert(now);
             }
         }
-        steps
+        actions
     }
 
     fn plan_wave(
         &self,
         number: u64,
         wave: &Wave,
-        seen: &Seen<'_>,
+        snapshot: &Snapshot<'_>,
         wall_ms: u64,
-        steps: &mut Vec<Step>,
+        actions: &mut Vec<Action>,
     ) {
         // One that the platform no longer has won't come back: nothing is owed for it.
         let open = wave.machines.iter().filter(|name| !wave.begun.contains(*name));
-        let open = open.filter_map(|name| Some((name, seen.machines.get(name)?)));
+        let open = open.filter_map(|name| Some((name, snapshot.machines.get(name)?)));
         let open: Vec<(&String, &Machine)> = open.collect();
-        if open.is_empty() && !seen.machines.is_empty() {
-            steps.push(Step::Complete { wave: number });
+        if open.is_empty() && !snapshot.machines.is_empty() {
+            actions.push(Action::Complete { wave: number });
         }
-        let down = self.down(wave, seen.machines, seen.now);
+        let down = self.down_count(wave, snapshot.machines, snapshot.now);
         let mut room = wave.at_once.saturating_sub(down);
-        let mut under_way = down;
+        let mut in_use = down;
         let mut candidates = Vec::new();
         for (name, machine) in open.iter().filter(|(_, machine)| machine.up) {
             let minion = machine.minion.as_ref();
             // Empty by chance isn't enough: the next task may be on its way there.
-            let ready = minion
-                .is_none_or(|minion| seen.emptying.contains(minion) && seen.empty.contains(minion));
-            if ready && room > 0 && !self.is_fresh(name, seen.now) {
+            let ready = minion.is_none_or(|minion| {
+                snapshot.emptying.contains(minion) && snapshot.empty.contains(minion)
+            });
+            if ready && room > 0 && !self.is_order_recent(name, snapshot.now) {
                 room -= 1;
-                under_way += 1;
-                steps.push(Step::Begin { machine: (*name).clone(), wave: number });
+                in_use += 1;
+                actions.push(Action::Begin { machine: (*name).clone(), wave: number });
             } else if let Some(minion) = minion {
-                if seen.emptying.contains(minion) {
-                    under_way += 1;
+                if snapshot.emptying.contains(minion) {
+                    in_use += 1;
                 } else {
                     candidates.push((machine.occupation, *name, minion));
                 }
             }
         }
-        let most = wave.at_once + self.settings.ahead;
+        let max = wave.at_once + self.settings.extra_emptying;
         let down_time = self.settings.duration + self.settings.list_lag;
-        let paced = self.pace.under_way(open.len(), wave.window(wall_ms), down_time);
+        let paced = self.pace.out_of_service_target(open.len(), wave.window(wall_ms), down_time);
         candidates.sort();
-        let places = Places { most, paced: paced.unwrap_or(most).min(most), under_way };
-        for (machine, minion) in places.fill(&candidates) {
-            steps.push(Step::Empty { machine: machine.into(), minion: minion.into() });
+        let slots = Slots { max, paced_max: paced.unwrap_or(max).min(max), in_use };
+        for (machine, minion) in slots.choose(&candidates) {
+            actions.push(Action::Empty { machine: machine.into(), minion: minion.into() });
         }
     }
 
     /// Whether an order for a machine is too fresh for the list to show.
-    fn is_fresh(&self, machine: &str, now: Time) -> bool {
-        let fresh = self.settings.duration + self.settings.list_lag;
-        self.ordered.get(machine).is_some_and(|at| now.since(*at) < fresh)
+    fn is_order_recent(&self, machine: &str, now: Time) -> bool {
+        let list_delay = self.settings.duration + self.settings.list_lag;
+        self.ordered_at.get(machine).is_some_and(|at| now.since(*at) < list_delay)
     }
 
     /// Machines of a wave that are, or may be, down for it.
-    fn down(&self, wave: &Wave, machines: &BTreeMap<String, Machine>, now: Time) -> usize {
+    fn down_count(&self, wave: &Wave, machines: &BTreeMap<String, Machine>, now: Time) -> usize {
         let down = |name: &&String| {
             let listed = machines.get(*name).is_some_and(|machine| machine.in_maintenance);
-            listed || self.is_fresh(name, now)
+            listed || self.is_order_recent(name, now)
         };
         wave.machines.iter().filter(down).count()
     }
 }
 
-/// Places for machines that are to be emptied.
-struct Places {
+/// Slots for machines that are to be emptied.
+struct Slots {
     /// Most that may be emptying or down.
-    most: usize,
+    max: usize,
     /// The same for machines whose absence costs something.
-    paced: usize,
+    paced_max: usize,
     /// Those that are.
-    under_way: usize,
+    in_use: usize,
 }
 
-impl Places {
+impl Slots {
     /// Chooses among candidates in the order of what their absence costs.
     ///
     /// Machines that idle go as far as is allowed.  Of the rest every other one has lasting tasks:
     /// those leave within what their steps may miss, so they take long and must begin early, but all
     /// places given to them would stand still together.
-    fn fill<'a>(
+    fn choose<'a>(
         mut self,
         candidates: &[(Occupation, &'a String, &'a String)],
     ) -> Vec<(&'a str, &'a str)> {
-        let of = |wanted: fn(Occupation) -> bool| {
+        let with_occupation = |wanted: fn(Occupation) -> bool| {
             candidates
                 .iter()
                 .filter(move |(occupation, ..)| wanted(*occupation))
                 .map(|(_, machine, minion)| (machine.as_str(), minion.as_str()))
         };
-        let free = self.most.saturating_sub(self.under_way);
-        let mut chosen: Vec<_> = of(|one| one == Occupation::Idle).take(free).collect();
-        self.under_way += chosen.len();
-        let mut lasting = of(|one| one == Occupation::Lasting);
-        let mut working = of(|one| matches!(one, Occupation::Working(_)));
-        let mut turn = false;
-        while self.under_way < self.paced {
-            turn = !turn;
-            let next = if turn {
+        let free = self.max.saturating_sub(self.in_use);
+        let mut chosen: Vec<_> =
+            with_occupation(|one| one == Occupation::Idle).take(free).collect();
+        self.in_use += chosen.len();
+        let mut lasting = with_occupation(|one| one == Occupation::Lasting);
+        let mut working = with_occupation(|one| matches!(one, Occupation::Working(_)));
+        let mut is_lasting_next = false;
+        while self.in_use < self.paced_max {
+            is_lasting_next = !is_lasting_next;
+            let next = if is_lasting_next {
                 lasting.next().or_else(|| working.next())
             } else {
                 working.next().or_else(|| lasting.next())
             };
             let Some(next) = next else { break };
             chosen.push(next);
-            self.under_way += 1;
+            self.in_use += 1;
         }
         chosen
     }
--- a/crates/engine/src/outage.rs
+++ b/crates/engine/src/outage.rs
@@ -13,47 +13,47 @@
 
 /// Calls in a row that brought nothing, from which on the service counts as away.  One that turns away
 /// half of its calls shows four in a row once in sixteen, and is asked again some 100 ms later.
-const LEAST_FAILURES: u32 = 4;
+const MIN_FAILURES: u32 = 4;
 
 /// See [`Outage::is_likely`]: one failure is most often a single lost answer.
-const LIKELY_FAILURES: u32 = 2;
+const SUSPECTED_FAILURES: u32 = 2;
 
 /// The least time without an answer: a few round trips, so that one lost connection with several calls
 /// on it isn't an outage.
-const LEAST_SILENCE: Duration = Duration::from_millis(100);
+const MIN_SILENCE: Duration = Duration::from_millis(100);
 
 /// What the calls to a service showed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outage {
     /// Calls in a row that brought nothing.
-    failures: u32,
+    consecutive_failures: u32,
     /// When it answered last.
-    answered: Time,
+    last_answer: Time,
     /// Whether it was away when a call was last taken in.
-    was_on: bool,
+    was_ongoing: bool,
 }
 
 impl Outage {
     /// Takes in that a call was answered, or that it brought nothing; true if the service is away since,
     /// or back.
-    pub fn note(&mut self, answered: bool, now: Time) -> bool {
+    pub fn record(&mut self, answered: bool, now: Time) -> bool {
         if answered {
-            (self.failures, self.answered) = (0, now);
+            (self.consecutive_failures, self.last_answer) = (0, now);
         } else {
-            self.failures = self.failures.saturating_add(1);
+            self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         }
-        let is_on = self.is_on(now);
-        std::mem::replace(&mut self.was_on, is_on) != is_on
+        let is_ongoing = self.is_ongoing(now);
+        std::mem::replace(&mut self.was_ongoing, is_ongoing) != is_ongoing
     }
 
     /// Whether the last calls brought nothing, so that it may be away.  An entry that only helps another
     /// one doesn't try then: what it sends might be neither done nor given back.
-    pub fn is_likely(&self) -> bool {
-        self.failures >= LIKELY_FAILURES
+    pub fn is_suspected(&self) -> bool {
+        self.consecutive_failures >= SUSPECTED_FAILURES
     }
 
     /// Whether the service is away, as far as is known.
-    pub fn is_on(&self, now: Time) -> bool {
-        self.failures >= LEAST_FAILURES && now.since(self.answered) >= LEAST_SILENCE
+    pub fn is_ongoing(&self, now: Time) -> bool {
+        self.consecutive_failures >= MIN_FAILURES && now.since(self.last_answer) >= MIN_SILENCE
     }
 }
--- a/crates/engine/tests/all/maintenance.rs
+++ b/crates/engine/tests/all/maintenance.rs
@@ -1,6 +1,6 @@
 //! Maintenance waves.
 
-use celerythread_engine::maintenance::{Machine, Occupation, Planner, Settings, Step, Wave};
+use celerythread_engine::maintenance::{Action, Machine, Occupation, Planner, Settings, Wave};
 use celerythread_engine::time::Time;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,15 +20,15 @@
 fn planner(count: usize, at_once: usize) -> Planner {
     let mut planner = Planner::new(Settings::default());
     let machines = (0..count).map(|number| format!("machine-{number}")).collect();
-    planner.add(1, Wave { machines, at_once, ..Wave::default() });
+    planner.add_wave(1, Wave { machines, at_once, ..Wave::default() });
     planner
 }
 
-fn begins(steps: &[Step]) -> Vec<String> {
+fn begins(steps: &[Action]) -> Vec<String> {
     steps
         .iter()
         .filter_map(|step| match step {
-            Step::Begin { machine, .. } => Some(machine.clone()),
+            Action::Begin { machine, .. } => Some(machine.clone()),
             _ => None,
         })
         .collect()
@@ -58,18 +58,18 @@
         let empty = emptying.clone();
         for step in planner.plan(&machines, &emptying, &empty, now, 0) {
             match step {
-                Step::Empty { minion, .. } => drop(emptying.insert(minion)),
-                Step::Begin { machine, wave } => {
-                    planner.ordered(&machine, now);
-                    planner.begun(wave, &machine);
+                Action::Empty { minion, .. } => drop(emptying.insert(minion)),
+                Action::Begin { machine, wave } => {
+                    planner.record_order(&machine, now);
+                    planner.record_start(wave, &machine);
                     machines.insert(
                         machine.clone(),
                         Machine { in_maintenance: true, ..Machine::default() },
                     );
                     down.insert(machine, now);
                 }
-                Step::Complete { wave } => {
-                    planner.completed(wave);
+                Action::Complete { wave } => {
+                    planner.record_completion(wave);
                     completed = true;
                 }
             }
@@ -90,7 +90,7 @@
     let all: BTreeSet<String> = (0..4).map(|number| format!("minion-{number}")).collect();
     let first = begins(&planner.plan(&machines, &all, &all, Time(0), 0));
     assert_eq!(first.len(), 1);
-    planner.ordered(&first[0], Time(0));
+    planner.record_order(&first[0], Time(0));
     assert!(begins(&planner.plan(&machines, &all, &all, Time(300), 0)).is_empty());
 }
 
@@ -111,7 +111,7 @@
     let mut other = machines(2);
     other.remove("machine-0");
     let steps = planner.plan(&other, &BTreeSet::new(), &BTreeSet::new(), Time(0), 0);
-    assert_eq!(steps, [Step::Complete { wave: 1 }]);
+    assert_eq!(steps, [Action::Complete { wave: 1 }]);
 }
 
 /// A fleet in a wave, played by steps of a tenth of a second: a machine empties in the time that its work
@@ -131,7 +131,7 @@
     fn new(count: usize, at_once: usize, window_ms: u64) -> Self {
         let mut planner = Planner::new(Settings::default());
         let names = (0..count).map(|number| format!("machine-{number}")).collect();
-        planner.add(1, Wave { machines: names, at_once, window_ms, ..Wave::default() });
+        planner.add_wave(1, Wave { machines: names, at_once, window_ms, ..Wave::default() });
         Self {
             planner,
             machines: machines(count),
@@ -167,7 +167,7 @@
         let empty = empty.map(|(name, _)| minion(name)).collect();
         for step in self.planner.plan(&self.machines, &emptying, &empty, now, now.0) {
             match step {
-                Step::Empty { machine, .. } => {
+                Action::Empty { machine, .. } => {
                     let takes = match self.machines[&machine].occupation {
                         Occupation::Idle => 0,
                         Occupation::Working(_) => 1000,
@@ -175,16 +175,16 @@
                     };
                     self.empties.insert(machine, now + Duration::from_millis(takes));
                 }
-                Step::Begin { machine, wave } => {
-                    self.planner.ordered(&machine, now);
-                    self.planner.begun(wave, &machine);
+                Action::Begin { machine, wave } => {
+                    self.planner.record_order(&machine, now);
+                    self.planner.record_start(wave, &machine);
                     self.empties.remove(&machine);
                     self.first_begun.push(machine.clone());
                     let under = Machine { in_maintenance: true, ..Machine::default() };
                     self.machines.insert(machine.clone(), under);
                     self.down.insert(machine, now);
                 }
-                Step::Complete { wave } => self.planner.completed(wave),
+                Action::Complete { wave } => self.planner.record_completion(wave),
             }
         }
         self.most_under_way = self.most_under_way.max(self.empties.len() + self.down.len());
@@ -247,7 +247,7 @@
     let mut short = Play::new(40, 10, 3000);
     short.occupy(0..40, Occupation::Working(8000));
     short.run(Time(2000));
-    assert_eq!(short.most_under_way, 10 + Settings::default().ahead);
+    assert_eq!(short.most_under_way, 10 + Settings::default().extra_emptying);
 }
 
 /// Dozens of orders are refused for their rate.  Taken for orders that may have been carried out, they kept
@@ -258,8 +258,8 @@
     let machines = machines(2);
     let all: BTreeSet<String> = (0..2).map(|number| format!("minion-{number}")).collect();
     let first = begins(&planner.plan(&machines, &all, &all, Time(0), 0));
-    planner.ordered(&first[0], Time(0));
-    planner.put_off(&first[0]);
+    planner.record_order(&first[0], Time(0));
+    planner.record_refusal(&first[0]);
     assert_eq!(begins(&planner.plan(&machines, &all, &all, Time(100), 0)), first);
 }
 
--- a/crates/engine/tests/all/outage.rs
+++ b/crates/engine/tests/all/outage.rs
@@ -6,9 +6,9 @@
 /// A store that answers at first and at these times, and fails every 30 ms otherwise.
 fn outage(until: u64, answers: &[u64]) -> Outage {
     let mut outage = Outage::default();
-    outage.note(true, Time(1000));
+    outage.record(true, Time(1000));
     for at in (1010..=until).step_by(30) {
-        outage.note(answers.iter().any(|answer| (at..at + 30).contains(answer)), Time(at));
+        outage.record(answers.iter().any(|answer| (at..at + 30).contains(answer)), Time(at));
     }
     outage
 }
@@ -17,14 +17,14 @@
 /// of them must then be told that nobody knows whether it runs.
 #[test]
 fn a_store_that_answers_nothing_is_away_within_a_moment() {
-    assert!(!outage(1040, &[]).is_on(Time(1040)), "two failures may be chance");
-    assert!(outage(1160, &[]).is_on(Time(1160)));
+    assert!(!outage(1040, &[]).is_ongoing(Time(1040)), "two failures may be chance");
+    assert!(outage(1160, &[]).is_ongoing(Time(1160)));
 }
 
 /// It is back: the first answer says so, and callers who wait are let in.
 #[test]
 fn one_answer_ends_an_outage() {
-    assert!(!outage(3000, &[2990]).is_on(Time(3000)));
+    assert!(!outage(3000, &[2990]).is_ongoing(Time(3000)));
 }
 
 /// The store turns away most calls, but not all.  Taken for away, it would get none, although each
@@ -33,7 +33,7 @@
 fn a_store_that_turns_some_calls_away_is_there() {
     let answers: Vec<u64> = (1000..3000).step_by(90).collect();
     for until in (1500..3000).step_by(10) {
-        assert!(!outage(until, &answers).is_on(Time(until)), "{until}");
+        assert!(!outage(until, &answers).is_ongoing(Time(until)), "{until}");
     }
 }
 
@@ -41,9 +41,9 @@
 #[test]
 fn calls_that_fail_together_are_no_outage() {
     let mut outage = Outage::default();
-    outage.note(true, Time(1000));
+    outage.record(true, Time(1000));
     for _ in 0..5 {
-        outage.note(false, Time(1020));
+        outage.record(false, Time(1020));
     }
-    assert!(!outage.is_on(Time(1020)));
+    assert!(!outage.is_ongoing(Time(1020)));
 }
--- a/crates/engine/tests/all/ownership.rs
+++ b/crates/engine/tests/all/ownership.rs
@@ -2,8 +2,8 @@
 
 use assert_matches::assert_matches;
 use celerythread_engine::ownership::{
-    Entry, Holding, Settings, Verdict, interval, judge, note_read, rank, reread_pause, successor,
-    term,
+    Decision, Entry, Holding, Settings, decide, rank, record_read, renewal_interval, reread_delay,
+    successor, term,
 };
 use celerythread_engine::time::Time;
 use std::collections::BTreeMap;
@@ -13,25 +13,36 @@
 
 fn entries(now: u64, silent: &[&str], names: &[&str]) -> BTreeMap<String, Entry> {
     let entry = |name: &&str| {
-        let seen = if silent.contains(name) { Time(0) } else { Time(now) };
-        let entry =
-            Entry { version: 7, seen, since: Time(0), term: TERM, stopping: false, power: 250 };
+        let last_renewal = if silent.contains(name) { Time(0) } else { Time(now) };
+        let entry = Entry {
+            version: 7,
+            last_renewal,
+            first_seen: Time(0),
+            term: TERM,
+            stopping: false,
+            millicores: 250,
+        };
         (name.to_string(), entry)
     };
     names.iter().map(entry).collect()
 }
 
-fn verdict(me: &str, holder: Option<&str>, entries: &BTreeMap<String, Entry>, now: u64) -> Verdict {
+fn decision(
+    me: &str,
+    holder: Option<&str>,
+    entries: &BTreeMap<String, Entry>,
+    now: u64,
+) -> Decision {
     let holding = holder.map(|holder| Holding { holder: holder.into(), version: 3 });
     let owned = BTreeMap::new();
-    judge("cell", me, holding.as_ref(), entries, &owned, Time(now), &Settings::default())
+    decide("cell", me, holding.as_ref(), entries, &owned, Time(now), &Settings::default())
 }
 
 #[test]
 fn a_living_holder_keeps_its_cell() {
     let entries = entries(10_000, &[], &["a", "b"]);
-    assert_eq!(verdict("a", Some("b"), &entries, 11_000), Verdict::Leave);
-    assert_eq!(verdict("b", Some("b"), &entries, 11_000), Verdict::Own);
+    assert_eq!(decision("a", Some("b"), &entries, 11_000), Decision::Decline);
+    assert_eq!(decision("b", Some("b"), &entries, 11_000), Decision::Own);
 }
 
 /// The takeover requires the silent holder's row to be unchanged, so one that renews at the
@@ -39,14 +50,17 @@
 #[test]
 fn a_silent_holder_is_replaced_on_condition_that_it_stays_silent() {
     let entries = entries(10_000, &["b"], &["a", "b"]);
-    let taken = verdict("a", Some("b"), &entries, 10_000);
-    assert_eq!(taken, Verdict::Take { cell: 3, former: Some(("b".into(), 7)) });
+    let taken = decision("a", Some("b"), &entries, 10_000);
+    assert_eq!(taken, Decision::TakeOver { cell_version: 3, former: Some(("b".into(), 7)) });
 }
 
 #[test]
 fn a_holder_without_a_row_is_replaced_at_once() {
     let entries = entries(10_000, &[], &["a"]);
-    assert_matches!(verdict("a", Some("b"), &entries, 10_000), Verdict::Take { former: None, .. });
+    assert_matches!(
+        decision("a", Some("b"), &entries, 10_000),
+        Decision::TakeOver { former: None, .. }
+    );
 }
 
 #[test]
@@ -54,7 +68,7 @@
     let entries = entries(10_000, &[], &["a", "b", "c"]);
     let takers = ["a", "b", "c"]
         .iter()
-        .filter(|me| matches!(verdict(me, None, &entries, 10_000), Verdict::Take { .. }))
+        .filter(|me| matches!(decision(me, None, &entries, 10_000), Decision::TakeOver { .. }))
         .count();
     assert_eq!(takers, 1);
 }
@@ -86,7 +100,7 @@
 #[test]
 fn a_cell_is_handed_to_the_entry_that_started_last() {
     let mut entries = entries(10_000, &[], &["a", "b", "c", "d"]);
-    entries.get_mut("b").unwrap().since = Time(9_000);
+    entries.get_mut("b").unwrap().first_seen = Time(9_000);
     let owned = BTreeMap::new();
     let to = successor("cell", "a", &entries, &owned, Time(10_000));
     assert_eq!(to.as_deref(), Some("b"));
@@ -96,8 +110,9 @@
 #[test]
 fn the_largest_entry_is_the_first_candidate() {
     let mut entries = entries(10_000, &[], &["a", "b", "c", "d"]);
-    entries.get_mut("c").unwrap().power = 500;
-    let takes = |me: &str| matches!(verdict(me, None, &entries, 10_000), Verdict::Take { .. });
+    entries.get_mut("c").unwrap().millicores = 500;
+    let takes =
+        |me: &str| matches!(decision(me, None, &entries, 10_000), Decision::TakeOver { .. });
     assert!(takes("c") && !takes("a") && !takes("b") && !takes("d"));
 }
 
@@ -120,8 +135,8 @@
 fn a_holder_with_a_longer_term_is_left_alone_for_longer() {
     let mut entries = entries(10_000, &["b"], &["a", "b"]);
     entries.get_mut("b").unwrap().term = Duration::from_millis(10_500);
-    assert_eq!(verdict("a", Some("b"), &entries, 10_000), Verdict::Leave);
-    assert_matches!(verdict("a", Some("b"), &entries, 10_500), Verdict::Take { .. });
+    assert_eq!(decision("a", Some("b"), &entries, 10_000), Decision::Decline);
+    assert_matches!(decision("a", Some("b"), &entries, 10_500), Decision::TakeOver { .. });
 }
 
 /// The store was away for two seconds.  In the moment it is back all cells change hands, although
@@ -131,11 +146,15 @@
 fn an_outage_of_the_store_is_nobodys_silence() {
     let mut entries = entries(10_000, &[], &["a", "b"]);
     let (before, after) = (Time(10_000), Time(12_600));
-    note_read(&mut entries, before, after);
-    assert_eq!(verdict("a", Some("b"), &entries, after.0), Verdict::Leave);
+    record_read(&mut entries, before, after);
+    assert_eq!(decision("a", Some("b"), &entries, after.0), Decision::Decline);
     let later = after + TERM;
-    note_read(&mut entries, Time(later.0 - 600), later);
-    assert_matches!(verdict("a", Some("b"), &entries, later.0), Verdict::Take { .. }, "it is lost");
+    record_read(&mut entries, Time(later.0 - 600), later);
+    assert_matches!(
+        decision("a", Some("b"), &entries, later.0),
+        Decision::TakeOver { .. },
+        "it is lost"
+    );
 }
 
 /// Each entry reads what all others write.  At a fixed interval that grows with the square of their
@@ -143,9 +162,9 @@
 #[test]
 fn many_entries_renew_less_often_and_are_given_more_time() {
     let least = Duration::from_millis(300);
-    assert_eq!(interval(least, 9, 5, false), least);
-    assert_eq!(interval(least, 28, 5, false), Duration::from_millis(504));
-    let pause = interval(least, 100, 5, false);
+    assert_eq!(renewal_interval(least, 9, 5, false), least);
+    assert_eq!(renewal_interval(least, 28, 5, false), Duration::from_millis(504));
+    let pause = renewal_interval(least, 100, 5, false);
     assert!(term(Duration::from_millis(1300), pause, Duration::ZERO) >= pause * 3);
 }
 
@@ -155,12 +174,13 @@
 #[test]
 fn a_strong_instance_with_a_cell_goes_before_a_weak_one_without() {
     let mut entries = entries(10_000, &[], &["strong", "weak"]);
-    entries.get_mut("strong").unwrap().power = 500;
-    entries.get_mut("weak").unwrap().power = 120;
+    entries.get_mut("strong").unwrap().millicores = 500;
+    entries.get_mut("weak").unwrap().millicores = 120;
     let take = |me: &str, cells: usize| {
         let owned = BTreeMap::from([("strong".to_owned(), cells)]);
-        let judged = judge("cell", me, None, &entries, &owned, Time(10_000), &Settings::default());
-        matches!(judged, Verdict::Take { .. })
+        let decision =
+            decide("cell", me, None, &entries, &owned, Time(10_000), &Settings::default());
+        matches!(decision, Decision::TakeOver { .. })
     };
     assert!(take("strong", 1) && !take("weak", 1));
     assert!(take("strong", 3) && !take("weak", 3), "four on half a core: eight for each core");
@@ -173,11 +193,11 @@
 fn a_holder_among_many_entries_is_missed_as_soon_as_among_few() {
     let least = Duration::from_millis(300);
     let taken = Duration::from_millis(1300);
-    let few = term(taken, interval(least, 9, 5, true), Duration::ZERO);
-    let many = term(taken, interval(least, 147, 5, true), Duration::ZERO);
+    let few = term(taken, renewal_interval(least, 9, 5, true), Duration::ZERO);
+    let many = term(taken, renewal_interval(least, 147, 5, true), Duration::ZERO);
     assert_eq!(few, many);
     assert_eq!(
-        interval(least, 147, 31, true),
+        renewal_interval(least, 147, 31, true),
         Duration::from_millis(558),
         "by the holders there are"
     );
@@ -193,11 +213,11 @@
     let others = names.iter().filter(|name| **name != "holder");
     assert_eq!(others.filter(|name| rank("cell", name) < rank("cell", living)).count(), 3);
     for (name, entry) in &mut entries {
-        entry.seen = if name == living { Time(9000) } else { Time(8000) };
+        entry.last_renewal = if name == living { Time(9000) } else { Time(8000) };
     }
     entries.get_mut("holder").unwrap().term = Duration::from_millis(1300);
-    let verdict = verdict(living, Some("holder"), &entries, 9310);
-    assert_matches!(verdict, Verdict::Take { .. }, "at once, whatever its rank");
+    let decision = decision(living, Some("holder"), &entries, 9310);
+    assert_matches!(decision, Decision::TakeOver { .. }, "at once, whatever its rank");
 }
 
 /// The store forgets its history while 147 entries follow the table.  All read it whole at once, a call for
@@ -205,10 +225,10 @@
 #[test]
 fn entries_that_read_all_again_keep_within_the_stores_rate() {
     for (entries, calls_a_second) in [(9, 2000), (41, 6000), (147, 16_000)] {
-        let draws = (0..=100).map(|draw| reread_pause(entries, f64::from(draw) / 100.0));
+        let draws = (0..=100).map(|draw| reread_delay(entries, f64::from(draw) / 100.0));
         let mean = draws.sum::<Duration>().as_secs_f64() / 101.0;
         let calls = (entries * entries) as f64 / mean;
         assert!(calls <= f64::from(calls_a_second) / 2.0, "{calls} calls a second of {entries}");
     }
-    assert!(reread_pause(9, 1.0) <= Duration::from_millis(400), "few entries read again soon");
+    assert!(reread_delay(9, 1.0) <= Duration::from_millis(400), "few entries read again soon");
 }
--- a/crates/scheduler/src/fleet.rs
+++ b/crates/scheduler/src/fleet.rs
@@ -143,7 +143,7 @@
     /// Takes back that an order was given: it was refused before anything was done.
     pub(crate) fn release_order(&mut self, machine: &str) {
         self.ordered.remove(machine);
-        self.waves.put_off(machine);
+        self.waves.record_refusal(machine);
     }
 
     /// Machines whose lease of orders is over are anybody's again.
--- a/crates/scheduler/src/fleet/maintenance.rs
+++ b/crates/scheduler/src/fleet/maintenance.rs
@@ -11,7 +11,7 @@
 use celerythread_adapter::store::{self, MAX_ENTRIES, Name, Transaction};
 use celerythread_adapter::wave;
 use celerythread_engine::job::{decode, encode};
-use celerythread_engine::maintenance::{Extent, Machine, Occupation, Step, Wave};
+use celerythread_engine::maintenance::{Action, Machine, Occupation, Progress, Wave};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
@@ -30,11 +30,11 @@
     for row in &waves.rows {
         let number = row.key.strip_prefix(rows::WAVE_PREFIX).and_then(|key| key.parse().ok());
         if let (Some(number), Ok(wave)) = (number, decode::<Wave>(&row.value)) {
-            state.waves.add(number, wave);
+            state.waves.add_wave(number, wave);
         }
     }
     for (number, machine) in begun.rows.iter().filter_map(|row| rows::begun_machine(&row.key)) {
-        state.waves.begun(number, machine);
+        state.waves.record_start(number, machine);
     }
     true
 }
@@ -44,7 +44,7 @@
     let mut told = Telling::default();
     while !fleet.owner.is_stopped() {
         take_new(fleet).await;
-        if fleet.state.lock().waves.is_busy() {
+        if fleet.state.lock().waves.has_open_waves() {
             step(fleet).await;
             keep_begun(fleet).await;
             tell(fleet, &mut told);
@@ -70,7 +70,7 @@
             seen_ms: clock::wall_ms(),
             ..Wave::default()
         };
-        fleet.state.lock().waves.add(wave.number, fresh);
+        fleet.state.lock().waves.add_wave(wave.number, fresh);
         keep(fleet, wave.number).await;
         report(node, wave.number, wave::State::Running).await;
     }
@@ -86,9 +86,9 @@
     let (mut leavers, mut downs, mut complete) = (Vec::new(), Vec::new(), Vec::new());
     for step in plan(&mut fleet.state.lock(), &view) {
         match step {
-            Step::Empty { machine, minion } => leavers.push((machine, minion)),
-            Step::Begin { machine, wave } => downs.push((machine, wave)),
-            Step::Complete { wave } => complete.push(wave),
+            Action::Empty { machine, minion } => leavers.push((machine, minion)),
+            Action::Begin { machine, wave } => downs.push((machine, wave)),
+            Action::Complete { wave } => complete.push(wave),
         }
     }
     // A machine that is off needs no emptying, but a later holder must know of its order, too.
@@ -105,13 +105,13 @@
     futures::join!(order_all(orders), empty(fleet, leavers));
     for wave in complete {
         if report(node, wave, wave::State::Completed).await {
-            fleet.state.lock().waves.completed(wave);
+            fleet.state.lock().waves.record_completion(wave);
             keep(fleet, wave).await;
         }
     }
 }
 
-fn plan(state: &mut State, emptying: &BTreeSet<String>) -> Vec<Step> {
+fn plan(state: &mut State, emptying: &BTreeSet<String>) -> Vec<Action> {
     let machines = seen_all(state);
     let empty = state.empty_minions();
     state.waves.plan(&machines, emptying, &empty, clock::now(), clock::wall_ms())
@@ -198,7 +198,7 @@
     };
     let left = emptying::begin(fleet, machines.into_iter().map(leaver).collect()).await;
     let mut state = fleet.state.lock();
-    left.iter().for_each(|machine| state.waves.not_asked(machine));
+    left.iter().for_each(|machine| state.waves.cancel_emptying(machine));
     left
 }
 
@@ -209,7 +209,7 @@
         return;
     }
     fleet.note_order(machine);
-    fleet.state.lock().waves.ordered(machine, clock::now());
+    fleet.state.lock().waves.record_order(machine, clock::now());
     let by = fleet.authority();
     let answer = fleet.client.upkeep(machine, wave, &by, CALL_LIMIT).await;
     let (ordered, outcome) = Ordered::read(answer);
@@ -221,7 +221,7 @@
     match ordered {
         Ordered::Done => {
             node.metrics.count(Counter::Maintenances);
-            state.waves.begun(wave, machine);
+            state.waves.record_start(wave, machine);
             state.unkept.insert((wave, machine.into()));
         }
         Ordered::PutOff => state.release_order(machine),
@@ -278,15 +278,15 @@
 }
 
 /// Writes a line for each wave that got further.
-fn tell(fleet: &Fleet, told: &mut Telling<u64, Extent>) {
+fn tell(fleet: &Fleet, told: &mut Telling<u64, Progress>) {
     let now = clock::now();
     if !told.is_due(now) {
         return;
     }
     let state = fleet.state.lock();
     let machines: BTreeMap<String, Machine> = state.list.machines.iter().map(seen).collect();
-    for number in state.waves.open() {
-        let extent = state.waves.extent(number, &machines, now);
+    for number in state.waves.open_waves() {
+        let extent = state.waves.progress(number, &machines, now);
         if !told.is_news(number, extent) {
             continue;
         }
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -151,7 +151,7 @@
         return Duration::ZERO;
     }
     let entries = node.view.read().entries.len();
-    ownership::reread_pause(entries, rand::random())
+    ownership::reread_delay(entries, rand::random())
 }
 
 /// What operators write: the configuration and waves of maintenance.
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -11,7 +11,7 @@
 use crate::rows;
 use celerythread_adapter::store::{Error, Row, Transaction};
 use celerythread_engine::job::{decode, encode};
-use celerythread_engine::ownership::{self, Holding, Verdict};
+use celerythread_engine::ownership::{self, Decision, Holding};
 use control::Control;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -187,7 +187,7 @@
         let view = node.view.read();
         let holding = view.holdings.get(cell).cloned();
         let owned = view.owned();
-        let verdict = ownership::judge(
+        let verdict = ownership::decide(
             cell,
             &node.me,
             holding.as_ref(),
@@ -199,17 +199,17 @@
         (verdict, holding, view.cell_rows.get(cell).cloned())
     };
     match verdict {
-        Verdict::Own => {
+        Decision::Own => {
             if let (Some(holding), Some(row)) = (holding, row) {
                 own(node, cell, &holding, &row);
             }
         }
-        Verdict::Leave => disown(node, cell, holding.as_ref()),
-        Verdict::Take { cell: version, former } if !node.is_stopping() => {
+        Decision::Decline => disown(node, cell, holding.as_ref()),
+        Decision::TakeOver { cell_version: version, former } if !node.is_stopping() => {
             take(node, cell, version, former, row).await;
             return true;
         }
-        Verdict::Take { .. } => {}
+        Decision::TakeOver { .. } => {}
     }
     false
 }
@@ -343,7 +343,7 @@
     let gone: Vec<(String, u64)> = {
         let view = node.view.read();
         let now = clock::now();
-        let silent = |entry: &ownership::Entry| now.since(entry.seen) > FORGET;
+        let silent = |entry: &ownership::Entry| now.since(entry.last_renewal) > FORGET;
         let held = view.owned();
         view.entries
             .iter()
--- a/crates/scheduler/src/membership/control.rs
+++ b/crates/scheduler/src/membership/control.rs
@@ -62,11 +62,12 @@
     }
     let Ok(value) = decode::<rows::Entry>(&row.value) else { return };
     if view.entries.get(id).is_none_or(|known| known.version < row.version) {
-        let since = view.entries.get(id).map_or(now, |known| known.since);
+        let first_seen = view.entries.get(id).map_or(now, |known| known.first_seen);
         let (version, stopping) = (row.version, value.stopping);
-        let power = value.power;
+        let millicores = value.power;
         let term = Duration::from_millis(value.term_ms.into());
-        let entry = ownership::Entry { version, seen: now, since, term, stopping, power };
+        let entry =
+            ownership::Entry { version, last_renewal: now, first_seen, term, stopping, millicores };
         view.entries.insert(id.into(), entry);
         view.entry_rows.insert(id.into(), value);
     }
@@ -84,9 +85,9 @@
         // An entry whose row has not changed is as silent as it was before.
         for (id, entry) in &mut fresh.entries {
             let Some(known) = view.entries.get(id) else { continue };
-            entry.since = known.since;
+            entry.first_seen = known.first_seen;
             if known.version == entry.version {
-                entry.seen = known.seen;
+                entry.last_renewal = known.last_renewal;
             }
         }
         fresh.released = std::mem::take(&mut view.released);
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -64,7 +64,7 @@
 impl View {
     /// Notes that a read was answered, before what it brought is taken in.
     pub(crate) fn note_read(&mut self, now: Time) {
-        ownership::note_read(&mut self.entries, self.read_at, now);
+        ownership::record_read(&mut self.entries, self.read_at, now);
         self.read_at = now;
     }
 
@@ -224,7 +224,7 @@
         let owns = !self.owners.read().is_empty();
         let view = self.view.read();
         let (entries, cells) = (view.entries.len(), view.holdings.len());
-        ownership::interval(self.settings.renew.0, entries, cells, owns)
+        ownership::renewal_interval(self.settings.renew.0, entries, cells, owns)
     }
 
     /// The number and the term of a renewal that is about to be sent.
@@ -288,7 +288,7 @@
         if !answered {
             self.metrics.count(Counter::StoreFailures);
         }
-        if !self.outage.lock().note(answered, clock::now()) {
+        if !self.outage.lock().record(answered, clock::now()) {
             return;
         }
         match result {
@@ -299,12 +299,12 @@
 
     /// Whether the store may be away.
     pub(crate) fn may_store_be_away(&self) -> bool {
-        self.outage.lock().is_likely()
+        self.outage.lock().is_suspected()
     }
 
     /// Whether the store is away, as far as this entry knows.
     pub(crate) fn is_store_away(&self) -> bool {
-        self.outage.lock().is_on(clock::now())
+        self.outage.lock().is_ongoing(clock::now())
     }
 
     /// Commits a transaction and takes note of how it went; waits at most `limit`, and less when
--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -398,7 +398,7 @@
             ),
             (
                 "an order that the list doesn't show yet counts",
-                "engine::maintenance::Planner::down",
+                "engine::maintenance::Planner::down_count",
                 "an_order_that_the_list_does_not_show_yet_counts",
             ),
             (
@@ -464,7 +464,7 @@
         guards: &[
             (
                 "a living holder keeps its cell",
-                "engine::ownership::judge",
+                "engine::ownership::decide",
                 "a_living_holder_keeps_its_cell",
             ),
             (
@@ -474,27 +474,27 @@
             ),
             (
                 "a strong entry goes before a weak one",
-                "engine::ownership::burden",
+                "engine::ownership::cells_per_core",
                 "a_strong_instance_with_a_cell_goes_before_a_weak_one_without",
             ),
             (
                 "what nobody could read is nobody's silence",
-                "engine::ownership::note_read",
+                "engine::ownership::record_read",
                 "an_outage_of_the_store_is_nobodys_silence",
             ),
             (
                 "a takeover requires the holder to be silent still",
-                "engine::ownership::judge",
+                "engine::ownership::decide",
                 "a_silent_holder_is_replaced_on_condition_that_it_stays_silent",
             ),
             (
                 "holders among many entries are missed soon",
-                "engine::ownership::interval",
+                "engine::ownership::renewal_interval",
                 "a_holder_among_many_entries_is_missed_as_soon_as_among_few",
             ),
             (
                 "who may be cut off with the holder comes later",
-                "engine::ownership::judge",
+                "engine::ownership::decide",
                 "entries_seen_since_the_holder_come_before_those_that_may_be_cut_off_with_it",
             ),
         ],
@@ -524,12 +524,12 @@
             ),
             (
                 "lasting tasks begin to leave early",
-                "engine::maintenance::Places::fill",
+                "engine::maintenance::Slots::choose",
                 "machines_that_take_long_to_empty_are_not_left_for_the_end",
             ),
             (
                 "an order refused for its rate is given again",
-                "engine::maintenance::Planner::put_off",
+                "engine::maintenance::Planner::record_refusal",
                 "an_order_that_is_put_off_is_given_again_at_once",
             ),
             (
