--- a/crates/engine/src/cell/load.rs
+++ b/crates/engine/src/cell/load.rs
@@ -4,7 +4,7 @@
 use crate::cell::minion::Minion;
 use crate::cell::work::{Job, Phase};
 use crate::job::Resources;
-use crate::pools::{HORIZON, Load};
+use crate::pools::{BACKLOG_HORIZON, Load};
 use crate::time::Time;
 use smallvec::SmallVec;
 
@@ -14,7 +14,7 @@
 const LATE: u64 = 4;
 
 /// [`HORIZON`] in milliseconds.
-const HORIZON_MS: u64 = HORIZON.as_millis() as u64;
+const HORIZON_MS: u64 = BACKLOG_HORIZON.as_millis() as u64;
 
 impl Cell {
     /// The demand and what could be given away.
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -9,7 +9,7 @@
 //! splits what a workspace may have running between the cells; [`lease`] computes when a
 //! minion's leases have expired;
 //! [`maintenance`] takes machines through maintenance waves, and [`pools`]
-//! moves them to where the demand is; [`patience`] says how long to wait for an answer, [`outage`] whether
+//! moves them to where the demand is; [`timeout`] says how long to wait for an answer, [`outage`] whether
 //! there is anybody to wait for, and [`submission`] when to give a caller its time back.
 
 pub mod cell;
@@ -19,8 +19,8 @@
 pub mod maintenance;
 pub mod outage;
 pub mod ownership;
-pub mod patience;
 pub mod pools;
 pub mod quota;
 pub mod submission;
 pub mod time;
+pub mod timeout;
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -21,34 +21,34 @@
 
 /// Machines kept beyond those that spread lasting tasks need, so that a task whose minion is lost
 /// finds another one at once and not after a move.
-const SPREAD_RESERVE: usize = 1;
+const SPREAD_RESERVE_MACHINES: usize = 1;
 
 /// In what time a pool should be able to work off what waits.  About the slack that jobs have within
 /// their objective (some 2 s), less the time that a move takes.
-pub const HORIZON: Duration = Duration::from_millis(1000);
+pub const BACKLOG_HORIZON: Duration = Duration::from_millis(1000);
 
 /// Weights and limits.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Machines that a pool keeps whatever its demand: one may fail.
-    pub least: usize,
+    pub min_machines: usize,
     /// A move that isn't ordered after this time is given up, and its machine used again.
-    pub patience: Duration,
+    pub order_timeout: Duration,
     /// A machine stays at least this long after it came: twice the time of a move.
-    pub stay: Duration,
+    pub min_stay: Duration,
     /// Machines chosen for one pool at a time, or a third of it if that is more: a burst asks several
     /// times what the pool holds.  At four looks a second this is to be all of the orders a second that
     /// the platform takes.
-    pub at_once: usize,
+    pub max_moves_per_pool: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            least: 2,
-            patience: Duration::from_millis(2500),
-            stay: Duration::from_millis(3000),
-            at_once: 16,
+            min_machines: 2,
+            order_timeout: Duration::from_millis(2500),
+            min_stay: Duration::from_millis(3000),
+            max_moves_per_pool: 16,
         }
     }
 }
@@ -56,7 +56,7 @@
 /// What an owner tells of its cell.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Core-milliseconds of waiting tasks that could be worked on within [`HORIZON`].  Here and below
+    /// Core-milliseconds of waiting tasks that could be worked on within [`BACKLOG_HORIZON`].  Here and below
     /// a task counts for the cores that it keeps from others, by its memory or accelerators if those
     /// are scarcer.
     pub waiting: u64,
@@ -113,22 +113,22 @@
     /// Why.
     pub reason: Reason,
     /// When it was decided.
-    pub since: Time,
+    pub decided_at: Time,
 }
 
 /// What a pool asks for and has, for the log and for other duties.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Balance {
     /// Cores that its tasks ask for, but for lasting ones.
-    pub asked: u64,
+    pub demand: u64,
     /// Cores in use by lasting tasks.
     pub lasting: u64,
     /// Machines in it that stay.
-    pub has: usize,
+    pub present: usize,
     /// Machines that are to come.
-    pub on_their_way: usize,
+    pub arriving: usize,
     /// Machines that it needs.
-    pub needs: usize,
+    pub needed: usize,
     /// Minions without any task.
     pub idle: usize,
 }
@@ -136,7 +136,7 @@
 impl Balance {
     /// Machines that it can do without.
     pub fn surplus(&self) -> usize {
-        (self.has + self.on_their_way).saturating_sub(self.needs)
+        (self.present + self.arriving).saturating_sub(self.needed)
     }
 }
 
@@ -160,16 +160,16 @@
 }
 
 /// A pool that needs more machines than it has.
-struct Lack<'a> {
+struct Shortfall<'a> {
     pool: &'a str,
-    have: usize,
-    need: usize,
+    present: usize,
+    needed: usize,
 }
 
-impl Lack<'_> {
+impl Shortfall<'_> {
     /// How much it has of what it needs, in thousandths.
-    fn share(&self) -> usize {
-        self.have * 1000 / self.need.max(1)
+    fn satisfied_permille(&self) -> usize {
+        self.present * 1000 / self.needed.max(1)
     }
 }
 
@@ -182,7 +182,7 @@
     /// Machines on their way, with their pool and when they were ordered to it.
     arriving: BTreeMap<String, (String, Time)>,
     /// When each machine came to its pool, and why.
-    came: BTreeMap<String, (Time, Reason)>,
+    arrivals: BTreeMap<String, (Time, Reason)>,
     /// Whose turn it is, and whose is next.
     turns: Turns,
 }
@@ -199,7 +199,7 @@
     }
 
     /// Goes on from the turns that a former holder saw.
-    pub fn restore(&mut self, history: History) {
+    pub fn restore_history(&mut self, history: History) {
         self.turns.restore(history);
     }
 
@@ -214,7 +214,7 @@
     }
 
     /// Whether moves are under way.
-    pub fn is_busy(&self) -> bool {
+    pub fn has_moves_under_way(&self) -> bool {
         !self.pending.is_empty() || !self.arriving.is_empty()
     }
 
@@ -224,27 +224,27 @@
     }
 
     /// Whether a machine is about to move, or on its way.
-    pub fn is_underway(&self, machine: &str) -> bool {
+    pub fn is_moving(&self, machine: &str) -> bool {
         self.is_pending(machine) || self.arriving.contains_key(machine)
     }
 
     /// Notes that a move was ordered.
-    pub fn ordered(&mut self, machine: &str, now: Time) {
+    pub fn record_order(&mut self, machine: &str, now: Time) {
         if let Some(done) = self.pending.remove(machine) {
             self.arriving.insert(machine.into(), (done.to, now));
-            self.came.insert(machine.into(), (now, done.reason));
+            self.arrivals.insert(machine.into(), (now, done.reason));
         }
     }
 
     /// Gives a move up.
-    pub fn abandon(&mut self, machine: &str) {
+    pub fn cancel_move(&mut self, machine: &str) {
         self.pending.remove(machine);
     }
 
     /// Moves that have waited too long, to be given up.
-    pub fn overdue(&self, now: Time) -> Vec<Move> {
-        let late = |plan: &&Move| now.since(plan.since) > self.settings.patience;
-        self.pending.values().filter(late).cloned().collect()
+    pub fn overdue_moves(&self, now: Time) -> Vec<Move> {
+        let is_overdue = |plan: &&Move| now.since(plan.decided_at) > self.settings.order_timeout;
+        self.pending.values().filter(is_overdue).cloned().collect()
     }
 
     /// What each pool asks for, has and needs.
@@ -254,14 +254,14 @@
         loads: &BTreeMap<String, Load>,
     ) -> BTreeMap<String, Balance> {
         let balance = |(pool, load): (&String, &Load)| {
-            let on_their_way = self.arriving.values().filter(|(to, _)| to == pool).count()
+            let arriving = self.arriving.values().filter(|(to, _)| to == pool).count()
                 + self.pending.values().filter(|plan| plan.to == *pool).count();
             let balance = Balance {
-                asked: self.passing(load) / 1000,
+                demand: self.finite_demand(load) / 1000,
                 lasting: load.lasting / 1000,
-                has: self.strength(pool, machines) - on_their_way,
-                on_their_way,
-                needs: self.need(load),
+                present: self.machine_count(pool, machines) - arriving,
+                arriving,
+                needed: self.machines_needed(load),
                 idle: load.free.iter().filter(|(_, cpu)| *cpu == 0).count(),
             };
             (pool.clone(), balance)
@@ -277,23 +277,24 @@
         spare: Option<&str>,
         now: Time,
     ) -> Vec<Move> {
-        self.forget_arrived(machines, now);
-        let demands = loads.iter().map(|(pool, load)| (pool.as_str(), self.passing(load)));
+        self.remove_arrived(machines, now);
+        let demands = loads.iter().map(|(pool, load)| (pool.as_str(), self.finite_demand(load)));
         let machine = loads.values().map(|load| load.minion_cpu).max().unwrap_or(0);
         self.turns.observe(&demands.collect(), machine * machines.len() as u64, now);
         let mut surplus: BTreeMap<&str, usize> = BTreeMap::new();
-        let mut lacks = Vec::new();
+        let mut shortfalls = Vec::new();
         for (pool, load) in loads {
-            let (have, need) = (self.strength(pool, machines), self.need(load));
-            if need > have {
-                lacks.push(Lack { pool, have, need });
+            let (present, needed) =
+                (self.machine_count(pool, machines), self.machines_needed(load));
+            if needed > present {
+                shortfalls.push(Shortfall { pool, present, needed });
             } else {
-                surplus.insert(pool, have - need);
+                surplus.insert(pool, present - needed);
             }
         }
         let mut round = Round { machines, loads, spare, now, surplus, moves: Vec::new() };
-        self.fill(&mut round, lacks, Reason::Shortage);
-        self.prepare(&mut round);
+        self.fill_shortfalls(&mut round, shortfalls, Reason::Shortage);
+        self.plan_ahead(&mut round);
         let moves = round.moves;
         for plan in &moves {
             self.pending.insert(plan.machine.clone(), plan.clone());
@@ -303,21 +304,21 @@
 
     /// Sends machines that idle where the next demand is expected.  Machines that are off stay so:
     /// they cost nothing until the demand is there.
-    fn prepare(&self, round: &mut Round<'_>) {
+    fn plan_ahead(&self, round: &mut Round<'_>) {
         let pools: Vec<&str> = round.loads.keys().map(String::as_str).collect();
         round.spare = None;
-        let mut lacks = Vec::new();
-        for (pool, cores) in self.turns.expected(&pools, round.now) {
+        let mut shortfalls = Vec::new();
+        for (pool, cores) in self.turns.expected_demand(&pools, round.now) {
             let Some((pool, load)) = round.loads.get_key_value(&pool) else { continue };
             let chosen = round.moves.iter().filter(|plan| plan.to == *pool).count();
-            let have = self.strength(pool, round.machines) + chosen;
-            let need = (cores + load.lasting).div_ceil(load.minion_cpu.max(1000)) as usize;
+            let present = self.machine_count(pool, round.machines) + chosen;
+            let needed = (cores + load.lasting).div_ceil(load.minion_cpu.max(1000)) as usize;
             if let Some(left) = round.surplus.get_mut(pool.as_str()) {
-                *left = (*left).min(have.saturating_sub(need));
+                *left = (*left).min(present.saturating_sub(needed));
             }
-            lacks.push(Lack { pool, have, need });
+            shortfalls.push(Shortfall { pool, present, needed });
         }
-        self.fill(round, lacks, Reason::Ahead);
+        self.fill_shortfalls(round, shortfalls, Reason::Ahead);
     }
 
     /// Chooses machines to go to pools that lack some, one after the other to the pool that has least
@@ -325,14 +326,23 @@
     ///
     /// Given to the one that lacks most, all went to a pool with a large remainder from an outage, and
     /// the callers of another one, whose turn had begun, waited for five seconds with two machines.
-    fn fill<'a>(&self, round: &mut Round<'a>, lacks: Vec<Lack<'a>>, reason: Reason) {
-        let mut lacks: Vec<(Lack<'_>, usize)> = lacks
+    fn fill_shortfalls<'a>(
+        &self,
+        round: &mut Round<'a>,
+        shortfalls: Vec<Shortfall<'a>>,
+        reason: Reason,
+    ) {
+        let mut shortfalls: Vec<(Shortfall<'_>, usize)> = shortfalls
             .into_iter()
-            .map(|lack| {
-                let pending = self.pending.values().filter(|plan| plan.to == lack.pool).count();
-                let chosen = round.moves.iter().filter(|plan| plan.to == lack.pool).count();
-                let most = self.settings.at_once.max(self.strength(lack.pool, round.machines) / 3);
-                (lack, most.saturating_sub(pending + chosen))
+            .map(|shortfall| {
+                let pending =
+                    self.pending.values().filter(|plan| plan.to == shortfall.pool).count();
+                let chosen = round.moves.iter().filter(|plan| plan.to == shortfall.pool).count();
+                let max = self
+                    .settings
+                    .max_moves_per_pool
+                    .max(self.machine_count(shortfall.pool, round.machines) / 3);
+                (shortfall, max.saturating_sub(pending + chosen))
             })
             .collect();
         // Sorted once: what a machine's move costs doesn't depend on where it goes, and a pool that can
@@ -341,25 +351,28 @@
         candidates.sort_unstable();
         let mut candidates = candidates.into_iter();
         loop {
-            lacks.retain(|(lack, room)| *room > 0 && lack.need > lack.have);
-            let Some((lack, room)) = lacks.iter_mut().min_by_key(|(lack, _)| lack.share()) else {
+            shortfalls
+                .retain(|(shortfall, room)| *room > 0 && shortfall.needed > shortfall.present);
+            let Some((shortfall, room)) =
+                shortfalls.iter_mut().min_by_key(|(shortfall, _)| shortfall.satisfied_permille())
+            else {
                 return;
             };
             let Some((_, machine)) = candidates.find(|(_, name)| round.can_spare(name)) else {
                 return;
             };
-            (lack.have, *room) = (lack.have + 1, *room - 1);
-            let seen = &round.machines[machine];
-            if let Some(left) = round.surplus.get_mut(seen.pool.as_str()) {
+            (shortfall.present, *room) = (shortfall.present + 1, *room - 1);
+            let source = &round.machines[machine];
+            if let Some(left) = round.surplus.get_mut(source.pool.as_str()) {
                 *left = left.saturating_sub(1);
             }
             round.moves.push(Move {
                 machine: machine.into(),
-                minion: seen.minion.clone(),
-                from: seen.pool.clone(),
-                to: lack.pool.into(),
+                minion: source.minion.clone(),
+                from: source.pool.clone(),
+                to: shortfall.pool.into(),
                 reason,
-                since: round.now,
+                decided_at: round.now,
             });
         }
     }
@@ -367,15 +380,15 @@
     /// Machines that could be moved, with what they cost: first those without any work.
     fn candidates<'a>(&self, round: &Round<'a>, reason: Reason) -> Vec<(u64, &'a str)> {
         let Round { machines, loads, spare, now, moves, .. } = round;
-        let taken: BTreeSet<&str> = moves.iter().map(|plan| plan.machine.as_str()).collect();
-        let settled = |name: &str| match self.came.get(name) {
+        let chosen: BTreeSet<&str> = moves.iter().map(|plan| plan.machine.as_str()).collect();
+        let settled = |name: &str| match self.arrivals.get(name) {
             // What came ahead of a demand that shows elsewhere has nothing to do here.
             Some((_, Reason::Ahead)) if reason == Reason::Shortage => true,
-            Some((came, _)) => now.since(*came) >= self.settings.stay,
+            Some((arrived, _)) => now.since(*arrived) >= self.settings.min_stay,
             None => true,
         };
         let free = |name: &str| {
-            !taken.contains(name)
+            !chosen.contains(name)
                 && !self.pending.contains_key(name)
                 && !self.arriving.contains_key(name)
                 && settled(name)
@@ -399,7 +412,7 @@
     }
 
     /// Machines that a pool has or will have.
-    fn strength(&self, pool: &str, machines: &BTreeMap<String, Machine>) -> usize {
+    fn machine_count(&self, pool: &str, machines: &BTreeMap<String, Machine>) -> usize {
         let leaves = |name: &str| self.pending.contains_key(name);
         let here = machines
             .iter()
@@ -416,26 +429,26 @@
     }
 
     /// Thousandths of cores that a pool's tasks ask for, but for lasting ones.
-    fn passing(&self, load: &Load) -> u64 {
-        let horizon = HORIZON.as_millis() as u64;
+    fn finite_demand(&self, load: &Load) -> u64 {
+        let horizon = BACKLOG_HORIZON.as_millis() as u64;
         load.working + load.waiting / horizon * 1000 + load.waiting % horizon * 1000 / horizon
     }
 
     /// Machines that a pool needs.
-    fn need(&self, load: &Load) -> usize {
-        let cores = self.passing(load) + load.lasting;
+    fn machines_needed(&self, load: &Load) -> usize {
+        let cores = self.finite_demand(load) + load.lasting;
         let machine = load.minion_cpu.max(1000);
-        let least = self.settings.least.max(load.least + SPREAD_RESERVE);
-        (cores.div_ceil(machine) as usize).max(least)
+        let min = self.settings.min_machines.max(load.least + SPREAD_RESERVE_MACHINES);
+        (cores.div_ceil(machine) as usize).max(min)
     }
 
-    fn forget_arrived(&mut self, machines: &BTreeMap<String, Machine>, now: Time) {
-        let patience = self.settings.patience * 2;
+    fn remove_arrived(&mut self, machines: &BTreeMap<String, Machine>, now: Time) {
+        let timeout = self.settings.order_timeout * 2;
         self.arriving.retain(|name, (to, since)| {
             let there = machines.get(name).is_some_and(|machine| {
                 machine.pool == *to && machine.up && machine.minion.is_some()
             });
-            !there && now.since(*since) < patience
+            !there && now.since(*since) < timeout
         });
         self.pending.retain(|name, _| machines.get(name).is_some_and(|machine| machine.up));
     }
--- a/crates/engine/src/patience.rs
+++ b/crates/engine/src/timeout.rs
@@ -9,24 +9,24 @@
 
 /// Times the mean of the answers' times that is waited for.  Transactions over partitions take
 /// twice as long as others, and the network its part.
-const TIMES_MEAN: f64 = 8.0;
+const MEAN_LATENCY_MULTIPLIER: f64 = 8.0;
 
 /// The least wait: an instance that is slowed down answers itself late, too.
-const LEAST: Duration = Duration::from_millis(150);
+const MIN_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// The longest wait.
-const MOST: Duration = Duration::from_millis(1400);
+const MAX_TIMEOUT: Duration = Duration::from_millis(1400);
 
 /// Weight of a new time.
-const WEIGHT: f64 = 0.2;
+const LATENCY_EWMA_WEIGHT: f64 = 0.2;
 
 /// Doublings of the wait at most.
-const MOST_DOUBLINGS: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 
 /// Times a read's duration that a write may take before it counts as lost.  A read waits for
 /// nobody; a write takes its turn in its partition, where up to a second of others wait, some
 /// two to four times what a call takes when the store is a hundred times slower than usual.
-const TIMES_READ: u32 = 4;
+const READ_LATENCY_MULTIPLIER: u32 = 4;
 
 /// Whether a write without an answer after `waited` is lost rather than on its way: a read that
 /// took `read` doesn't show it.
@@ -34,40 +34,43 @@
 /// A slow store can't be told from a lost answer by the write alone.  Written again each time, a
 /// row would take its partition's turn several times over, and at four turns a second for all of
 /// its rows soon none of them would be answered in time.
-pub fn is_lost(waited: Duration, read: Duration) -> bool {
-    waited >= LEAST.max(read * TIMES_READ)
+pub fn is_write_lost(waited: Duration, read: Duration) -> bool {
+    waited >= MIN_TIMEOUT.max(read * READ_LATENCY_MULTIPLIER)
 }
 
 /// How long to wait, learnt from the answers' times.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
-    mean_ms: f64,
+pub struct Timeout {
+    mean_latency_ms: f64,
     /// Calls in a row without an answer.
-    unanswered: u32,
+    consecutive_timeouts: u32,
 }
 
-impl Default for Patience {
+impl Default for Timeout {
     /// Starts with the store's usual answer over a small network.
     fn default() -> Self {
-        Self { mean_ms: 20.0, unanswered: 0 }
+        Self { mean_latency_ms: 20.0, consecutive_timeouts: 0 }
     }
 }
 
-impl Patience {
+impl Timeout {
     /// How long to wait for the next answer.
-    pub fn limit(&self) -> Duration {
-        let usual = Duration::from_secs_f64(self.mean_ms * TIMES_MEAN / 1000.0).max(LEAST);
-        (usual * (1 << self.unanswered.min(MOST_DOUBLINGS))).min(MOST)
+    pub fn current(&self) -> Duration {
+        let timeout =
+            Duration::from_secs_f64(self.mean_latency_ms * MEAN_LATENCY_MULTIPLIER / 1000.0)
+                .max(MIN_TIMEOUT);
+        (timeout * (1 << self.consecutive_timeouts.min(MAX_DOUBLINGS))).min(MAX_TIMEOUT)
     }
 
     /// Takes in how long an answer took.
-    pub fn answered(&mut self, took: Duration) {
-        self.mean_ms += (took.as_millis() as f64 - self.mean_ms) * WEIGHT;
-        self.unanswered = 0;
+    pub fn record_answer(&mut self, latency: Duration) {
+        self.mean_latency_ms +=
+            (latency.as_millis() as f64 - self.mean_latency_ms) * LATENCY_EWMA_WEIGHT;
+        self.consecutive_timeouts = 0;
     }
 
     /// Takes in that none came.
-    pub fn unanswered(&mut self) {
-        self.unanswered += 1;
+    pub fn record_timeout(&mut self) {
+        self.consecutive_timeouts += 1;
     }
 }
--- a/crates/engine/tests/all/pools.rs
+++ b/crates/engine/tests/all/pools.rs
@@ -61,7 +61,7 @@
     assert!(!first.is_empty());
     assert!(planner.plan(&machines(), &loads(240, 0), Some("spare"), Time(100)).is_empty());
     for plan in &first {
-        planner.ordered(&plan.machine, Time(200));
+        planner.record_order(&plan.machine, Time(200));
     }
     assert!(planner.plan(&machines(), &loads(240, 0), Some("spare"), Time(300)).is_empty());
 }
@@ -87,7 +87,7 @@
     let mut planner = Planner::new(Settings::default());
     let mut machines = machines();
     for plan in planner.plan(&machines, &loads(240, 0), None, Time(0)) {
-        planner.ordered(&plan.machine, Time(0));
+        planner.record_order(&plan.machine, Time(0));
         machines.get_mut(&plan.machine).unwrap().pool = "a".into();
     }
     let back = |planner: &mut Planner, at| {
@@ -104,9 +104,9 @@
 fn a_move_that_takes_too_long_is_given_up() {
     let mut planner = Planner::new(Settings::default());
     let first = planner.plan(&machines(), &loads(240, 0), None, Time(0));
-    assert!(planner.overdue(Time(1000)).is_empty());
-    let patience = Settings::default().patience + Duration::from_millis(1);
-    assert_eq!(planner.overdue(Time(0) + patience).len(), first.len());
+    assert!(planner.overdue_moves(Time(1000)).is_empty());
+    let patience = Settings::default().order_timeout + Duration::from_millis(1);
+    assert_eq!(planner.overdue_moves(Time(0) + patience).len(), first.len());
 }
 
 /// A service runs a task on each of five machines, no two together.  With its other machines lent
--- a/crates/engine/tests/all/turns.rs
+++ b/crates/engine/tests/all/turns.rs
@@ -51,7 +51,7 @@
             .collect();
         let moves = self.planner.plan(&self.machines, &loads, None, self.now);
         for plan in &moves {
-            self.planner.ordered(&plan.machine, self.now);
+            self.planner.record_order(&plan.machine, self.now);
             self.machines.get_mut(&plan.machine).expect("listed").pool = plan.to.clone();
         }
         moves
@@ -197,7 +197,7 @@
     let history = fleet.planner.history().clone();
     assert_eq!(history.turns, POOLS);
     fleet.planner = Planner::new(Settings::default());
-    fleet.planner.restore(history);
+    fleet.planner.restore_history(history);
     fleet.pause();
     assert!(fleet.in_pool("a") >= 19, "a's turn comes after d's: {}", fleet.in_pool("a"));
 }
@@ -214,7 +214,7 @@
             let loads = loads.collect();
             let moves = self.planner.plan(&self.machines, &loads, None, self.now);
             for plan in &moves {
-                self.planner.ordered(&plan.machine, self.now);
+                self.planner.record_order(&plan.machine, self.now);
                 self.machines.get_mut(&plan.machine).expect("listed").pool = plan.to.clone();
             }
         }
--- a/crates/scheduler/src/confirm.rs
+++ b/crates/scheduler/src/confirm.rs
@@ -8,7 +8,7 @@
 use crate::clock;
 use crate::node::Node;
 use celerythread_adapter::store::{Error, Name, Row, Transaction};
-use celerythread_engine::patience::is_lost;
+use celerythread_engine::timeout::is_write_lost;
 use futures::future::{Either, select};
 use std::pin::pin;
 use std::time::Duration;
@@ -42,7 +42,7 @@
     let began = clock::now();
     let mut answer = pin!(node.commit_patiently(change, limit));
     loop {
-        let wait = node.patience.lock().limit();
+        let wait = node.patience.lock().current();
         let overdue = pin!(async_std::task::sleep(wait));
         let error = match select(answer.as_mut(), overdue).await {
             Either::Left((Err(error @ Error::Unanswered { .. }), _)) => Some(error),
@@ -54,7 +54,7 @@
             let row = read(node, name).await.unwrap_or_default();
             return row.filter(is_done).map(Confirmed::Found).ok_or(error);
         }
-        node.patience.lock().unanswered();
+        node.patience.lock().record_timeout();
         let asked = clock::now();
         let reading = pin!(read(node, name));
         match select(answer.as_mut(), reading).await {
@@ -66,7 +66,7 @@
                     return Ok(Confirmed::Found(row));
                 }
                 let now = clock::now();
-                if is_lost(now.since(began), now.since(asked)) {
+                if is_write_lost(now.since(began), now.since(asked)) {
                     return Err(unsure("a read does not show it".into()));
                 }
             }
--- a/crates/scheduler/src/fleet.rs
+++ b/crates/scheduler/src/fleet.rs
@@ -164,7 +164,7 @@
     let state = State {
         waves: maintenance_plan::Planner::new(settings),
         pools: pool_plan::Planner::new(pool_plan::Settings {
-            at_once: (node.settings.orders_per_s / LOOKS_PER_S).max(1.0) as usize,
+            max_moves_per_pool: (node.settings.orders_per_s / LOOKS_PER_S).max(1.0) as usize,
             ..pool_plan::Settings::default()
         }),
         ..State::default()
--- a/crates/scheduler/src/fleet/list.rs
+++ b/crates/scheduler/src/fleet/list.rs
@@ -38,7 +38,7 @@
 fn is_due(fleet: &Fleet) -> bool {
     let empties = !fleet.node().view.read().emptying.is_empty();
     let state = fleet.state.lock();
-    let busy = empties || state.waves.has_open_waves() || state.pools.is_busy();
+    let busy = empties || state.waves.has_open_waves() || state.pools.has_moves_under_way();
     let limit = if busy { BUSY } else { IDLE };
     state.list.read.is_none_or(|read| clock::now().since(read) >= limit)
 }
--- a/crates/scheduler/src/fleet/maintenance.rs
+++ b/crates/scheduler/src/fleet/maintenance.rs
@@ -128,7 +128,7 @@
         let (name, mut seen) = seen(machine);
         seen.occupation = work.occupation(machine);
         let waits = state.is_held_back(&name) || state.dropping.contains(&name);
-        seen.up &= !waits && !state.pools.is_underway(&name);
+        seen.up &= !waits && !state.pools.is_moving(&name);
         (name, seen)
     };
     state.list.machines.iter().map(see).collect()
--- a/crates/scheduler/src/fleet/pools.rs
+++ b/crates/scheduler/src/fleet/pools.rs
@@ -39,7 +39,7 @@
             let ago = Duration::from_millis(clock::wall_ms().saturating_sub(history.began_ms));
             let mut state = fleet.state.lock();
             state.pools.resume_turn(clock::now() - ago);
-            state.pools.restore(history);
+            state.pools.restore_history(history);
         }
         Ok(Some(Err(error))) => node.journal.warn("turns_unreadable", &[("reason", &error)]),
         Ok(None) => {}
@@ -167,7 +167,7 @@
     };
     let left = emptying::begin(fleet, moves.iter().map(leaver).collect()).await;
     let mut state = fleet.state.lock();
-    left.iter().for_each(|machine| state.pools.abandon(machine));
+    left.iter().for_each(|machine| state.pools.cancel_move(machine));
 }
 
 /// Orders the moves of machines that are empty by now.
@@ -192,7 +192,7 @@
     let by = fleet.authority();
     let answer = fleet.client.change_pool(&plan.machine, &plan.to, &by, CALL_LIMIT).await;
     let (ordered, outcome) = Ordered::read(answer);
-    let waited = clock::now().since(plan.since);
+    let waited = clock::now().since(plan.decided_at);
     node.journal.note(
         "move_ordered",
         &[
@@ -211,9 +211,9 @@
         // nothing is started on the old one, which may be listed for some seconds more.
         Ordered::Done => {
             node.metrics.count(Counter::Moves);
-            state.pools.ordered(&plan.machine, clock::now());
+            state.pools.record_order(&plan.machine, clock::now());
         }
-        Ordered::Refused | Ordered::Unknown => state.pools.abandon(&plan.machine),
+        Ordered::Refused | Ordered::Unknown => state.pools.cancel_move(&plan.machine),
         // Ordered again with the next step.
         Ordered::PutOff => {}
     }
@@ -221,11 +221,11 @@
 
 async fn give_up_overdue(fleet: &Fleet) {
     let node = fleet.node();
-    let overdue = fleet.state.lock().pools.overdue(clock::now());
+    let overdue = fleet.state.lock().pools.overdue_moves(clock::now());
     let mut rows = Vec::new();
     for plan in overdue {
         let mut state = fleet.state.lock();
-        state.pools.abandon(&plan.machine);
+        state.pools.cancel_move(&plan.machine);
         node.journal.note("move_given_up", &[("machine", &plan.machine), ("to", &plan.to)]);
         // One that may have been ordered keeps its row for the lease.
         if !state.is_held_back(&plan.machine) {
@@ -249,11 +249,11 @@
             "pool_balance",
             &[
                 ("pool", &pool),
-                ("asked", &balance.asked),
+                ("asked", &balance.demand),
                 ("lasting", &balance.lasting),
-                ("has", &balance.has),
-                ("on_their_way", &balance.on_their_way),
-                ("needs", &balance.needs),
+                ("has", &balance.present),
+                ("on_their_way", &balance.arriving),
+                ("needs", &balance.needed),
                 ("idle", &balance.idle),
             ],
         );
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -20,8 +20,8 @@
 use celerythread_engine::cell::Permit;
 use celerythread_engine::outage::Outage;
 use celerythread_engine::ownership::{self, Holding};
-use celerythread_engine::patience::Patience;
 use celerythread_engine::time::Time;
+use celerythread_engine::timeout::Timeout;
 use celerythread_sync::Wake;
 use parking_lot::{Mutex, RwLock};
 use std::collections::{BTreeMap, HashSet};
@@ -152,7 +152,7 @@
     /// Figures.
     pub(crate) metrics: Arc<Metrics>,
     /// How long transactions of the store are waited for.
-    pub(crate) patience: Mutex<Patience>,
+    pub(crate) patience: Mutex<Timeout>,
     /// What is known of the renewals of this entry's row.
     renewal: Mutex<Renewal>,
     /// Whether the store is away.
@@ -314,7 +314,7 @@
         change: &store::Transaction,
         limit: Duration,
     ) -> Result<u64, store::Error> {
-        let limit = limit.min(self.patience.lock().limit());
+        let limit = limit.min(self.patience.lock().current());
         self.commit_patiently(change, limit).await
     }
 
@@ -329,8 +329,8 @@
         let took = clock::now().since(began);
         self.metrics.time(crate::metrics::Timing::Commit, took);
         match &result {
-            Ok(_) | Err(store::Error::Conflict { .. }) => self.patience.lock().answered(took),
-            Err(store::Error::Unanswered { .. }) => self.patience.lock().unanswered(),
+            Ok(_) | Err(store::Error::Conflict { .. }) => self.patience.lock().record_answer(took),
+            Err(store::Error::Unanswered { .. }) => self.patience.lock().record_timeout(),
             Err(_) => {}
         }
         self.store_result(&result);
--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -271,7 +271,7 @@
             ),
             (
                 "a write is lost only by the measure of a read",
-                "engine::patience::is_lost",
+                "engine::timeout::is_write_lost",
                 "a_write_is_lost_only_by_the_measure_of_a_read",
             ),
             (
