--- a/crates/engine/src/cell/quota.rs
+++ b/crates/engine/src/cell/quota.rs
@@ -69,7 +69,7 @@
     /// Counts a run that is ordered.
     pub(crate) fn take(&mut self, charge: Option<Charge>) {
         if let Some(Charge { account, need }) = charge {
-            self.get_mut(account).start(&need);
+            self.get_mut(account).count_start(&need);
         }
     }
 
@@ -110,7 +110,7 @@
     ) {
         for (workspace, version, split) in splits {
             let id = self.accounts.open(&workspace, self.holder(), now);
-            self.accounts.get_mut(id).read(version, Some(split), now);
+            self.accounts.get_mut(id).apply_row(version, Some(split), now);
         }
     }
 
@@ -132,7 +132,7 @@
             .accounts
             .list
             .iter_mut()
-            .filter_map(|account| account.change(&room, now))
+            .filter_map(|account| account.next_change(&room, now))
             .take(MAX_CHANGES)
             .collect();
         if !changes.is_empty() {
@@ -143,12 +143,12 @@
 
     /// Notes that changes were carried out and gave their rows this version.
     pub fn splits_written(&mut self, changes: &[Change], version: u64, now: Time) {
-        self.each_changed(changes, |account, change| account.written(change, version, now));
+        self.each_changed(changes, |account, change| account.record_write(change, version, now));
     }
 
     /// Notes that changes were certainly not carried out.
     pub fn splits_refused(&mut self, changes: &[Change]) {
-        self.each_changed(changes, Account::refused);
+        self.each_changed(changes, Account::record_refusal);
     }
 
     fn each_changed(&mut self, changes: &[Change], work: impl Fn(&mut Account, &Change)) {
@@ -175,11 +175,11 @@
             return;
         }
         self.settle_accounts(now);
-        self.accounts.list.iter_mut().for_each(Account::begin);
+        self.accounts.list.iter_mut().for_each(Account::reset_counts);
         let first_own = self.next_run(0);
         for run in self.minions.values().flat_map(|minion| minion.runs.values()) {
             if let Some(Charge { account, need }) = run.charge {
-                self.accounts.get_mut(account).count(&need, run.number >= first_own);
+                self.accounts.get_mut(account).count_run(&need, run.number >= first_own);
             }
         }
     }
@@ -221,10 +221,10 @@
         let is_gang = job.accepted.definition.steps[name.step as usize].gang;
         let is_first = !job.held_back;
         let account = self.accounts.get_mut(id);
-        let is_larger = account.is_larger(unit);
+        let is_larger = account.exceeds_limit(unit);
         // A gang beyond the whole limit would take all of it and still not start.
         if !(is_gang && is_larger) {
-            account.want(unit, count);
+            account.record_wanted(unit, count);
         }
         if is_first {
             self.note_held(name, id, *unit, is_larger, now);
--- a/crates/engine/src/quota/account.rs
+++ b/crates/engine/src/quota/account.rs
@@ -7,22 +7,22 @@
 use std::time::Duration;
 
 /// How long a share that isn't needed any more is kept, for work that comes back.
-const KEEP: Duration = Duration::from_millis(1000);
+const IDLE_SHARE_RETENTION: Duration = Duration::from_millis(1000);
 
 /// How long the first limit of a workspace that had none is waited for to be split by what runs.
-const FIRST_COUNT: Duration = Duration::from_millis(2000);
+const FIRST_LIMIT_DELAY: Duration = Duration::from_millis(2000);
 
 /// Of what is free, the part taken in advance when a share is raised anyway.
-const AHEAD: u64 = 4;
+const ADVANCE_DIVISOR: u64 = 4;
 
 /// Time between two changes that only tell others that are short that it is their turn.
-const GIVE_PLACE: Duration = Duration::from_millis(200);
+const MIN_YIELD_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Least part of a limit that is worth a transaction to give back while nobody asks for it.
-const WORTH_RETURNING: u64 = 8;
+const MIN_RETURN_DIVISOR: u64 = 8;
 
 /// The same while others ask for it.
-const WORTH_GIVING: u64 = 32;
+const MIN_YIELD_DIVISOR: u64 = 32;
 
 /// A change of a split that may still be carried out.
 #[derive(Clone, Copy, Debug)]
@@ -32,7 +32,7 @@
     /// This cell's share as it was written.
     share: Share,
     /// The share that a former owner had before.
-    former: Resources,
+    former_size: Resources,
 }
 
 /// Who keeps an account.
@@ -55,28 +55,28 @@
     limit: Limit,
     configuration: u64,
     /// The configuration by which the limit last fell.
-    fell: u64,
+    lowered_by: u64,
     /// Nothing is started before.
-    held_until: Time,
+    starts_held_until: Time,
     /// The split as last read, with its row's version, and when; none before the first read.
     split: Split,
     version: u64,
-    read: Option<Time>,
+    confirmed_at: Option<Time>,
     pending: SmallVec<[Pending; 1]>,
     /// What a former owner may have running where this one doesn't see it yet; none once all minions told.
-    former: Option<Resources>,
+    former_usage: Option<Resources>,
     /// What this owner has running and what it took over.
-    own: Resources,
-    adopted: Resources,
+    own_usage: Resources,
+    adopted_usage: Resources,
     /// What the last plan could not start for want of a share, and the smallest task of it.
-    wants: Resources,
-    smallest: Option<Resources>,
+    wanted: Resources,
+    smallest_wanted: Option<Resources>,
     /// The same of the plan before.
-    smallest_before: Option<Resources>,
+    previous_smallest_wanted: Option<Resources>,
     /// Whether a task was started since this cell's share was last written.
-    started: bool,
+    started_since_write: bool,
     /// When this cell's share was last to be written.
-    wrote: Time,
+    last_write: Time,
     /// The most in use of late, and since when.
     peak: Resources,
     peak_since: Time,
@@ -92,20 +92,20 @@
             holder,
             limit: Limit::default(),
             configuration: 0,
-            fell: 0,
-            held_until: Time(0),
+            lowered_by: 0,
+            starts_held_until: Time(0),
             split: Split::default(),
             version: 0,
-            read: None,
+            confirmed_at: None,
             pending: SmallVec::new(),
-            former: (!settled).then(Resources::default),
-            own: Resources::default(),
-            adopted: Resources::default(),
-            wants: Resources::default(),
-            smallest: None,
-            smallest_before: None,
-            started: false,
-            wrote: Time(0),
+            former_usage: (!settled).then(Resources::default),
+            own_usage: Resources::default(),
+            adopted_usage: Resources::default(),
+            wanted: Resources::default(),
+            smallest_wanted: None,
+            previous_smallest_wanted: None,
+            started_since_write: false,
+            last_write: Time(0),
             peak: Resources::default(),
             peak_since: now,
         }
@@ -117,10 +117,11 @@
             return;
         }
         if !limit.0.holds(&self.limit.0) {
-            self.fell = configuration;
+            self.lowered_by = configuration;
             // Nothing was counted until now; the other cells write what they have running.
             let was_unlimited = self.configuration > 0 && self.limit.is_unlimited();
-            self.held_until = if was_unlimited { now + FIRST_COUNT } else { self.held_until };
+            self.starts_held_until =
+                if was_unlimited { now + FIRST_LIMIT_DELAY } else { self.starts_held_until };
         }
         self.limit = limit;
         self.configuration = configuration;
@@ -133,70 +134,71 @@
     }
 
     /// Takes in the row; none where there is none.  Answers may overtake each other, so an older one is left.
-    pub fn read(&mut self, version: u64, split: Option<Split>, now: Time) {
+    pub fn apply_row(&mut self, version: u64, split: Option<Split>, now: Time) {
         if version < self.version {
             return;
         }
-        self.read = Some(now);
+        self.confirmed_at = Some(now);
         let before = std::mem::replace(&mut self.version, version);
         self.split = split.unwrap_or_default();
         if version == before {
             return;
         }
-        let mine = self.mine();
-        let is_done = |pending: &&Pending| pending.version == before && mine == Some(pending.share);
-        if let Some(former) = self.pending.iter().find(is_done).map(|pending| pending.former) {
-            self.take_over(former);
+        let own_share = self.own_share();
+        let is_done =
+            |pending: &&Pending| pending.version == before && own_share == Some(pending.share);
+        if let Some(former) = self.pending.iter().find(is_done).map(|pending| pending.former_size) {
+            self.adopt_former_share(former);
         }
         self.pending.retain(|pending| pending.version >= version);
     }
 
     /// Notes that the row was certain to be as it is known at `now`.
     pub fn confirm(&mut self, now: Time) {
-        self.read = Some(now);
+        self.confirmed_at = Some(now);
     }
 
     /// Notes that a change of this owner's was carried out and gave the row this version.
-    pub fn written(&mut self, change: &Change, version: u64, now: Time) {
+    pub fn record_write(&mut self, change: &Change, version: u64, now: Time) {
         if version > self.version {
-            self.read(version, Some(change.split.clone()), now);
+            self.apply_row(version, Some(change.split.clone()), now);
         }
     }
 
     /// Notes that a change was certainly not carried out.
-    pub fn refused(&mut self, change: &Change) {
+    pub fn record_refusal(&mut self, change: &Change) {
         self.pending.retain(|pending| pending.version != change.version);
     }
 
-    fn take_over(&mut self, former: Resources) {
-        if let Some(known) = &mut self.former {
+    fn adopt_former_share(&mut self, former: Resources) {
+        if let Some(known) = &mut self.former_usage {
             *known = known.max(&former);
         }
     }
 
     /// Notes that all that a former owner started is seen or over.
     pub fn settle(&mut self) {
-        self.former = None;
+        self.former_usage = None;
     }
 
     /// Forgets what runs and what is wanted, before both are counted anew.
-    pub fn begin(&mut self) {
-        self.own = Resources::default();
-        self.adopted = Resources::default();
-        self.wants = Resources::default();
-        self.smallest_before = self.smallest.take();
+    pub fn reset_counts(&mut self) {
+        self.own_usage = Resources::default();
+        self.adopted_usage = Resources::default();
+        self.wanted = Resources::default();
+        self.previous_smallest_wanted = self.smallest_wanted.take();
     }
 
     /// Counts a run; `own` if this owner ordered it.
-    pub fn count(&mut self, need: &Resources, own: bool) {
-        let sum = if own { &mut self.own } else { &mut self.adopted };
+    pub fn count_run(&mut self, need: &Resources, own: bool) {
+        let sum = if own { &mut self.own_usage } else { &mut self.adopted_usage };
         *sum = sum.plus(need);
     }
 
     /// Counts a run that is ordered now.
-    pub fn start(&mut self, need: &Resources) {
-        self.count(need, true);
-        self.started = true;
+    pub fn count_start(&mut self, need: &Resources) {
+        self.count_run(need, true);
+        self.started_since_write = true;
     }
 
     /// All that may be running in this cell.
@@ -204,21 +206,21 @@
     /// Until all minions have told, a former owner's runs are taken to fill its whole share; those seen already are
     /// among them.
     pub fn in_use(&self) -> Resources {
-        match &self.former {
-            Some(former) => self.own.plus(&former.max(&self.adopted)),
-            None => self.own.plus(&self.adopted),
+        match &self.former_usage {
+            Some(former) => self.own_usage.plus(&former.max(&self.adopted_usage)),
+            None => self.own_usage.plus(&self.adopted_usage),
         }
     }
 
     /// This cell's share, if its present owner has written it.
-    fn mine(&self) -> Option<Share> {
+    fn own_share(&self) -> Option<Share> {
         let share = self.split.shares.get(&self.holder.cell)?;
         (share.token == self.holder.token).then_some(*share)
     }
 
     /// The size of this cell's share that certainly holds: a change that may still be carried out can lower it.
-    fn size(&self) -> Resources {
-        let size = self.mine().map(|share| share.size).unwrap_or_default();
+    fn confirmed_size(&self) -> Resources {
+        let size = self.own_share().map(|share| share.size).unwrap_or_default();
         let pending = self.pending.iter().filter(|pending| pending.version == self.version);
         pending.fold(size, |size, pending| size.min(&pending.share.size))
     }
@@ -234,7 +236,7 @@
         if claims.is_empty() {
             return None;
         }
-        claims.push(self.claim());
+        claims.push(self.own_claim());
         claims.sort_by_key(|claim| (claim.since, claim.cell));
         let limit = self.limit().0;
         let fair = limit.divided_by(claims.len() as u64);
@@ -261,21 +263,21 @@
     }
 
     /// This cell's own claim; one that is not short comes last.
-    fn claim(&self) -> Claim<'_> {
+    fn own_claim(&self) -> Claim<'_> {
         let cell = &self.holder.cell;
         let Share { size, since, wanted, least, .. } = self.split.share(cell);
         let in_use = self.in_use();
         // While a plan is made, what waits is known from the one before.
-        let smallest = self.smallest.or(self.smallest_before);
+        let smallest = self.smallest_wanted.or(self.previous_smallest_wanted);
         match smallest {
             _ if !size.holds(&wanted) => {
                 let least = smallest.map_or(least, |smallest| in_use.plus(&smallest));
-                Claim { since, cell, wanted: wanted.max(&in_use.plus(&self.wants)), least }
+                Claim { since, cell, wanted: wanted.max(&in_use.plus(&self.wanted)), least }
             }
             Some(smallest) => Claim {
                 since: if since > 0 { since } else { self.version },
                 cell,
-                wanted: in_use.plus(&self.wants),
+                wanted: in_use.plus(&self.wanted),
                 least: in_use.plus(&smallest),
             },
             None => Claim { since: u64::MAX, cell, wanted: size, least: Resources::default() },
@@ -283,18 +285,18 @@
     }
 
     /// Whether the shares are more than the limit, as after the limit fell.
-    fn is_exceeded(&self) -> bool {
-        let others = self.split.others(&self.holder.cell);
-        let mine = self.split.share(&self.holder.cell).size;
-        !self.limit().0.holds(&others.plus(&mine))
+    fn is_limit_exceeded(&self) -> bool {
+        let others = self.split.others_total(&self.holder.cell);
+        let own_share = self.split.share(&self.holder.cell).size;
+        !self.limit().0.holds(&others.plus(&own_share))
     }
 
     /// Whether the split was written since the limit last fell.
     ///
     /// Until then an owner that hasn't heard of it may raise its share by the former limit.  Once it is written by
     /// the new configuration nobody can.
-    fn is_current(&self) -> bool {
-        self.split.configuration >= self.fell
+    fn is_split_current(&self) -> bool {
+        self.split.configuration >= self.lowered_by
     }
 
     /// Whether so many tasks may be started together now.
@@ -302,41 +304,42 @@
         if self.limit().is_unlimited() {
             return true;
         }
-        if !self.is_current() || now < self.held_until {
+        if !self.is_split_current() || now < self.starts_held_until {
             return false;
         }
         if count == 1 && self.may_start_alone(need) {
             return true;
         }
-        let size = self.size();
+        let size = self.confirmed_size();
         let size = self.target().map_or(size, |target| size.min(&target.size));
-        !self.is_exceeded() && size.holds(&self.in_use().plus(&need.times(count)))
+        !self.is_limit_exceeded() && size.holds(&self.in_use().plus(&need.times(count)))
     }
 
     /// Whether a task that is larger than the whole limit may run because nothing else of its workspace does.
     fn may_start_alone(&self, need: &Resources) -> bool {
-        let is_alone = self.split.others(&self.holder.cell).is_zero() && self.in_use().is_zero();
-        is_alone && self.is_larger(need) && self.size().holds(need)
+        let is_alone =
+            self.split.others_total(&self.holder.cell).is_zero() && self.in_use().is_zero();
+        is_alone && self.exceeds_limit(need) && self.confirmed_size().holds(need)
     }
 
     /// Whether a task needs more than the whole limit.
-    pub fn is_larger(&self, need: &Resources) -> bool {
+    pub fn exceeds_limit(&self, need: &Resources) -> bool {
         !self.limit().0.holds(need)
     }
 
     /// Notes that tasks can't be started for want of a share.
-    pub fn want(&mut self, need: &Resources, count: u64) {
-        self.wants = self.wants.plus(&need.times(count));
-        let smallest = self.smallest.map_or(*need, |smallest| smallest.min(need));
-        self.smallest = Some(smallest);
+    pub fn record_wanted(&mut self, need: &Resources, count: u64) {
+        self.wanted = self.wanted.plus(&need.times(count));
+        let smallest = self.smallest_wanted.map_or(*need, |smallest| smallest.min(need));
+        self.smallest_wanted = Some(smallest);
     }
 
     /// How the split should change now; none if it is right as far as known.
     ///
     /// `room` is what the cell's minions have free: more isn't asked for.
-    pub fn change(&mut self, room: &Resources, now: Time) -> Option<Change> {
-        self.note_peak(now);
-        if self.limit().is_unlimited() || self.read.is_none() {
+    pub fn next_change(&mut self, room: &Resources, now: Time) -> Option<Change> {
+        self.update_peak(now);
+        if self.limit().is_unlimited() || self.confirmed_at.is_none() {
             return None;
         }
         let known = self.split.share(&self.holder.cell);
@@ -353,28 +356,30 @@
             (self.configuration.max(split.configuration), self.limit());
         split.shares.insert(self.holder.cell.clone(), next);
         let change = Change { workspace: self.workspace.clone(), version: self.version, split };
-        let former = if self.mine().is_none() { known.size } else { Resources::default() };
-        self.pending.push(Pending { version: self.version, share: next, former });
-        (self.started, self.wrote) = (false, now);
+        let former_size =
+            if self.own_share().is_none() { known.size } else { Resources::default() };
+        self.pending.push(Pending { version: self.version, share: next, former_size });
+        (self.started_since_write, self.last_write) = (false, now);
         Some(change)
     }
 
     fn next_share(&self, known: &Share, room: &Resources, now: Time) -> Share {
         let size = self.next_size(known.size, room, now);
         let in_use = self.in_use();
-        let demand = in_use.plus(&self.wants.min(room));
+        let demand = in_use.plus(&self.wanted.min(room));
         let share = Share { token: self.holder.token, size, ..Share::default() };
-        let Some(smallest) = self.smallest else { return share };
+        let Some(smallest) = self.smallest_wanted else { return share };
         // Its place is kept until something is started, also once the size is enough: without it the size would go
         // to the next one before that.
-        let since = if known.since > 0 && !self.started { known.since } else { self.version };
+        let since =
+            if known.since > 0 && !self.started_since_write { known.since } else { self.version };
         let wanted = if size.holds(&demand) { Resources::default() } else { demand };
         Share { wanted, least: in_use.plus(&smallest), since, ..share }
     }
 
-    fn note_peak(&mut self, now: Time) {
+    fn update_peak(&mut self, now: Time) {
         let in_use = self.in_use();
-        if now.since(self.peak_since) > KEEP || !self.peak.holds(&in_use) {
+        if now.since(self.peak_since) > IDLE_SHARE_RETENTION || !self.peak.holds(&in_use) {
             self.peak = in_use;
             self.peak_since = now;
         }
@@ -383,93 +388,97 @@
     /// The size that this cell's share should have.
     fn next_size(&self, known: Resources, room: &Resources, now: Time) -> Resources {
         let limit = self.limit().0;
-        let others = self.split.others(&self.holder.cell);
+        let others = self.split.others_total(&self.holder.cell);
         let in_use = self.in_use();
         // What a former owner may have running keeps its share until it is seen.
-        let least = match self.mine() {
-            None if self.former.is_some() => self.own.plus(&known.max(&self.adopted)),
+        let least = match self.own_share() {
+            None if self.former_usage.is_some() => {
+                self.own_usage.plus(&known.max(&self.adopted_usage))
+            }
             _ => in_use,
         };
         let free = limit.less(&others);
-        let demand = least.plus(&self.wants.min(room));
+        let demand = least.plus(&self.wanted.min(room));
         let target = self.target();
-        if target.is_some() || self.is_exceeded() {
+        if target.is_some() || self.is_limit_exceeded() {
             let bound = target.map_or(free, |target| target.size.min(&free));
-            let starts = self.smallest.is_none_or(|need| bound.holds(&least.plus(&need)));
+            let starts = self.smallest_wanted.is_none_or(|need| bound.holds(&least.plus(&need)));
             // Parts in which no task fits would keep each other from growing.
             let keeps = starts || target.is_none_or(|target| target.is_first);
             let shared = if keeps { least.max(&demand.min(&bound)) } else { least };
-            return self.alone(&others, &least).unwrap_or(shared);
+            return self.exclusive_size(&others, &least).unwrap_or(shared);
         }
-        if self.smallest.is_some() && !known.holds(&demand) {
-            let ahead = free.less(&demand).divided_by(AHEAD);
+        if self.smallest_wanted.is_some() && !known.holds(&demand) {
+            let ahead = free.less(&demand).divided_by(ADVANCE_DIVISOR);
             let raised = least.max(&demand.plus(&ahead).min(&free)).max(&known);
-            return self.alone(&others, &least).unwrap_or(raised);
+            return self.exclusive_size(&others, &least).unwrap_or(raised);
         }
-        self.returned(known, least, now)
+        self.size_after_return(known, least, now)
     }
 
     /// The size for a task that is larger than the whole limit, when its turn has come and nothing else runs.
-    fn alone(&self, others: &Resources, least: &Resources) -> Option<Resources> {
-        let smallest = self.smallest.filter(|need| self.is_larger(need))?;
+    fn exclusive_size(&self, others: &Resources, least: &Resources) -> Option<Resources> {
+        let smallest = self.smallest_wanted.filter(|need| self.exceeds_limit(need))?;
         let is_first = self.target().is_none_or(|target| target.size.holds(&smallest));
         (is_first && others.is_zero() && least.is_zero()).then_some(smallest)
     }
 
     /// What to keep of a share for which nobody else asks.
-    fn returned(&self, known: Resources, least: Resources, now: Time) -> Resources {
+    fn size_after_return(&self, known: Resources, least: Resources, now: Time) -> Resources {
         let cells = self.split.shares.len().max(1) as u64;
         let base = self.limit().0.divided_by(2 * cells);
         let kept = known.min(&least.max(&self.peak).max(&base));
-        let idle = now.since(self.peak_since) >= KEEP / 2;
-        let is_worth = self.is_much(&known.less(&kept), WORTH_RETURNING);
+        let idle = now.since(self.peak_since) >= IDLE_SHARE_RETENTION / 2;
+        let is_worth = self.exceeds_limit_part(&known.less(&kept), MIN_RETURN_DIVISOR);
         if idle && is_worth { kept } else { known.max(&least) }
     }
 
     fn is_worth_writing(&self, known: &Share, next: &Share, now: Time) -> bool {
         // A change without an answer counts as it is worse for this cell until another one settles what became of it.
         let is_unsettled = self.pending.iter().any(|pending| pending.version == self.version);
-        if is_unsettled || !self.is_current() && !self.split.shares.is_empty() {
+        if is_unsettled || !self.is_split_current() && !self.split.shares.is_empty() {
             return true;
         }
-        if self.mine().is_none() {
+        if self.own_share().is_none() {
             return !next.size.is_zero() || !next.wanted.is_zero() || !known.size.is_zero();
         }
         let asks_anew = next.wanted.is_zero() != known.wanted.is_zero()
             || !known.wanted.times(2).holds(&next.wanted)
             || !known.least.times(2).holds(&next.least)
-            || self.is_larger(&known.least) != self.is_larger(&next.least);
+            || self.exceeds_limit(&known.least) != self.exceeds_limit(&next.least);
         let is_useful = if known.size.holds(&next.size) {
             let given = known.size.less(&next.size);
             let is_asked = !self.split.other_claims(&self.holder.cell).is_empty();
-            let is_time = is_asked && now.since(self.wrote) >= GIVE_PLACE;
-            self.is_much(&given, WORTH_GIVING) || is_time && !given.is_zero()
+            let is_time = is_asked && now.since(self.last_write) >= MIN_YIELD_INTERVAL;
+            self.exceeds_limit_part(&given, MIN_YIELD_DIVISOR) || is_time && !given.is_zero()
         } else {
-            let needed = self.in_use().plus(&self.smallest.unwrap_or_default());
+            let needed = self.in_use().plus(&self.smallest_wanted.unwrap_or_default());
             next.size.holds(&needed)
         };
-        is_useful || asks_anew || self.must_give_place(known, now)
+        is_useful || asks_anew || self.must_yield(known, now)
     }
 
     /// Whether others that are short have to learn that this cell has started something meanwhile.
-    fn must_give_place(&self, known: &Share, now: Time) -> bool {
-        let has_place = known.is_short() && self.started && now.since(self.wrote) >= GIVE_PLACE;
+    fn must_yield(&self, known: &Share, now: Time) -> bool {
+        let has_place = known.is_short()
+            && self.started_since_write
+            && now.since(self.last_write) >= MIN_YIELD_INTERVAL;
         has_place && !self.split.other_claims(&self.holder.cell).is_empty()
     }
 
     /// Whether an amount is more than a part of the limit in any resource.
-    fn is_much(&self, amount: &Resources, part: u64) -> bool {
-        let least = self.limit().0.divided_by(part);
-        amount.cpu > least.cpu || amount.memory_mb > least.memory_mb || amount.gpu > least.gpu
+    fn exceeds_limit_part(&self, amount: &Resources, divisor: u64) -> bool {
+        let min = self.limit().0.divided_by(divisor);
+        amount.cpu > min.cpu || amount.memory_mb > min.memory_mb || amount.gpu > min.gpu
     }
 
     /// What is known, for logs and operators.
     pub fn summary(&self, now: Time) -> Summary {
         Summary {
             limit: self.limit(),
-            share: self.size(),
+            share: self.confirmed_size(),
             used: self.in_use(),
-            age: self.read.map(|read| now.since(read)),
+            age: self.confirmed_at.map(|read| now.since(read)),
         }
     }
 }
--- a/crates/engine/src/quota/split.rs
+++ b/crates/engine/src/quota/split.rs
@@ -11,15 +11,19 @@
 pub struct Limit(pub Resources);
 
 /// An amount that no limit comes near; sums of a few of it stay far from overflowing.
-const ANY: u64 = 1 << 50;
+const UNLIMITED_AMOUNT: u64 = 1 << 50;
 
 impl Limit {
     /// No limit in any resource.
-    pub const UNLIMITED: Limit = Limit(Resources { cpu: ANY, memory_mb: ANY, gpu: ANY });
+    pub const UNLIMITED: Limit = Limit(Resources {
+        cpu: UNLIMITED_AMOUNT,
+        memory_mb: UNLIMITED_AMOUNT,
+        gpu: UNLIMITED_AMOUNT,
+    });
 
     /// Whether one of its amounts bounds nothing.
-    fn is_any(amount: u64) -> bool {
-        amount >= ANY
+    fn is_unlimited_amount(amount: u64) -> bool {
+        amount >= UNLIMITED_AMOUNT
     }
 
     /// Whether it bounds nothing.
@@ -31,7 +35,11 @@
 impl fmt::Display for Limit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let amount = |amount: u64, unit: &str| {
-            if Self::is_any(amount) { "any".to_owned() } else { format!("{amount}{unit}") }
+            if Self::is_unlimited_amount(amount) {
+                "any".to_owned()
+            } else {
+                format!("{amount}{unit}")
+            }
         };
         let Resources { cpu, memory_mb, gpu } = self.0;
         write!(f, "{}/{}/{}", amount(cpu, "m"), amount(memory_mb, "MB"), amount(gpu, ""))
@@ -92,7 +100,7 @@
 
 impl Split {
     /// The sum of all shares but that of `cell`.
-    pub(crate) fn others(&self, cell: &str) -> Resources {
+    pub(crate) fn others_total(&self, cell: &str) -> Resources {
         let others = self.shares.iter().filter(|(name, _)| ***name != *cell);
         others.fold(Resources::default(), |sum, (_, share)| sum.plus(&share.size))
     }
--- a/crates/engine/tests/all/quota.rs
+++ b/crates/engine/tests/all/quota.rs
@@ -66,8 +66,8 @@
 
 /// Writes a change that is due, as the store would carry it out.
 fn write(account: &mut Account, version: u64, at: u64) -> Option<Split> {
-    let change = account.change(&ROOM, Time(at))?;
-    account.written(&change, version, Time(at));
+    let change = account.next_change(&ROOM, Time(at))?;
+    account.record_write(&change, version, Time(at));
     Some(change.split)
 }
 
@@ -77,16 +77,16 @@
     let mut account = account("cell", false);
     let former = Share { token: 3, size: cores(80), ..Share::default() };
     let shares = [("cell".into(), former)].into_iter().collect();
-    account.read(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
-    account.begin();
+    account.apply_row(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
+    account.reset_counts();
     assert!(!account.may_start(&cores(1), 1, Time(0)), "its token isn't written");
-    account.want(&cores(1), 30);
+    account.record_wanted(&cores(1), 30);
     write(&mut account, 6, 10);
-    account.begin();
+    account.reset_counts();
     assert!(account.may_start(&cores(20), 1, Time(10)));
     assert!(!account.may_start(&cores(21), 1, Time(10)));
     account.settle();
-    account.count(&cores(50), false);
+    account.count_run(&cores(50), false);
     assert!(account.may_start(&cores(50), 1, Time(10)));
 }
 
@@ -94,16 +94,16 @@
 #[test]
 fn a_share_that_may_have_been_lowered_counts_as_lowered() {
     let mut account = account("cell", true);
-    account.begin();
-    account.want(&cores(10), 8);
+    account.reset_counts();
+    account.record_wanted(&cores(10), 8);
     write(&mut account, 1, 0).unwrap();
     assert!(account.may_start(&cores(80), 1, Time(0)));
     // Nothing is needed for a while, and the transaction that gives it back isn't answered.
-    account.begin();
+    account.reset_counts();
     for at in [1500, 2200, 2900, 3600] {
-        account.change(&ROOM, Time(at));
+        account.next_change(&ROOM, Time(at));
     }
-    account.begin();
+    account.reset_counts();
     assert!(!account.may_start(&cores(80), 1, Time(3600)));
 }
 
@@ -114,8 +114,8 @@
     let other = Share { token: 3, size: cores(60), ..Share::default() };
     let own = Share { token: 7, size: cores(20), ..Share::default() };
     let shares = [("cell".into(), own), ("other".into(), other)].into_iter().collect();
-    account.read(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
-    account.begin();
+    account.apply_row(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
+    account.reset_counts();
     assert!(account.may_start(&cores(5), 1, Time(0)));
     account.configure(limit(50), 2, Time(10));
     assert!(!account.may_start(&cores(5), 1, Time(10)));
@@ -130,8 +130,8 @@
     let other = Share { token: 3, size: cores(10), ..Share::default() };
     let own = Share { token: 7, size: cores(20), ..Share::default() };
     let shares = [("cell".into(), own), ("other".into(), other)].into_iter().collect();
-    account.read(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
-    account.begin();
+    account.apply_row(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
+    account.reset_counts();
     account.configure(limit(50), 2, Time(10));
     assert!(!account.may_start(&cores(5), 1, Time(10)), "the other may raise its share to 80");
     let split = write(&mut account, 6, 20).expect("the new configuration is written");
@@ -143,11 +143,11 @@
 #[test]
 fn a_task_larger_than_the_limit_runs_alone() {
     let mut account = account("cell", true);
-    account.begin();
-    account.want(&cores(120), 2);
+    account.reset_counts();
+    account.record_wanted(&cores(120), 2);
     write(&mut account, 1, 0).unwrap();
     assert!(account.may_start(&cores(120), 1, Time(0)));
-    account.count(&cores(120), true);
+    account.count_run(&cores(120), true);
     assert!(!account.may_start(&cores(120), 1, Time(0)));
     assert!(!account.may_start(&cores(1), 1, Time(0)));
 }
@@ -159,16 +159,16 @@
     let asking = Share { token: 3, wanted: cores(40), least: cores(5), ..Share::default() };
     let own = Share { token: 7, size: cores(100), ..Share::default() };
     let shares = [("cell".into(), own), ("other".into(), asking)].into_iter().collect();
-    account.read(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
-    account.begin();
-    account.count(&cores(90), true);
+    account.apply_row(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
+    account.reset_counts();
+    account.count_run(&cores(90), true);
     assert!(!account.may_start(&cores(1), 1, Time(0)));
     let split = write(&mut account, 6, 0).unwrap();
     assert_eq!(split.shares["cell"].size, cores(90));
     // As its tasks end, their part goes to the other cell down to a half for each.
-    account.begin();
-    account.count(&cores(30), true);
-    account.want(&cores(1), 60);
+    account.reset_counts();
+    account.count_run(&cores(30), true);
+    account.record_wanted(&cores(1), 60);
     let split = write(&mut account, 7, 50).unwrap();
     assert_eq!(split.shares["cell"].size, cores(50));
 }
--- a/crates/engine/tests/all/quota/model.rs
+++ b/crates/engine/tests/all/quota/model.rs
@@ -221,7 +221,7 @@
             }
             if now >= owner.reads {
                 let split = (self.version > 0).then(|| self.split.clone());
-                owner.account.read(self.version, split, now);
+                owner.account.apply_row(self.version, split, now);
                 owner.account.confirm(now);
                 owner.reads = now + Duration::from_millis(self.random.random_range(20..100));
                 owner.hears = now + Duration::from_millis(self.random.random_range(0..400));
@@ -250,11 +250,11 @@
         if now.since(owner.contact) > ALONE {
             return Ok(());
         }
-        owner.account.begin();
+        owner.account.reset_counts();
         let (token, settled) = (owner.token, owner.settled);
         for run in self.runs.iter().filter(|run| run.cell == cell) {
             if run.token == token || settled {
-                owner.account.count(&cores(run.cores), run.token == token);
+                owner.account.count_run(&cores(run.cores), run.token == token);
             }
         }
         let mut waiting = std::mem::take(&mut self.cells[cell].waiting);
@@ -262,12 +262,12 @@
         for (need, since) in waiting.drain(..) {
             let owner = &mut self.cells[cell].owners[index];
             if owner.account.may_start(&cores(need), 1, now) {
-                owner.account.start(&cores(need));
+                owner.account.count_start(&cores(need));
                 let lasts = Duration::from_millis(self.random.random_range(100..1500));
                 self.check_start(need)?;
                 self.runs.push(Run { cell, cores: need, token, ends: now + lasts });
             } else {
-                owner.account.want(&cores(need), 1);
+                owner.account.record_wanted(&cores(need), 1);
                 kept.push((need, since));
             }
         }
@@ -295,7 +295,7 @@
         if now < owner.busy_until || now < owner.cut_until {
             return;
         }
-        let Some(change) = owner.account.change(&ROOM, now) else { return };
+        let Some(change) = owner.account.next_change(&ROOM, now) else { return };
         let fate = if now < CALM { self.random.random_range(0..20) } else { 19 };
         let owner = &mut self.cells[cell].owners[index];
         owner.busy_until = now + Duration::from_millis(20);
@@ -310,16 +310,16 @@
                 owner.busy_until = now + Duration::from_millis(500);
                 self.carry_out(&change);
             }
-            3 => owner.account.refused(&change),
+            3 => owner.account.record_refusal(&change),
             _ => {
                 if self.carry_out(&change) {
                     let version = self.version;
-                    self.cells[cell].owners[index].account.written(&change, version, now);
+                    self.cells[cell].owners[index].account.record_write(&change, version, now);
                 } else {
                     let (version, split) = (self.version, self.split.clone());
                     let owner = &mut self.cells[cell].owners[index];
-                    owner.account.refused(&change);
-                    owner.account.read(version, Some(split), now);
+                    owner.account.record_refusal(&change);
+                    owner.account.apply_row(version, Some(split), now);
                 }
             }
         }
--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -348,7 +348,7 @@
         guards: &[
             (
                 "shares are written on condition of the split's version",
-                "engine::quota::account::Account::change",
+                "engine::quota::account::Account::next_change",
                 "the_model_sees_a_limit_that_is_broken",
             ),
             (
@@ -358,7 +358,7 @@
             ),
             (
                 "a share that may have been lowered counts as lowered",
-                "engine::quota::account::Account::size",
+                "engine::quota::account::Account::confirmed_size",
                 "a_share_that_may_have_been_lowered_counts_as_lowered",
             ),
             (
@@ -368,7 +368,7 @@
             ),
             (
                 "nothing starts before the split is written by a lower limit's configuration",
-                "engine::quota::account::Account::is_current",
+                "engine::quota::account::Account::is_split_current",
                 "nothing_starts_before_the_split_is_written_by_the_lower_limit",
             ),
             (
