--- a/crates/engine/src/cell/load.rs
+++ b/crates/engine/src/cell/load.rs
@@ -27,7 +27,7 @@
         let settled = self.is_settled(now);
         let mean = Mean::of(self.minions.values());
         for job in self.active.iter().filter_map(|id| self.jobs.get(id)) {
-            load.least = load.least.max(spread_over(job));
+            load.min_minions = load.min_minions.max(spread_over(job));
             if settled || !job.inherited {
                 let is_late = self.rank(job, now).class > 1;
                 load.waiting += waiting(job, &mean) / if is_late { LATE } else { 1 };
@@ -40,7 +40,7 @@
             };
             let (working, lasting) = (of(false), of(true));
             load.working += working;
-            load.lasting += lasting;
+            load.long_running += lasting;
             load.minions += 1;
             let id = || minion.id.to_string();
             if minion.leaving {
--- a/crates/engine/src/maintenance.rs
+++ b/crates/engine/src/maintenance.rs
@@ -44,7 +44,7 @@
     /// It works on tasks that end; thousandths of cores in use.
     Working(u64),
     /// It has lasting tasks, which leave one after the other, or nobody tells what it does.
-    Lasting,
+    LongRunning,
 }
 
 /// A machine as the platform lists it.
@@ -347,15 +347,15 @@
         let mut chosen: Vec<_> =
             with_occupation(|one| one == Occupation::Idle).take(free).collect();
         self.in_use += chosen.len();
-        let mut lasting = with_occupation(|one| one == Occupation::Lasting);
+        let mut long_running = with_occupation(|one| one == Occupation::LongRunning);
         let mut working = with_occupation(|one| matches!(one, Occupation::Working(_)));
-        let mut is_lasting_next = false;
+        let mut is_long_running_next = false;
         while self.in_use < self.paced_max {
-            is_lasting_next = !is_lasting_next;
-            let next = if is_lasting_next {
-                lasting.next().or_else(|| working.next())
+            is_long_running_next = !is_long_running_next;
+            let next = if is_long_running_next {
+                long_running.next().or_else(|| working.next())
             } else {
-                working.next().or_else(|| lasting.next())
+                working.next().or_else(|| long_running.next())
             };
             let Some(next) = next else { break };
             chosen.push(next);
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -63,7 +63,8 @@
     /// Thousandths of cores in use by tasks that end.
     pub working: u64,
     /// Thousandths of cores in use by lasting tasks.
-    pub lasting: u64,
+    #[serde(rename = "lasting")]
+    pub long_running: u64,
     /// Thousandths of cores of a minion, on average.
     pub minion_cpu: u64,
     /// Minions without lasting tasks, and what is in use on each in thousandths of cores.
@@ -73,7 +74,8 @@
     /// Minions that take work.
     pub minions: usize,
     /// Minions that the lasting tasks need so that no more of a step are together than allowed.
-    pub least: usize,
+    #[serde(rename = "least")]
+    pub min_minions: usize,
 }
 
 /// A machine as the platform lists it.
@@ -122,7 +124,7 @@
     /// Cores that its tasks ask for, but for lasting ones.
     pub demand: u64,
     /// Cores in use by lasting tasks.
-    pub lasting: u64,
+    pub long_running: u64,
     /// Machines in it that stay.
     pub present: usize,
     /// Machines that are to come.
@@ -258,7 +260,7 @@
                 + self.pending.values().filter(|plan| plan.to == *pool).count();
             let balance = Balance {
                 demand: self.finite_demand(load) / 1000,
-                lasting: load.lasting / 1000,
+                long_running: load.long_running / 1000,
                 present: self.machine_count(pool, machines) - arriving,
                 arriving,
                 needed: self.machines_needed(load),
@@ -312,7 +314,7 @@
             let Some((pool, load)) = round.loads.get_key_value(&pool) else { continue };
             let chosen = round.moves.iter().filter(|plan| plan.to == *pool).count();
             let present = self.machine_count(pool, round.machines) + chosen;
-            let needed = (cores + load.lasting).div_ceil(load.minion_cpu.max(1000)) as usize;
+            let needed = (cores + load.long_running).div_ceil(load.minion_cpu.max(1000)) as usize;
             if let Some(left) = round.surplus.get_mut(pool.as_str()) {
                 *left = (*left).min(present.saturating_sub(needed));
             }
@@ -436,9 +438,9 @@
 
     /// Machines that a pool needs.
     fn machines_needed(&self, load: &Load) -> usize {
-        let cores = self.finite_demand(load) + load.lasting;
+        let cores = self.finite_demand(load) + load.long_running;
         let machine = load.minion_cpu.max(1000);
-        let min = self.settings.min_machines.max(load.least + SPREAD_RESERVE_MACHINES);
+        let min = self.settings.min_machines.max(load.min_minions + SPREAD_RESERVE_MACHINES);
         (cores.div_ceil(machine) as usize).max(min)
     }
 
--- a/crates/engine/tests/all/maintenance.rs
+++ b/crates/engine/tests/all/maintenance.rs
@@ -171,7 +171,7 @@
                     let takes = match self.machines[&machine].occupation {
                         Occupation::Idle => 0,
                         Occupation::Working(_) => 1000,
-                        Occupation::Lasting => 3000,
+                        Occupation::LongRunning => 3000,
                     };
                     self.empties.insert(machine, now + Duration::from_millis(takes));
                 }
@@ -213,7 +213,7 @@
 fn machines_that_take_long_to_empty_are_not_left_for_the_end() {
     let mut play = Play::new(60, 20, 26_000);
     play.occupy(0..40, Occupation::Working(8000));
-    play.occupy(40..60, Occupation::Lasting);
+    play.occupy(40..60, Occupation::LongRunning);
     play.run(Time(26_000));
     assert_eq!(play.begun(), 60);
     let lasting = |name: &&String| name["machine-".len()..].parse::<usize>().unwrap() >= 40;
--- a/crates/engine/tests/all/pools.rs
+++ b/crates/engine/tests/all/pools.rs
@@ -115,7 +115,7 @@
 fn a_pool_keeps_the_machines_over_which_lasting_tasks_are_spread() {
     let mut planner = Planner::new(Settings::default());
     let mut loads = loads(400, 0);
-    loads.get_mut("b").unwrap().least = 5;
+    loads.get_mut("b").unwrap().min_minions = 5;
     let moves = planner.plan(&machines(), &loads, None, Time(0));
     assert_eq!(moves.len(), 3, "nine less five and one in reserve");
 }
--- a/crates/scheduler/src/fleet/maintenance.rs
+++ b/crates/scheduler/src/fleet/maintenance.rs
@@ -168,7 +168,7 @@
             return Occupation::Idle;
         };
         match self.in_use.get(minion) {
-            None => Occupation::Lasting,
+            None => Occupation::LongRunning,
             Some(0) => match self.surplus.get_mut(&machine.pool).filter(|left| **left > 0) {
                 Some(left) => {
                     *left -= 1;
--- a/crates/scheduler/src/fleet/pools.rs
+++ b/crates/scheduler/src/fleet/pools.rs
@@ -250,7 +250,7 @@
             &[
                 ("pool", &pool),
                 ("asked", &balance.demand),
-                ("lasting", &balance.lasting),
+                ("lasting", &balance.long_running),
                 ("has", &balance.present),
                 ("on_their_way", &balance.arriving),
                 ("needs", &balance.needed),
