--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,16 +1,16 @@
-//! The job engine: which task runs where, when a run is given up, and what is kept.
+//! The job engine: which task runs where, when a run is abandoned, and what is stored.
 //!
-//! Nothing here reads a clock or talks to a network: time comes in as [`time::Time`], what
-//! happened comes in as method calls, and what to do comes out as values.
+//! The engine does no I/O and reads no clock: time comes in as [`time::Time`], events come in as
+//! method calls, and decisions are returned as values.
 //!
-//! [`job`] is the model of a job as a caller submits it and as it is kept; [`cell`] is the
-//! state of one service, the unit that one entry instance schedules at a time; [`ownership`]
-//! decides which entry that is, [`former`] which minions of its predecessor are over; [`quota`]
-//! splits what a workspace may have running between the cells; [`lease`] computes when a
-//! minion's leases have expired;
-//! [`maintenance`] takes machines through maintenance waves, and [`pools`]
-//! moves them to where the demand is; [`timeout`] says how long to wait for an answer, [`outage`] whether
-//! there is anybody to wait for, and [`submission`] when to give a caller its time back.
+//! [`job`] is the model of a job as submitted and stored; [`cell`] is the state of one service,
+//! the unit that a single entry instance schedules; [`ownership`] decides which entry that is, and
+//! [`former`] which minions of the previous owner have terminated; [`quota`] splits a workspace's
+//! limit between the cells; [`lease`] computes when a minion's leases have expired;
+//! [`maintenance`] takes machines through maintenance waves, and [`pools`] moves them between
+//! pools as demand changes; [`timeout`] adapts timeouts to the latency of answers, [`outage`]
+//! detects that a service is unavailable, and [`submission`] decides when to stop retrying a
+//! caller's submission.
 
 pub mod cell;
 pub mod former;
--- a/crates/engine/src/maintenance.rs
+++ b/crates/engine/src/maintenance.rs
@@ -1,9 +1,9 @@
-//! Waves of maintenance: which machines are emptied, and when each goes down.
+//! Maintenance waves: which machines are emptied, and when each goes down.
 //!
-//! A machine's maintenance ends all that runs on it at once, so it is emptied first: its cell's
-//! owner moves its lasting tasks within what they may miss and lets the others finish.  Machines
-//! that are off or rest go first; how many of the others are out of service at a time is for
-//! [`pace`].
+//! A machine's maintenance ends everything that runs on it at once, so it is emptied first: the
+//! owner of its cell moves its long-running tasks, within the number that may be unavailable, and
+//! lets the others finish.  Machines that are off or idle go first; [`pace`] limits how many of
+//! the others are out of service at a time.
 
 mod pace;
 
@@ -18,10 +18,9 @@
 pub struct Settings {
     /// How long a machine is down for its maintenance.
     pub duration: Duration,
-    /// Time after an order in which the list of machines may not show it yet: two reads of
-    /// the list.
+    /// How far the list of machines may lag behind an order: two reads of the list.
     pub list_lag: Duration,
-    /// Machines emptied ahead, beyond those that may be down at once.
+    /// Machines emptied in advance, beyond those that may be down at once.
     pub extra_emptying: usize,
 }
 
@@ -35,15 +34,15 @@
     }
 }
 
-/// What a machine does, by what its absence costs.
+/// What a machine does, ordered by the cost of taking it out of service.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Occupation {
-    /// It has no minion, or its pool does without it.
+    /// It has no minion, or its pool doesn't need it.
     #[default]
     Idle,
-    /// It works on tasks that end; thousandths of cores in use.
+    /// It runs only finite tasks; the millicores in use.
     Working(u64),
-    /// It has lasting tasks, which leave one after the other, or nobody tells what it does.
+    /// It has long-running tasks, which are moved one after the other, or its work is unknown.
     LongRunning,
 }
 
@@ -52,24 +51,24 @@
 pub struct Machine {
     /// The id of its minion, if it has one.
     pub minion: Option<String>,
-    /// Whether it serves or could.
+    /// Whether it is in service or ready for it.
     pub up: bool,
     /// Whether it is down for its maintenance.
     pub in_maintenance: bool,
-    /// What it does.
+    /// What it does, by the cost of taking it out of service.
     pub occupation: Occupation,
 }
 
-/// A wave that was asked for, with how far it is.
+/// A requested wave and its progress.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Wave {
     /// Its machines.
     pub machines: Vec<String>,
-    /// Most of them down at once.
+    /// How many of them may be down at once.
     pub at_once: usize,
-    /// Milliseconds in which the maintenance of all must have begun; 0 if none were told.
+    /// Milliseconds within which the maintenance of all machines must have begun; 0 if unspecified.
     pub window_ms: u64,
-    /// When a holder first saw it, by the time of day in milliseconds since 1970.
+    /// When a planner first saw it, in milliseconds since the Unix epoch.
     pub seen_ms: u64,
     /// Machines whose maintenance has begun.
     pub begun: BTreeSet<String>,
@@ -86,7 +85,7 @@
     }
 }
 
-/// What to do next.
+/// An action for the planner's caller to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
     /// Ask the owner of a machine's minion to empty it.
@@ -110,36 +109,36 @@
     },
 }
 
-/// All waves, in the hands of whoever carries the duty.
+/// Plans all waves; used by the one entry that runs the fleet controller.
 #[derive(Debug, Default)]
 pub struct Planner {
     settings: Settings,
     waves: BTreeMap<u64, Wave>,
-    /// When each machine's maintenance was last ordered by this holder.
+    /// When this planner last ordered each machine's maintenance.
     ordered_at: BTreeMap<String, Time>,
-    /// Machines that this holder has asked to be emptied, and since when.
+    /// Machines that this planner asked to be emptied, with the time of the request.
     emptying_since: BTreeMap<String, Time>,
     pace: Pace,
 }
 
-/// What a plan goes by.
+/// The input of one round of planning.
 struct Snapshot<'a> {
     machines: &'a BTreeMap<String, Machine>,
     /// Minions asked to be emptied.
     emptying: &'a BTreeSet<String>,
-    /// Those of them that are empty.
+    /// The subset of `emptying` that is empty.
     empty: &'a BTreeSet<String>,
     now: Time,
 }
 
-/// How far a wave is, for the log and for operators.
+/// Progress of a wave, for the log and for operators.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Progress {
     /// Machines whose maintenance has not begun.
     pub left: usize,
     /// Machines that are being emptied.
     pub emptying: usize,
-    /// Machines that are down, or may be.
+    /// Machines that are down or may be.
     pub down: usize,
 }
 
@@ -149,12 +148,12 @@
         Self { settings, ..Self::default() }
     }
 
-    /// Takes in a wave; one that is known stays as it is.
+    /// Adds a wave; one that is already known is left unchanged.
     pub fn add_wave(&mut self, number: u64, wave: Wave) {
         self.waves.entry(number).or_insert(wave);
     }
 
-    /// One wave.
+    /// The wave with this number.
     pub fn wave(&self, number: u64) -> Option<&Wave> {
         self.waves.get(&number)
     }
@@ -169,20 +168,20 @@
         self.open_waves().next().is_some()
     }
 
-    /// Notes that a machine's maintenance was ordered, whether it is answered or not.
+    /// Records that a machine's maintenance was ordered, whether or not the order is answered.
     pub fn record_order(&mut self, machine: &str, now: Time) {
         self.ordered_at.insert(machine.into(), now);
     }
 
-    /// Notes that an order was refused before anything was done, so that it can be given again at once.
+    /// Records that an order was refused before it took effect, so it can be repeated at once.
     ///
-    /// Taken for one that may have been carried out, it kept its machine emptied and its place among
-    /// those that may be down for seconds; a rate limit hits dozens of machines at a time.
+    /// If it counted as possibly carried out, its machine would stay empty and occupy one of the
+    /// slots for machines that are down for seconds; a rate limit refuses dozens of orders at a time.
     pub fn record_refusal(&mut self, machine: &str) {
         self.ordered_at.remove(machine);
     }
 
-    /// Notes that a machine's maintenance has begun.
+    /// Records that a machine's maintenance has begun.
     pub fn record_start(&mut self, number: u64, machine: &str) {
         if let Some(wave) = self.waves.get_mut(&number) {
             wave.begun.insert(machine.into());
@@ -193,24 +192,24 @@
         }
     }
 
-    /// Notes that a wave was reported as completed.
+    /// Records that a wave was reported as completed.
     pub fn record_completion(&mut self, number: u64) {
         if let Some(wave) = self.waves.get_mut(&number) {
             wave.completed = true;
         }
     }
 
-    /// Whether a machine must not go to another pool just now: it is about to go down.
+    /// Whether a machine was asked to empty and must not move to another pool.
     pub fn is_emptying(&self, machine: &str) -> bool {
         self.emptying_since.contains_key(machine)
     }
 
-    /// Notes that a machine could not be asked to empty, so that it is chosen again.
+    /// Records that a machine could not be asked to empty, so that it can be chosen again.
     pub fn cancel_emptying(&mut self, machine: &str) {
         self.emptying_since.remove(machine);
     }
 
-    /// How far a wave is.
+    /// A wave's progress; the default if it is unknown.
     pub fn progress(
         &self,
         number: u64,
@@ -228,11 +227,11 @@
         Progress { left, emptying, down: self.down_count(wave, machines, now) }
     }
 
-    /// What to do next.
+    /// Decides the next actions of all open waves.
     ///
-    /// `emptying` are minions asked to be emptied, `empty` those of them that are; `wall_ms` is the
-    /// time of day in milliseconds since 1970, by which a wave's window is reckoned, since it is kept
-    /// for the next holder.
+    /// `emptying` holds the minions asked to be emptied, `empty` those of them that are.  `wall_ms`
+    /// is the wall-clock time in milliseconds since the Unix epoch; a wave's window is measured by
+    /// it because the wave is stored for later planners on other machines.
     pub fn plan(
         &mut self,
         machines: &BTreeMap<String, Machine>,
@@ -262,7 +261,7 @@
         wall_ms: u64,
         actions: &mut Vec<Action>,
     ) {
-        // One that the platform no longer has won't come back: nothing is owed for it.
+        // A machine that the platform no longer lists won't come back and needs no maintenance.
         let open = wave.machines.iter().filter(|name| !wave.begun.contains(*name));
         let open = open.filter_map(|name| Some((name, snapshot.machines.get(name)?)));
         let open: Vec<(&String, &Machine)> = open.collect();
@@ -275,7 +274,7 @@
         let mut candidates = Vec::new();
         for (name, machine) in open.iter().filter(|(_, machine)| machine.up) {
             let minion = machine.minion.as_ref();
-            // Empty by chance isn't enough: the next task may be on its way there.
+            // A minion that wasn't asked to empty can still be sent a task at any time.
             let ready = minion.is_none_or(|minion| {
                 snapshot.emptying.contains(minion) && snapshot.empty.contains(minion)
             });
@@ -301,13 +300,13 @@
         }
     }
 
-    /// Whether an order for a machine is too fresh for the list to show.
+    /// Whether an order for a machine is too recent for the list to show its effect.
     fn is_order_recent(&self, machine: &str, now: Time) -> bool {
         let list_delay = self.settings.duration + self.settings.list_lag;
         self.ordered_at.get(machine).is_some_and(|at| now.since(*at) < list_delay)
     }
 
-    /// Machines of a wave that are, or may be, down for it.
+    /// The number of a wave's machines that are, or may be, down.
     fn down_count(&self, wave: &Wave, machines: &BTreeMap<String, Machine>, now: Time) -> usize {
         let down = |name: &&String| {
             let listed = machines.get(*name).is_some_and(|machine| machine.in_maintenance);
@@ -317,22 +316,22 @@
     }
 }
 
-/// Slots for machines that are to be emptied.
+/// Slots for machines that are being emptied or down.
 struct Slots {
-    /// Most that may be emptying or down.
+    /// The number of slots.
     max: usize,
-    /// The same for machines whose absence costs something.
+    /// The number of slots that machines which aren't idle may use.
     paced_max: usize,
-    /// Those that are.
     in_use: usize,
 }
 
 impl Slots {
-    /// Chooses among candidates in the order of what their absence costs.
+    /// Chooses candidates, cheapest first.
     ///
-    /// Machines that idle go as far as is allowed.  Of the rest every other one has lasting tasks:
-    /// those leave within what their steps may miss, so they take long and must begin early, but all
-    /// places given to them would stand still together.
+    /// Idle machines may use all slots.  The rest alternate between machines with and without
+    /// long-running tasks: long-running tasks move only as far as their steps may have tasks
+    /// unavailable, so these machines take long to empty and must begin early, but if they had all
+    /// slots, the wave would make no progress meanwhile.
     fn choose<'a>(
         mut self,
         candidates: &[(Occupation, &'a String, &'a String)],
--- a/crates/engine/src/ownership.rs
+++ b/crates/engine/src/ownership.rs
@@ -1,10 +1,10 @@
-//! Which entry owns a cell, judged by the rows of a shared table.
+//! Decides which entry owns a cell, from the rows of a shared table.
 //!
-//! Every entry rewrites its own row at a fixed interval.  A cell's row names its holder and is
-//! rewritten only when the holder changes, so the row's version at that moment serves as the
-//! fencing token: it only ever rises.  Nobody compares clocks: an observer measures on its own
-//! clock for how long it has seen a holder's row unchanged, and takes over in a transaction
-//! that requires the row to be unchanged still.
+//! Every entry renews its own row at regular intervals.  A cell's row names its holder and is
+//! written only when the holder changes, so its version serves as the fencing token: it only ever
+//! increases.  Clocks of different entries are never compared: an observer measures on its own
+//! clock how long a holder's row has not changed, and takes over in a transaction that requires
+//! the row to be still unchanged.
 
 use crate::time::Time;
 use std::cmp::Reverse;
@@ -14,8 +14,8 @@
 /// Time limits of ownership.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Added for each place that another entry has before this one in the order of candidates,
-    /// so that a takeover is normally tried by one entry.
+    /// Delay of a takeover for each entry ahead of this one in the order of candidates, so that
+    /// normally only one entry tries it.
     pub stagger: Duration,
 }
 
@@ -25,80 +25,81 @@
     }
 }
 
-/// Times the duration of a renewal that is added to the term of the next one: the renewal itself
-/// and the read that shows it to others take about as long each.
+/// Multiple of a renewal's duration that is added to the term: the next renewal and the read that
+/// shows it to other entries take about as long each.
 const RENEWAL_TIME_MULTIPLIER: u32 = 2;
 
-/// The longest term, for a store that is a hundred times slower than usual.  Others wait no longer
-/// for an entry that is lost, and an owner extends no lease for longer.
+/// Longest term, which suits a store that is a hundred times slower than usual.  It bounds how long
+/// other entries wait for a lost one, and for how long an owner extends leases.
 const MAX_TERM: Duration = Duration::from_millis(3000);
 
-/// Time between two renewals for each entry there is.  Every entry reads all renewals, some 60
-/// bytes each: 18 ms keeps that at 3.4 KB a second, of the 6 KB that an instance may spend.
+/// Renewal interval per renewing entry.  Every entry reads all renewals, some 60 bytes each: 18 ms
+/// keeps that at 3.4 KB a second, of the 6 KB a second that an instance may spend.
 const RENEWAL_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(18);
 
-/// Renewals that fit into a term at the least.
+/// Least number of renewals that fit into a term.
 const MIN_RENEWALS_PER_TERM: u32 = 3;
 
-/// Time between two renewals of an entry's row, at least `least`: `owns` says whether it holds any of
-/// the `cells`.
+/// Time between two renewals of an entry's row, at least `min`; `owns` says whether the entry holds
+/// any of the `cells`.
 ///
-/// The pattern it answers: many entries, of which a few hold the cells.  With one interval for all, 147
-/// entries renewed each 2.65 s and had a term of 8 s: a cell whose holder was cut off stood still for
-/// that long, and a holder gave orders only in the first 1.5 s after each of its renewals.  Only the
-/// silence of holders matters to callers, so they renew as often as they would among themselves.
+/// Only the loss of a holder affects callers, so holders renew as often as if they were the only
+/// entries.  With one interval for all, 147 entries renewed every 2.65 s and had a term of 8 s: a
+/// cell whose holder was cut off stalled for that long, and a holder gave orders only in the first
+/// 1.5 s after each renewal.
 pub fn renewal_interval(min: Duration, entries: usize, cells: usize, owns: bool) -> Duration {
     let renewing = if owns { cells } else { entries };
     min.max(RENEWAL_INTERVAL_PER_ENTRY * renewing as u32)
 }
 
-/// Time for each entry over which rereadings of the whole table are spread.  One takes a call for each
-/// entry's row, so with 20 ms on average for each all entries together read 50 times as often as there are
-/// entries: 7,400 calls a second at 147, half of what a store for that many takes.
+/// Time per entry over which entries spread their rereads of the whole table.  A reread takes one
+/// call for each entry's row, and the mean delay is 20 ms per entry, so all entries together make
+/// 50 calls a second per entry: 7,400 a second with 147 entries, half the capacity of a store
+/// sized for them.
 const REREAD_SPREAD_PER_ENTRY: Duration = Duration::from_millis(40);
 
-/// How long an entry waits before it reads the whole table again, where a feed can't go on; `draw` is a
+/// Random delay before an entry rereads the whole table because a feed can't continue; `draw` is a
 /// random number from 0 to 1.
 ///
-/// The pattern it answers: the store forgets its history, and all entries read everything at once, a call
-/// for each of each other's rows.  At 147 entries that is 22,000 calls: the store refuses most for their
-/// rate, and refused ones are repeated at once, so that it stays so for as long as the day lasts.
+/// When the store loses its history, all entries have to reread the table.  Without a delay, 147
+/// entries make 22,000 calls at once; the store refuses most of them by its rate limit, and the
+/// immediate retries keep it overloaded permanently.
 pub fn reread_delay(entries: usize, draw: f64) -> Duration {
     (REREAD_SPREAD_PER_ENTRY * entries as u32).mul_f64(draw.clamp(0.0, 1.0))
 }
 
-/// For how long an entry that renews now may be silent before its cells are taken over, as it
-/// writes into its row.
+/// The term that an entry writes into its row with a renewal: how long the row may stay unchanged
+/// before other entries take its cells over.
 ///
-/// The pattern it answers: an entry is lost, and nobody starts its cells' tasks until its silence
-/// is noticed.  With a fixed term that is long enough for a slow store, every loss costs that
-/// long; with a short one, cells change hands for as long as the store is slow.
+/// No tasks of a lost entry's cells are started until the term has passed.  A fixed term that is
+/// long enough for a slow store delays every takeover; a short one makes cells change owners for as
+/// long as the store is slow.
 pub fn term(min: Duration, interval: Duration, last_renewal: Duration) -> Duration {
     let usual = min.max(interval * MIN_RENEWALS_PER_TERM);
     (usual + last_renewal * RENEWAL_TIME_MULTIPLIER).min(MAX_TERM.max(usual))
 }
 
-/// An entry's row as observed.
+/// An observed row of an entry.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Version of its row.
+    /// Version of the row.
     pub version: u64,
-    /// When this version was first seen here.
+    /// When this version was first seen, on the observer's clock.
     pub last_renewal: Time,
-    /// When the entry was first seen here.
+    /// When the entry was first seen, on the observer's clock.
     pub first_seen: Time,
-    /// Silence after which its cells are taken over, as its row says.
+    /// Time without a renewal after which its cells are taken over, as stated in the row.
     pub term: Duration,
     /// Whether it is about to stop.
     pub stopping: bool,
-    /// Thousandths of a processor core that it has.
+    /// Its share of the processor, in millicores.
     pub millicores: u32,
 }
 
-/// A cell's row as observed.
+/// An observed row of a cell.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Holding {
-    /// The entry named as holder.
+    /// The entry that holds the cell.
     pub holder: String,
     /// Version of the row: the holder's fencing token.
     pub version: u64,
@@ -107,11 +108,11 @@
 /// What an entry should do about a cell.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// Nothing.
+    /// Neither own it nor take it over.
     Decline,
-    /// This entry is the holder.
+    /// Own it: this entry is the holder.
     Own,
-    /// Take it, on condition that the named rows still have these versions.
+    /// Take it over, on condition that the named rows still have these versions.
     TakeOver {
         /// Version of the cell's row, 0 if there is none.
         cell_version: u64,
@@ -120,26 +121,26 @@
     },
 }
 
-/// Time between two answered reads after which silence isn't judged by them.  They are at most 0.7 s
-/// apart as a rule, and 1.1 s when the store is a hundred times slower.
+/// Longest gap between two answered reads after which a row's age still counts as silence.  Reads
+/// are usually at most 0.7 s apart, and 1.1 s when the store is a hundred times slower.
 const MAX_READ_GAP: Duration = Duration::from_millis(1200);
 
-/// Notes that a read of the table was answered, the one before at `before`; to be called before
-/// what it brought is taken in.
+/// Records that a read of the table was answered, after a previous one at `before`.  Must be called
+/// before the result is applied.
 ///
-/// While the store is away nobody can renew, and nobody can see it.  When it is back, every row is
-/// as old as the outage: judged by that, all entries would take cells from holders that live,
-/// and stop each other's tasks.  So what nobody could see doesn't count as silence.
+/// Nobody can renew or read rows during an outage of the store, so afterwards every row is as old as
+/// the outage.  If that counted as silence, entries would take cells from live holders and stop each
+/// other's tasks, so a gap between reads restarts the time of every row.
 pub fn record_read(entries: &mut BTreeMap<String, Entry>, before: Time, now: Time) {
     if now.since(before) >= MAX_READ_GAP {
         entries.values_mut().for_each(|entry| entry.last_renewal = entry.last_renewal.max(now));
     }
 }
 
-/// Order of candidates for a cell: the same at every entry, and different for each cell, so
-/// that cells spread over the entries.
+/// Rank of an entry as candidate for a cell: the same at every entry, and different for each cell,
+/// so that cells spread over the entries.
 pub fn rank(cell: &str, entry: &str) -> u64 {
-    // FNV-1a with a final mix: stable over builds, which the standard hasher doesn't promise.
+    // FNV-1a with a final mix: stable across builds, which the standard hasher doesn't guarantee.
     let bytes = cell.bytes().chain([0]).chain(entry.bytes());
     let hash = bytes.fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
@@ -148,21 +149,21 @@
     mixed ^ (mixed >> 33)
 }
 
-/// What one more cell would be to an entry: cells for each core.
+/// Cells per core of an entry if it had one more cell, scaled by 1000.
 ///
-/// By the number of cells alone, an eighth of a core without any went before half of a core with
-/// one.  A cell of eighty minions is more than an eighth of a core can attend: its owner learnt of
-/// jobs and cancellations seconds late, and started tasks of cancelled jobs.
+/// By the number of cells alone, an entry with an eighth of a core and no cell would precede one
+/// with half a core and one cell.  An eighth of a core can't handle a cell of eighty minions: its
+/// owner learns of jobs and cancellations seconds late, and starts tasks of cancelled jobs.
 fn cells_per_core(cells: usize, millicores: u32) -> u64 {
     (cells as u64 + 1) * 1_000_000 / u64::from(millicores.max(1))
 }
 
-/// Judges a cell.
+/// Decides what the entry `me` does about a cell.
 ///
-/// `owned` counts the cells that each entry holds: candidates are ordered by what they would have
-/// to do for each core, so that one entry doesn't end with all cells after its peers restarted in
-/// turn, and a weak one with more than it can do.  `now` is when a read of the rows was last
-/// answered: a row that nobody could read since isn't silent.
+/// `owned` counts the cells that each entry holds: candidates are ordered by cells per core, so that
+/// one entry doesn't end up with all cells after a rolling restart of its peers, nor a small one with
+/// more than it can handle.  `now` is when a read of the rows was last answered, because rows can't be
+/// seen to be silent after that.
 pub fn decide(
     cell: &str,
     me: &str,
@@ -187,8 +188,8 @@
         .filter(|(name, entry)| !entry.stopping && (name.as_str() == me || !silent(entry)))
         .map(|(name, _)| name)
         .collect();
-    // Entries without cells renew seldom, so those of a zone that is cut off with the holder still count
-    // as living.  Whoever was seen since the holder was comes before them.
+    // Entries without cells renew rarely, so those cut off together with the holder's availability
+    // zone still count as alive.  Entries that renewed after the holder precede them.
     let holder_seen =
         holding.and_then(|holding| entries.get(&holding.holder)).map(|row| row.last_renewal);
     candidates.sort_by_key(|name| {
@@ -205,7 +206,7 @@
     if waited < settings.stagger * position as u32 {
         return Decision::Decline;
     }
-    // A vacant cell without a known beginning of its vacancy is left to the first candidate.
+    // Without a known start of the vacancy, only the first candidate takes the cell.
     if vacant_since.is_none() && position > 0 {
         return Decision::Decline;
     }
@@ -215,10 +216,10 @@
     Decision::TakeOver { cell_version: holding.map_or(0, |holding| holding.version), former }
 }
 
-/// The entry to hand a cell to at a planned stop; none if there is no other.
+/// The entry to hand a cell to at a planned stop; `None` if there is no other.
 ///
-/// Among those with least to do for each core, the one that started last: a restart that goes
-/// through all entries comes to it last, so the cell changes hands less often.
+/// Among the entries with the fewest cells per core it is the one that started last: a rolling
+/// restart of all entries reaches it last, so the cell changes owners less often.
 pub fn successor(
     cell: &str,
     me: &str,
--- a/crates/engine/src/time.rs
+++ b/crates/engine/src/time.rs
@@ -1,20 +1,20 @@
-//! A point in time of this process.
+//! Points in time within one process.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Milliseconds on a clock that also runs while the instance is suspended.
+/// Milliseconds on a monotonic clock that keeps running while the instance is suspended.
 ///
-/// The steady clock of the operating system stands still during a suspension, so a lease
-/// judged by it would look valid after it has run out everywhere else.
+/// The operating system's usual monotonic clock stops during a suspension, so a lease measured by
+/// it would seem valid after it has expired everywhere else.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Hash, Serialize, Deserialize,
 )]
 pub struct Time(pub u64);
 
 impl Time {
-    /// The time since `earlier`; nought if that lies ahead.
+    /// The time since `earlier`; zero if `earlier` is later than this.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
