--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -1,13 +1,12 @@
-//! Which machine moves to which pool.
+//! Decides which machines move between pools.
 //!
-//! The pattern it answers: the queues' demand rises by turns, each for some seconds to several
-//! times its mean and to more than its pool holds, while the other pools idle.  A machine that
-//! works through a turn's remainder earns some fifty times what its move costs (16 cores for
-//! 3 s are 48 core-seconds, worth about 4.5 at the users' prices; a move costs 0.1), so
-//! machines follow the demand, and only those are left where they are whose loss would hurt:
-//! with lasting tasks on them, due for maintenance, or needed by their own pool.
+//! The queues' demand peaks in turns: one queue at a time rises for some seconds to several times
+//! its mean, beyond the capacity of its pool, while the other pools are idle.  A machine that works
+//! off a backlog earns about fifty times the cost of its move (16 cores for 3 s are 48
+//! core-seconds, worth about 4.5 at the users' prices; a move costs 0.1).  So machines follow the
+//! demand, except those with long-running tasks, due for maintenance, or needed by their own pool.
 //!
-//! [`turns`] tells which pool's turn comes next, so that machines which idle are there before it.
+//! [`turns`] predicts which pool's turn comes next, so that idle machines can move there before it.
 
 mod turns;
 
@@ -19,26 +18,26 @@
 pub use turns::History;
 use turns::Turns;
 
-/// Machines kept beyond those that spread lasting tasks need, so that a task whose minion is lost
-/// finds another one at once and not after a move.
+/// Machines kept beyond those over which long-running tasks are spread, so that a task whose minion
+/// is lost finds another one at once and not after a move.
 const SPREAD_RESERVE_MACHINES: usize = 1;
 
-/// In what time a pool should be able to work off what waits.  About the slack that jobs have within
-/// their objective (some 2 s), less the time that a move takes.
+/// Time within which a pool should be able to work off its backlog: about the slack that jobs have
+/// within their latency objective (some 2 s), less the time that a move takes.
 pub const BACKLOG_HORIZON: Duration = Duration::from_millis(1000);
 
-/// Weights and limits.
+/// Limits of moves.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Machines that a pool keeps whatever its demand: one may fail.
+    /// Machines that a pool keeps whatever its demand, because one may fail.
     pub min_machines: usize,
-    /// A move that isn't ordered after this time is given up, and its machine used again.
+    /// Time after which a move that has not been ordered is cancelled and its machine used again.
     pub order_timeout: Duration,
-    /// A machine stays at least this long after it came: twice the time of a move.
+    /// Least time that a machine stays in a pool after it was ordered there: twice the time of a move.
     pub min_stay: Duration,
-    /// Machines chosen for one pool at a time, or a third of it if that is more: a burst asks several
-    /// times what the pool holds.  At four looks a second this is to be all of the orders a second that
-    /// the platform takes.
+    /// Machines chosen for one pool at a time, or a third of the pool if that is more, because a burst
+    /// asks for several times what the pool holds.  With four rounds of planning a second, this should
+    /// match the rate of orders that the platform accepts.
     pub max_moves_per_pool: usize,
 }
 
@@ -53,27 +52,28 @@
     }
 }
 
-/// What an owner tells of its cell.
+/// The load of a cell as its owner reports it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Core-milliseconds of waiting tasks that could be worked on within [`BACKLOG_HORIZON`].  Here and below
-    /// a task counts for the cores that it keeps from others, by its memory or accelerators if those
-    /// are scarcer.
+    /// Core-milliseconds of waiting tasks that could be done within [`BACKLOG_HORIZON`].  Here and
+    /// below a task counts for the cores that others can't use because of it, which its memory or
+    /// accelerators determine if those are scarcer.
     pub waiting: u64,
-    /// Thousandths of cores in use by tasks that end.
+    /// Millicores in use by finite tasks.
     pub working: u64,
-    /// Thousandths of cores in use by lasting tasks.
+    /// Millicores in use by long-running tasks.
     #[serde(rename = "lasting")]
     pub long_running: u64,
-    /// Thousandths of cores of a minion, on average.
+    /// Millicores of a minion, on average.
     pub minion_cpu: u64,
-    /// Minions without lasting tasks, and what is in use on each in thousandths of cores.
+    /// Minions without long-running tasks, with the millicores in use on each.
     pub free: Vec<(String, u64)>,
-    /// Minions that are to be emptied and are empty.
+    /// Minions that were asked to empty and are empty.
     pub empty: Vec<String>,
-    /// Minions that take work.
+    /// Minions that accept tasks.
     pub minions: usize,
-    /// Minions that the lasting tasks need so that no more of a step are together than allowed.
+    /// Least number of minions on which the long-running tasks keep within each step's limit per
+    /// minion.
     #[serde(rename = "least")]
     pub min_minions: usize,
 }
@@ -85,9 +85,9 @@
     pub pool: String,
     /// The id of its minion, if it has one.
     pub minion: Option<String>,
-    /// Whether it serves or could.
+    /// Whether it is in service or ready for it.
     pub up: bool,
-    /// Whether it must stay where it is: due for maintenance, for one.
+    /// Whether it must stay in its pool, for example because it is due for maintenance.
     pub pinned: bool,
 }
 
@@ -95,18 +95,18 @@
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
-    /// Its new pool asks for more than it has.
+    /// The demand of its new pool exceeds the pool's capacity.
     Shortage,
-    /// Its new pool will, by the turns seen so far.
+    /// The demand of its new pool is expected to exceed it, by the turns observed so far.
     Ahead,
 }
 
-/// A move.
+/// A move of a machine to another pool.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Move {
     /// The machine.
     pub machine: String,
-    /// Its minion, to be emptied first.
+    /// Its minion, which is emptied first.
     pub minion: Option<String>,
     /// The pool that it leaves.
     pub from: String,
@@ -118,16 +118,16 @@
     pub decided_at: Time,
 }
 
-/// What a pool asks for and has, for the log and for other duties.
+/// Demand and capacity of a pool, for the log and for maintenance.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Balance {
-    /// Cores that its tasks ask for, but for lasting ones.
+    /// Cores that its finite tasks ask for.
     pub demand: u64,
-    /// Cores in use by lasting tasks.
+    /// Cores in use by long-running tasks.
     pub long_running: u64,
-    /// Machines in it that stay.
+    /// Machines that are in it and aren't leaving.
     pub present: usize,
-    /// Machines that are to come.
+    /// Machines that are moving to it.
     pub arriving: usize,
     /// Machines that it needs.
     pub needed: usize,
@@ -136,32 +136,32 @@
 }
 
 impl Balance {
-    /// Machines that it can do without.
+    /// Machines beyond those that it needs.
     pub fn surplus(&self) -> usize {
         (self.present + self.arriving).saturating_sub(self.needed)
     }
 }
 
-/// What one round of planning goes by, and what it has decided.
+/// Input and result of one round of planning.
 struct Round<'a> {
     machines: &'a BTreeMap<String, Machine>,
     loads: &'a BTreeMap<String, Load>,
     spare: Option<&'a str>,
     now: Time,
-    /// Machines that each pool can do without.
+    /// Machines of each pool beyond those that it needs.
     surplus: BTreeMap<&'a str, usize>,
     moves: Vec<Move>,
 }
 
 impl Round<'_> {
-    /// Whether the machine's pool can do without one more.
+    /// Whether the machine's pool has another machine to spare.
     fn can_spare(&self, machine: &str) -> bool {
         let pool = self.machines[machine].pool.as_str();
         self.spare == Some(pool) || self.surplus.get(pool).is_some_and(|left| *left > 0)
     }
 }
 
-/// A pool that needs more machines than it has.
+/// A pool with fewer machines than it needs.
 struct Shortfall<'a> {
     pool: &'a str,
     present: usize,
@@ -169,7 +169,7 @@
 }
 
 impl Shortfall<'_> {
-    /// How much it has of what it needs, in thousandths.
+    /// The share of the needed machines that are present, in thousandths.
     fn satisfied_permille(&self) -> usize {
         self.present * 1000 / self.needed.max(1)
     }
@@ -179,13 +179,12 @@
 #[derive(Debug, Default)]
 pub struct Planner {
     settings: Settings,
-    /// Moves that are decided and not ordered.
+    /// Moves that are decided but not yet ordered, by machine.
     pending: BTreeMap<String, Move>,
-    /// Machines on their way, with their pool and when they were ordered to it.
+    /// Machines on their way, with their new pool and the time of the order.
     arriving: BTreeMap<String, (String, Time)>,
-    /// When each machine came to its pool, and why.
+    /// When each machine was last ordered to another pool, and why.
     arrivals: BTreeMap<String, (Time, Reason)>,
-    /// Whose turn it is, and whose is next.
     turns: Turns,
 }
 
@@ -195,22 +194,22 @@
         Self { settings, ..Self::default() }
     }
 
-    /// The turns seen so far, to be kept for the next holder of the duty.
+    /// The turns observed so far, to be stored for the next fleet controller.
     pub fn history(&self) -> &History {
         self.turns.history()
     }
 
-    /// Goes on from the turns that a former holder saw.
+    /// Continues from the turns that an earlier fleet controller observed.
     pub fn restore_history(&mut self, history: History) {
         self.turns.restore(history);
     }
 
-    /// Goes on from a turn that a former holder saw begin.
+    /// Continues a turn whose beginning an earlier fleet controller observed.
     pub fn resume_turn(&mut self, began: Time) {
         self.turns.resume(began);
     }
 
-    /// Moves that are decided and not ordered.
+    /// Moves that are decided but not yet ordered.
     pub fn pending(&self) -> impl Iterator<Item = &Move> {
         self.pending.values()
     }
@@ -220,7 +219,7 @@
         !self.pending.is_empty() || !self.arriving.is_empty()
     }
 
-    /// Whether a machine's move is decided and not ordered.
+    /// Whether a machine's move is decided but not yet ordered.
     pub fn is_pending(&self, machine: &str) -> bool {
         self.pending.contains_key(machine)
     }
@@ -230,7 +229,7 @@
         self.is_pending(machine) || self.arriving.contains_key(machine)
     }
 
-    /// Notes that a move was ordered.
+    /// Records that a move was ordered.
     pub fn record_order(&mut self, machine: &str, now: Time) {
         if let Some(done) = self.pending.remove(machine) {
             self.arriving.insert(machine.into(), (done.to, now));
@@ -238,18 +237,18 @@
         }
     }
 
-    /// Gives a move up.
+    /// Cancels a move that has not been ordered.
     pub fn cancel_move(&mut self, machine: &str) {
         self.pending.remove(machine);
     }
 
-    /// Moves that have waited too long, to be given up.
+    /// Moves that have waited too long to be ordered and should be cancelled.
     pub fn overdue_moves(&self, now: Time) -> Vec<Move> {
         let is_overdue = |plan: &&Move| now.since(plan.decided_at) > self.settings.order_timeout;
         self.pending.values().filter(is_overdue).cloned().collect()
     }
 
-    /// What each pool asks for, has and needs.
+    /// The balance of each pool that has a load.
     pub fn balances(
         &self,
         machines: &BTreeMap<String, Machine>,
@@ -271,7 +270,7 @@
         loads.iter().map(balance).collect()
     }
 
-    /// Decides on further moves.  `spare` is the pool whose machines are off.
+    /// Decides on further moves.  `spare` is the pool of machines that are switched off.
     pub fn plan(
         &mut self,
         machines: &BTreeMap<String, Machine>,
@@ -304,8 +303,8 @@
         moves
     }
 
-    /// Sends machines that idle where the next demand is expected.  Machines that are off stay so:
-    /// they cost nothing until the demand is there.
+    /// Moves idle machines to where the next demand is expected.  Machines that are off stay off,
+    /// since they cost nothing until the demand rises.
     fn plan_ahead(&self, round: &mut Round<'_>) {
         let pools: Vec<&str> = round.loads.keys().map(String::as_str).collect();
         round.spare = None;
@@ -323,11 +322,11 @@
         self.fill_shortfalls(round, shortfalls, Reason::Ahead);
     }
 
-    /// Chooses machines to go to pools that lack some, one after the other to the pool that has least
-    /// of what it needs.
+    /// Chooses machines for pools with a shortfall, each for the pool that has the smallest share of
+    /// what it needs.
     ///
-    /// Given to the one that lacks most, all went to a pool with a large remainder from an outage, and
-    /// the callers of another one, whose turn had begun, waited for five seconds with two machines.
+    /// If the largest shortfall came first, a pool with a large backlog from an outage would get all
+    /// machines: callers of another pool, whose turn had begun, waited five seconds with two machines.
     fn fill_shortfalls<'a>(
         &self,
         round: &mut Round<'a>,
@@ -347,8 +346,8 @@
                 (shortfall, max.saturating_sub(pending + chosen))
             })
             .collect();
-        // Sorted once: what a machine's move costs doesn't depend on where it goes, and a pool that can
-        // do without no more machines never can again in this round.
+        // Sorted once: the cost of a move doesn't depend on its destination, and a pool that has no
+        // more machines to spare won't have any again in this round.
         let mut candidates = self.candidates(round, reason);
         candidates.sort_unstable();
         let mut candidates = candidates.into_iter();
@@ -379,12 +378,12 @@
         }
     }
 
-    /// Machines that could be moved, with what they cost: first those without any work.
+    /// Machines that could be moved, with the cost of their moves; idle ones cost least.
     fn candidates<'a>(&self, round: &Round<'a>, reason: Reason) -> Vec<(u64, &'a str)> {
         let Round { machines, loads, spare, now, moves, .. } = round;
         let chosen: BTreeSet<&str> = moves.iter().map(|plan| plan.machine.as_str()).collect();
         let settled = |name: &str| match self.arrivals.get(name) {
-            // What came ahead of a demand that shows elsewhere has nothing to do here.
+            // A machine that was moved ahead of demand isn't needed here if the demand rises elsewhere.
             Some((_, Reason::Ahead)) if reason == Reason::Shortage => true,
             Some((arrived, _)) => now.since(*arrived) >= self.settings.min_stay,
             None => true,
@@ -401,7 +400,7 @@
             .collect();
         let cost = |machine: &Machine| {
             if *spare == Some(machine.pool.as_str()) {
-                // Costs its time in a pool besides the move, so after machines that idle.
+                // Its time in a pool costs something besides the move, so it ranks after idle machines.
                 return Some(1);
             }
             in_use.get(machine.minion.as_deref()?).map(|cpu| 2 * cpu)
@@ -413,7 +412,7 @@
             .collect()
     }
 
-    /// Machines that a pool has or will have.
+    /// The number of machines that a pool has or will have.
     fn machine_count(&self, pool: &str, machines: &BTreeMap<String, Machine>) -> usize {
         let leaves = |name: &str| self.pending.contains_key(name);
         let here = machines
@@ -430,13 +429,13 @@
         here + arriving + pending
     }
 
-    /// Thousandths of cores that a pool's tasks ask for, but for lasting ones.
+    /// Millicores that a pool's finite tasks ask for.
     fn finite_demand(&self, load: &Load) -> u64 {
         let horizon = BACKLOG_HORIZON.as_millis() as u64;
         load.working + load.waiting / horizon * 1000 + load.waiting % horizon * 1000 / horizon
     }
 
-    /// Machines that a pool needs.
+    /// The number of machines that a pool needs.
     fn machines_needed(&self, load: &Load) -> usize {
         let cores = self.finite_demand(load) + load.long_running;
         let machine = load.minion_cpu.max(1000);
--- a/crates/engine/src/pools/turns.rs
+++ b/crates/engine/src/pools/turns.rs
@@ -1,100 +1,102 @@
-//! Which pool's turn comes next, and how many machines it will want.
+//! Predicts which pool's demand peaks next, and how many machines it will need.
 //!
-//! The pattern it answers: the queues' demand rises by turns.  One pool at a time asks for most of
-//! the fleet during some seconds, the others for a twentieth of their mean, and the turns repeat in
-//! the same order.  A machine that is sent for when the demand shows works some 2 s later (0.2 s to
-//! see it, 1.5 s to move, the rest to be listed and greeted), which is the first fifth of a turn.
-//! Machines that idle meanwhile can be in the next pool before its turn begins, for a move that they
-//! would make in any case.
+//! The queues' demand peaks in turns: for some seconds one pool asks for most of the fleet and the
+//! others for a twentieth of their mean, and the turns repeat in the same order.  A machine that is
+//! moved once the demand is observed starts work some 2 s later (0.2 s to observe it, 1.5 s to move,
+//! the rest until it is listed and its owner has contacted it), which is the first fifth of a turn.
+//! Idle machines can be moved to the next pool before its turn begins, at the cost of a move that
+//! they would make anyway.
 //!
-//! What is known of the order comes from the turns that were seen.  In the first round those come next
-//! that have not had one; later the one whose turn is longest ago.
+//! The order is derived from the turns observed so far.  In the first round, the pools that have not
+//! had a turn are expected next; later, the pool whose turn is longest ago.
 //!
-//! What a turn leaves waiting hides its end: its pool goes on asking for most of its peak when the next
-//! turn's callers are there already.  So the time between the turns' beginnings is learnt, and when the
-//! next one is due, machines that the present pool doesn't need now go ahead of it.
+//! The backlog of a turn hides its end: its pool still asks for most of its peak when the callers of
+//! the next turn arrive.  So the mean time between the beginnings of turns is measured, and when the
+//! next turn is due, machines that the current pool doesn't need now are moved ahead of it.
 //!
-//! Not everything that looks like a turn is one.  What is left of a turn flickers up again seconds after
-//! it, and between two turns a single large job is the most that any pool asks for.  Counted as turns,
-//! they hid which pool had not had its own yet: on one day with four turns eleven were noted, and the pool
-//! of the last one got no machine ahead.  So a turn is one only from an eighth of
-//! the fleet on, and a pool that had one must have rested before its next.
+//! Not every peak is a turn.  The backlog of a turn can rise again seconds after it, and between two
+//! turns a single large job can be the highest demand.  When such peaks counted as turns, eleven
+//! turns were recorded on a day with four, which hid the pool that had not had one yet, and it got no
+//! machines ahead of its turn.  So a turn must reach an eighth of the fleet, and a pool that had one
+//! must have rested before its next.
 
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a pool must ask for most before that counts: shorter peaks come from single large jobs.
+/// How long a pool's demand must be the highest before it counts: single large jobs cause shorter
+/// peaks.
 const MIN_RISE: Duration = Duration::from_millis(400);
 
-/// Cores that a pool must ask for to be the one that asks for most, in thousandths.  Between turns the
-/// twentieth part of a queue's mean and its largest jobs stay below.
+/// Least demand that counts as the highest.  Between turns, a twentieth of a queue's mean and its
+/// largest jobs stay below it.
 const MIN_LEADING_DEMAND_MILLICORES: u64 = 32_000;
 
-/// The part of the fleet's cores that a pool must ask for before it has a turn.  A turn asks for more
-/// than its pool holds, so for a quarter where four take turns; half of that, for those that ask for less.
+/// Divisor of the fleet's cores: a pool must ask for this part of them to have a turn.  A turn asks
+/// for more than its pool holds, which is a quarter of the fleet with four pools; half of that covers
+/// smaller turns.
 const MIN_TURN_FLEET_DIVISOR: u64 = 8;
 
-/// The part of the fleet's cores below which a pool rests.  A queue asks for a twentieth of its mean
-/// then, which is a hundredth of what it asks for in its turn.
+/// Divisor of the fleet's cores: a pool that asks for less than this part of them is at rest.  A queue
+/// at rest asks for a twentieth of its mean, which is a hundredth of its demand in a turn.
 const REST_FLEET_DIVISOR: u64 = 32;
 
-/// How long a pool must have rested before it can have a turn again: longer than the tasks at hand last
-/// on average, which leave gaps in a remainder, and far shorter than the others' turns.
+/// How long a pool must have rested before its next turn: longer than running tasks last on average,
+/// since their ends leave gaps in the demand of a backlog, and far shorter than the others' turns.
 const MIN_REST: Duration = Duration::from_millis(1500);
 
-/// A pool whose demand fell below this share of its turn's peak won't need more machines in this
-/// turn: demand rises once and falls once in a turn.
+/// A pool whose demand has fallen below this share of its turn's peak won't need more machines in
+/// this turn, because demand rises and falls only once in a turn.
 const DECLINING_PEAK_SHARE: f64 = 0.6;
 
-/// A pool that asked for less than this share of its turn's peak, and then for as much as in a turn
-/// again, rises anew.
+/// Once a pool's demand has fallen below this share of its turn's peak, another rise can begin a new
+/// turn.
 const ENDED_PEAK_SHARE: f64 = 0.3;
 
-/// Times its demand so far that a pool is expected to ask for in its first turn.  A turn's demand
-/// doubles from its second second to its peak.
+/// Multiple of its highest demand so far that a pool is expected to reach in its first turn.  Demand
+/// doubles between the second second of a turn and its peak.
 const FIRST_TURN_PEAK_MULTIPLIER: u64 = 2;
 
-/// How long before the next turn is expected to be noted machines go ahead of it: the 2 s in which they
-/// come, and the 1.5 s that pass from a turn's first callers until it asks for an eighth of the fleet.
+/// How long before the next turn is expected to be recorded machines are moved ahead of it: the 2 s
+/// that they take, and the 1.5 s from a turn's first callers until it asks for an eighth of the fleet.
 const LEAD_TIME: Duration = Duration::from_millis(3500);
 
-/// Turns that are remembered: several rounds of the pools that take turns at today's sizes.
+/// Covers several rounds of turns with the pools of current deployments.
 const MAX_HISTORY_TURNS: usize = 64;
 
-/// The turns seen so far, oldest first; kept, so that the next holder of the duty knows them, too.
+/// The turns observed so far, oldest first; stored for the next fleet controller.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct History {
     /// The pools in the order of their turns.
     pub turns: Vec<String>,
-    /// The most that each pool asked for in its last turn, in thousandths of cores.
+    /// The highest demand of each pool in its last turn, in millicores.
     pub peaks: BTreeMap<String, u64>,
-    /// Milliseconds between the beginnings of two turns, on average; 0 before the second one.
+    /// Mean time between the beginnings of two turns, in milliseconds; 0 before the second one.
     pub gap_ms: u64,
-    /// When the last one began, by the time of day in milliseconds since 1970; set by whoever keeps it.
+    /// When the last one began, in milliseconds since the Unix epoch; set by the code that stores it.
     pub began_ms: u64,
 }
 
-/// How long a pool has asked for hardly anything.
+/// The time that a pool has been at rest.
 #[derive(Debug, Default)]
 struct Rest {
     since: Option<Time>,
-    /// Whether that was long enough for another turn.
+    /// Whether the pool has rested long enough for another turn.
     is_sufficient: bool,
 }
 
-/// The pool that asks for most, and didn't before.
+/// The pool whose demand has risen to be the highest.
 #[derive(Debug, Default)]
 struct Busiest {
     pool: String,
-    /// What it asked for when it was seen last.
+    /// Its demand when last observed, in millicores.
     demand: u64,
-    /// The most that it asked for.
+    /// Its highest demand, in millicores.
     peak: u64,
-    /// Whether it asked for so little since that it may rise anew.
+    /// Whether its demand has fallen so low that another rise can begin a new turn.
     has_ended: bool,
-    /// Whether this is noted as its turn.
+    /// Whether this is recorded as its turn.
     is_turn: bool,
 }
 
@@ -105,21 +107,21 @@
     }
 }
 
-/// What is known and observed of the turns.
+/// Detector and predictor of turns.
 #[derive(Debug, Default)]
 pub(crate) struct Turns {
     history: History,
-    /// A pool that asks for most and didn't before, and since when.
+    /// A pool whose demand has become the highest, and since when.
     candidate: Option<(String, Time)>,
     busiest: Option<Busiest>,
-    /// When the last turn was noted.
+    /// When the last turn was recorded.
     last_began: Option<Time>,
     rests: BTreeMap<String, Rest>,
 }
 
 impl Turns {
-    /// Goes on from a kept history.  How high the present turn rose isn't kept; that it rose as
-    /// high as usual lets a low demand count as its end.
+    /// Continues from a stored history.  It doesn't contain the peak of the current turn, so the
+    /// pool's last peak is assumed, by which low demand counts as the turn's end.
     pub(crate) fn restore(&mut self, history: History) {
         self.busiest = history.turns.last().map(|pool| {
             let peak = history.peaks.get(pool).copied().unwrap_or(0);
@@ -128,7 +130,7 @@
         self.history = history;
     }
 
-    /// Goes on from a turn that a former holder saw begin.
+    /// Continues a turn whose beginning an earlier fleet controller observed.
     pub(crate) fn resume(&mut self, began: Time) {
         self.last_began = Some(began);
     }
@@ -137,8 +139,8 @@
         &self.history
     }
 
-    /// Takes in what each pool asks for now, in thousandths of cores; `fleet` is what all machines
-    /// have.
+    /// Records the current demand of each pool; `fleet` is the capacity of all machines.  Both are in
+    /// millicores.
     pub(crate) fn observe(&mut self, demands: &BTreeMap<&str, u64>, fleet: u64, now: Time) {
         self.update_rests(demands, fleet, now);
         if let Some(busiest) = &mut self.busiest {
@@ -149,7 +151,7 @@
         let declines =
             self.busiest.as_ref().is_some_and(|busiest| busiest.is_below(DECLINING_PEAK_SHARE));
         let busiest = self.busiest.as_ref().map(|busiest| busiest.pool.as_str());
-        // What is left of a turn that is ending doesn't hide the next one's beginning.
+        // The backlog of a turn that is ending must not hide the beginning of the next one.
         let left_out = if declines { busiest } else { None };
         let rivals = demands.iter().filter(|(pool, _)| Some(**pool) != left_out);
         let total: u64 = rivals.clone().map(|(_, demand)| *demand).sum();
@@ -196,7 +198,8 @@
         }
     }
 
-    /// Notes the present pool's turn once it asks for enough, if it isn't the remainder of its last one.
+    /// Records a turn of the busiest pool once its demand is high enough, unless that is the backlog of
+    /// its last turn.
     fn record_turn(&mut self, fleet: u64, now: Time) {
         let Some(busiest) = &mut self.busiest else { return };
         if busiest.is_turn || busiest.demand < fleet / MIN_TURN_FLEET_DIVISOR {
@@ -219,17 +222,17 @@
         }
     }
 
-    /// Whether the next turn should begin soon, or should have begun lately.
+    /// Whether the next turn should begin soon or should have begun recently.
     fn is_next_due(&self, now: Time) -> bool {
         let gap = Duration::from_millis(self.history.gap_ms);
-        // Turns that follow each other faster than machines do are left to the demand.
+        // Machines can't be moved ahead of turns that follow each other this fast.
         let Some(began) = self.last_began.filter(|_| gap > LEAD_TIME * 2) else { return false };
         let passed = now.since(began);
         passed + LEAD_TIME >= gap && passed < gap + gap / 2
     }
 
-    /// What pools are expected to ask for soon, in thousandths of cores: the present turn's pool
-    /// until its demand falls or the next turn is due, then those that may come next, each an equal share of one turn.
+    /// The expected demand of pools, in millicores: that of the current turn's pool until its demand
+    /// falls or the next turn is due, then an equal share of one turn for each pool that may be next.
     pub(crate) fn expected_demand(&self, pools: &[&str], now: Time) -> Vec<(String, u64)> {
         let Some(busiest) = &self.busiest else { return Vec::new() };
         let ends = busiest.is_turn && self.is_next_due(now);
@@ -244,14 +247,15 @@
         let count = next.len().max(1) as u64;
         let share = |pool: &str| self.expected_peak(pool) / count;
         if rises {
-            // Whether a turn begins or a single job is large: what idles goes where something waits.
+            // This may be a turn or a single large job; either way idle machines go where tasks wait.
             let ahead = if next.contains(&&*busiest.pool) { share(&busiest.pool) } else { 0 };
             return vec![(busiest.pool.clone(), first_turn_peak.max(ahead))];
         }
         next.into_iter().map(|pool| (pool.to_owned(), share(pool))).collect()
     }
 
-    /// The most that a pool asked for in a turn; for one without a turn, the most of any.
+    /// The peak demand expected of a pool: that of its last turn, or the highest of any pool if it has
+    /// had none.
     fn expected_peak(&self, pool: &str) -> u64 {
         let known = self.history.peaks.get(pool).copied();
         let busiest = self.busiest.as_ref().filter(|busiest| busiest.is_turn);
@@ -260,7 +264,7 @@
         known.unwrap_or(any)
     }
 
-    /// Pools whose turn may come after the last one.
+    /// Pools that may have the next turn.
     fn next_pools<'a>(&'a self, pools: &[&'a str]) -> Vec<&'a str> {
         let turns = &self.history.turns;
         let Some(last) = turns.last() else { return Vec::new() };
