--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -184,7 +184,7 @@
     /// Machines on their way, with their new pool and the time of the order.
     arriving: BTreeMap<String, (String, Time)>,
     /// When each machine was last ordered to another pool, and why.
-    arrivals: BTreeMap<String, (Time, Reason)>,
+    last_orders: BTreeMap<String, (Time, Reason)>,
     turns: Turns,
 }
 
@@ -233,7 +233,7 @@
     pub fn record_order(&mut self, machine: &str, now: Time) {
         if let Some(done) = self.pending.remove(machine) {
             self.arriving.insert(machine.into(), (done.to, now));
-            self.arrivals.insert(machine.into(), (now, done.reason));
+            self.last_orders.insert(machine.into(), (now, done.reason));
         }
     }
 
@@ -382,10 +382,10 @@
     fn candidates<'a>(&self, round: &Round<'a>, reason: Reason) -> Vec<(u64, &'a str)> {
         let Round { machines, loads, spare, now, moves, .. } = round;
         let chosen: BTreeSet<&str> = moves.iter().map(|plan| plan.machine.as_str()).collect();
-        let settled = |name: &str| match self.arrivals.get(name) {
+        let settled = |name: &str| match self.last_orders.get(name) {
             // A machine that was moved ahead of demand isn't needed here if the demand rises elsewhere.
             Some((_, Reason::Ahead)) if reason == Reason::Shortage => true,
-            Some((arrived, _)) => now.since(*arrived) >= self.settings.min_stay,
+            Some((ordered_at, _)) => now.since(*ordered_at) >= self.settings.min_stay,
             None => true,
         };
         let free = |name: &str| {
