--- a/crates/engine/src/quota/account.rs
+++ b/crates/engine/src/quota/account.rs
@@ -1,4 +1,4 @@
-//! What a cell's owner knows and decides of one workspace.
+//! What a cell's owner knows and decides about one workspace's quota.
 
 use crate::job::Resources;
 use crate::quota::split::{Change, Claim, Limit, Share, Split, Target};
@@ -6,86 +6,91 @@
 use smallvec::SmallVec;
 use std::time::Duration;
 
-/// How long a share that isn't needed any more is kept, for work that comes back.
+/// How long an unneeded share is kept, in case demand returns.
 const IDLE_SHARE_RETENTION: Duration = Duration::from_millis(1000);
 
-/// How long the first limit of a workspace that had none is waited for to be split by what runs.
+/// How long starts wait after a workspace gets its first limit, until the cells have written shares
+/// for what is already running.
 const FIRST_LIMIT_DELAY: Duration = Duration::from_millis(2000);
 
-/// Of what is free, the part taken in advance when a share is raised anyway.
+/// Divisor of the free resources: the part that is taken in advance when a share is raised.
 const ADVANCE_DIVISOR: u64 = 4;
 
-/// Time between two changes that only tell others that are short that it is their turn.
+/// Least time between two changes that only yield to cells that are short.
 const MIN_YIELD_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Least part of a limit that is worth a transaction to give back while nobody asks for it.
+/// Divisor of the limit: the least part that is worth a transaction to return while no other cell asks
+/// for it.
 const MIN_RETURN_DIVISOR: u64 = 8;
 
-/// The same while others ask for it.
+/// Divisor of the limit: the least part that is worth a transaction to return while other cells ask for
+/// it.
 const MIN_YIELD_DIVISOR: u64 = 32;
 
-/// A change of a split that may still be carried out.
+/// A change of a split with an unknown outcome: it may still be committed.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
-    /// The version on whose condition it was sent.
+    /// The row version that it requires.
     version: u64,
-    /// This cell's share as it was written.
+    /// This cell's share in the change.
     share: Share,
-    /// The share that a former owner had before.
+    /// The size of the former owner's share that the change replaces; zero if there is none.
     former_size: Resources,
 }
 
-/// Who keeps an account.
+/// The owner of an account.
 #[derive(Clone, Debug, Default)]
 pub struct Holder {
-    /// The cell.
+    /// The name of its cell.
     pub cell: Box<str>,
-    /// Its owner's fencing token.
+    /// Its fencing token.
     pub token: u64,
 }
 
-/// What a cell's owner knows of one workspace.
+/// The state of one workspace's quota as known to a cell's owner.
 #[derive(Clone, Debug)]
 pub struct Account {
     /// The workspace.
     pub workspace: Box<str>,
     holder: Holder,
-    /// The limit in force here, and the configuration that it is of; none of nothing is allowed but one task at a
-    /// time.
+    /// The limit in force here, and the configuration that contains it.  The initial limit of zero
+    /// allows only one task at a time.
     limit: Limit,
     configuration: u64,
-    /// The configuration by which the limit last fell.
+    /// The configuration that last lowered the limit.
     lowered_by: u64,
-    /// Nothing is started before.
+    /// No task is started before this time.
     starts_held_until: Time,
-    /// The split as last read, with its row's version, and when; none before the first read.
+    /// The split as last read, its row's version, and when that was last known to be current; `None`
+    /// before the first read.
     split: Split,
     version: u64,
     confirmed_at: Option<Time>,
     pending: SmallVec<[Pending; 1]>,
-    /// What a former owner may have running where this one doesn't see it yet; none once all minions told.
+    /// What a former owner's runs may use without being known here yet; `None` once all minions have
+    /// reported.
     former_usage: Option<Resources>,
-    /// What this owner has running and what it took over.
+    /// What the runs that this owner started use, and those that it adopted.
     own_usage: Resources,
     adopted_usage: Resources,
-    /// What the last plan could not start for want of a share, and the smallest task of it.
+    /// What the last plan could not start because the share was too small, and the smallest such task.
     wanted: Resources,
     smallest_wanted: Option<Resources>,
-    /// The same of the plan before.
+    /// The smallest such task of the plan before.
     previous_smallest_wanted: Option<Resources>,
     /// Whether a task was started since this cell's share was last written.
     started_since_write: bool,
-    /// When this cell's share was last to be written.
+    /// When a change of this cell's share was last issued.
     last_write: Time,
-    /// The most in use of late, and since when.
+    /// The recent peak usage, and since when it applies.
     peak: Resources,
     peak_since: Time,
 }
 
 impl Account {
-    /// An account of a workspace of which nothing is known.
+    /// An account of a workspace about which nothing is known.
     ///
-    /// `settled` says that no former owner of the cell can have anything running that this one doesn't see.
+    /// `settled` states that no former owner of the cell can have runs that are unknown here.
     pub fn new(workspace: &str, holder: Holder, settled: bool, now: Time) -> Self {
         Self {
             workspace: workspace.into(),
@@ -111,14 +116,14 @@
         }
     }
 
-    /// Takes the limit of a configuration.
+    /// Applies the limit of a configuration; an older configuration is ignored.
     pub fn configure(&mut self, limit: Limit, configuration: u64, now: Time) {
         if configuration < self.configuration {
             return;
         }
         if !limit.0.holds(&self.limit.0) {
             self.lowered_by = configuration;
-            // Nothing was counted until now; the other cells write what they have running.
+            // No usage was counted until now, so the other cells must first write shares for it.
             let was_unlimited = self.configuration > 0 && self.limit.is_unlimited();
             self.starts_held_until =
                 if was_unlimited { now + FIRST_LIMIT_DELAY } else { self.starts_held_until };
@@ -127,13 +132,14 @@
         self.configuration = configuration;
     }
 
-    /// The limit that counts: of the configuration in force here and the one that the split was last written by,
-    /// the newer one's.
+    /// The effective limit: that of the configuration in force here or the one with which the split was
+    /// last written, whichever is newer.
     pub fn limit(&self) -> Limit {
         if self.split.configuration > self.configuration { self.split.limit } else { self.limit }
     }
 
-    /// Takes in the row; none where there is none.  Answers may overtake each other, so an older one is left.
+    /// Applies the row as read; `None` if there is no row.  Answers can arrive out of order, so an older
+    /// version is ignored.
     pub fn apply_row(&mut self, version: u64, split: Option<Split>, now: Time) {
         if version < self.version {
             return;
@@ -153,19 +159,19 @@
         self.pending.retain(|pending| pending.version >= version);
     }
 
-    /// Notes that the row was certain to be as it is known at `now`.
+    /// Records that the known row was certainly current at `now`.
     pub fn confirm(&mut self, now: Time) {
         self.confirmed_at = Some(now);
     }
 
-    /// Notes that a change of this owner's was carried out and gave the row this version.
+    /// Records that a change by this owner was committed and gave the row this version.
     pub fn record_write(&mut self, change: &Change, version: u64, now: Time) {
         if version > self.version {
             self.apply_row(version, Some(change.split.clone()), now);
         }
     }
 
-    /// Notes that a change was certainly not carried out.
+    /// Records that a change was certainly not committed.
     pub fn record_refusal(&mut self, change: &Change) {
         self.pending.retain(|pending| pending.version != change.version);
     }
@@ -176,12 +182,12 @@
         }
     }
 
-    /// Notes that all that a former owner started is seen or over.
+    /// Records that all runs of former owners are known here or have ended.
     pub fn settle(&mut self) {
         self.former_usage = None;
     }
 
-    /// Forgets what runs and what is wanted, before both are counted anew.
+    /// Resets usage and wanted resources before both are counted again.
     pub fn reset_counts(&mut self) {
         self.own_usage = Resources::default();
         self.adopted_usage = Resources::default();
@@ -189,22 +195,22 @@
         self.previous_smallest_wanted = self.smallest_wanted.take();
     }
 
-    /// Counts a run; `own` if this owner ordered it.
+    /// Counts a run; `own` if this owner started it.
     pub fn count_run(&mut self, need: &Resources, own: bool) {
         let sum = if own { &mut self.own_usage } else { &mut self.adopted_usage };
         *sum = sum.plus(need);
     }
 
-    /// Counts a run that is ordered now.
+    /// Counts a run that is being started.
     pub fn count_start(&mut self, need: &Resources) {
         self.count_run(need, true);
         self.started_since_write = true;
     }
 
-    /// All that may be running in this cell.
+    /// The resources that runs in this cell may be using.
     ///
-    /// Until all minions have told, a former owner's runs are taken to fill its whole share; those seen already are
-    /// among them.
+    /// Until all minions have reported, a former owner's runs are assumed to use its whole share, which
+    /// includes the runs that are known already.
     pub fn in_use(&self) -> Resources {
         match &self.former_usage {
             Some(former) => self.own_usage.plus(&former.max(&self.adopted_usage)),
@@ -212,24 +218,25 @@
         }
     }
 
-    /// This cell's share, if its present owner has written it.
+    /// This cell's share, if its current owner has written it.
     fn own_share(&self) -> Option<Share> {
         let share = self.split.shares.get(&self.holder.cell)?;
         (share.token == self.holder.token).then_some(*share)
     }
 
-    /// The size of this cell's share that certainly holds: a change that may still be carried out can lower it.
+    /// The size of this cell's share that is certainly granted: a change that may still be committed can
+    /// lower it.
     fn confirmed_size(&self) -> Resources {
         let size = self.own_share().map(|share| share.size).unwrap_or_default();
         let pending = self.pending.iter().filter(|pending| pending.version == self.version);
         pending.fold(size, |size, pending| size.min(&pending.share.size))
     }
 
-    /// What this cell may have running while others ask for more than they have; none while nobody does.
+    /// The resources that this cell may use while other cells are short; `None` while none is.
     ///
-    /// Each that is short gets an equal part of the limit, and at least what its next task takes, in the order in
-    /// which they last started something.  Those for which not enough is left start nothing, so that a large task
-    /// isn't kept waiting by smaller ones for ever, nor all of them by parts that are too small for any.
+    /// Each short cell gets an equal part of the limit, and at least what its next task needs.  Cells that
+    /// have started no task for longest come first.  Cells for which not enough is left start nothing, so
+    /// that smaller tasks don't starve a large one, and parts too small for any task don't block all.
     fn target(&self) -> Option<Target> {
         let cell = &self.holder.cell;
         let mut claims = self.split.other_claims(cell);
@@ -244,7 +251,7 @@
         for (place, claim) in claims.iter().enumerate() {
             let is_mine = *claim.cell == **cell;
             if !limit.holds(&claim.least) {
-                // It needs the whole limit to itself, and gets it when it is the first.
+                // Its task needs the whole limit and gets it when the claim is first.
                 match (place, is_mine) {
                     (0, true) => return Some(Target { size: claim.least, is_first: true }),
                     (0, false) | (_, true) => return Some(Target::default()),
@@ -262,12 +269,12 @@
         None
     }
 
-    /// This cell's own claim; one that is not short comes last.
+    /// This cell's own claim; it comes last if the cell is not short.
     fn own_claim(&self) -> Claim<'_> {
         let cell = &self.holder.cell;
         let Share { size, since, wanted, least, .. } = self.split.share(cell);
         let in_use = self.in_use();
-        // While a plan is made, what waits is known from the one before.
+        // While a plan is being made, the waiting tasks are those of the previous plan.
         let smallest = self.smallest_wanted.or(self.previous_smallest_wanted);
         match smallest {
             _ if !size.holds(&wanted) => {
@@ -284,22 +291,22 @@
         }
     }
 
-    /// Whether the shares are more than the limit, as after the limit fell.
+    /// Whether the sum of all shares exceeds the limit, as after the limit was lowered.
     fn is_limit_exceeded(&self) -> bool {
         let others = self.split.others_total(&self.holder.cell);
         let own_share = self.split.share(&self.holder.cell).size;
         !self.limit().0.holds(&others.plus(&own_share))
     }
 
-    /// Whether the split was written since the limit last fell.
+    /// Whether the split was written since the limit was last lowered.
     ///
-    /// Until then an owner that hasn't heard of it may raise its share by the former limit.  Once it is written by
-    /// the new configuration nobody can.
+    /// Until then an owner that doesn't know the new limit may raise its share up to the former one.  After
+    /// a write with the new configuration none can.
     fn is_split_current(&self) -> bool {
         self.split.configuration >= self.lowered_by
     }
 
-    /// Whether so many tasks may be started together now.
+    /// Whether `count` tasks may be started together now.
     pub fn may_start(&self, need: &Resources, count: u64, now: Time) -> bool {
         if self.limit().is_unlimited() {
             return true;
@@ -315,7 +322,7 @@
         !self.is_limit_exceeded() && size.holds(&self.in_use().plus(&need.times(count)))
     }
 
-    /// Whether a task that is larger than the whole limit may run because nothing else of its workspace does.
+    /// Whether a task that exceeds the whole limit may run because nothing else of its workspace runs.
     fn may_start_alone(&self, need: &Resources) -> bool {
         let is_alone =
             self.split.others_total(&self.holder.cell).is_zero() && self.in_use().is_zero();
@@ -327,23 +334,23 @@
         !self.limit().0.holds(need)
     }
 
-    /// Notes that tasks can't be started for want of a share.
+    /// Records tasks that can't be started because the share is too small.
     pub fn record_wanted(&mut self, need: &Resources, count: u64) {
         self.wanted = self.wanted.plus(&need.times(count));
         let smallest = self.smallest_wanted.map_or(*need, |smallest| smallest.min(need));
         self.smallest_wanted = Some(smallest);
     }
 
-    /// How the split should change now; none if it is right as far as known.
+    /// The change of the split that is due now, if any.
     ///
-    /// `room` is what the cell's minions have free: more isn't asked for.
+    /// `room` is what is free on the cell's minions; no more than that is requested.
     pub fn next_change(&mut self, room: &Resources, now: Time) -> Option<Change> {
         self.update_peak(now);
         if self.limit().is_unlimited() || self.confirmed_at.is_none() {
             return None;
         }
         let known = self.split.share(&self.holder.cell);
-        // A successor has taken the cell over, and this owner hasn't heard of it.
+        // Another owner has taken the cell over, which this one hasn't noticed.
         if known.token > self.holder.token {
             return None;
         }
@@ -369,8 +376,8 @@
         let demand = in_use.plus(&self.wanted.min(room));
         let share = Share { token: self.holder.token, size, ..Share::default() };
         let Some(smallest) = self.smallest_wanted else { return share };
-        // Its place is kept until something is started, also once the size is enough: without it the size would go
-        // to the next one before that.
+        // The cell keeps its position until it starts a task, even if the size is sufficient: otherwise
+        // the next cell would get the size before the start.
         let since =
             if known.since > 0 && !self.started_since_write { known.since } else { self.version };
         let wanted = if size.holds(&demand) { Resources::default() } else { demand };
@@ -390,7 +397,7 @@
         let limit = self.limit().0;
         let others = self.split.others_total(&self.holder.cell);
         let in_use = self.in_use();
-        // What a former owner may have running keeps its share until it is seen.
+        // Runs that a former owner may have keep its share in use until they are known.
         let least = match self.own_share() {
             None if self.former_usage.is_some() => {
                 self.own_usage.plus(&known.max(&self.adopted_usage))
@@ -403,7 +410,7 @@
         if target.is_some() || self.is_limit_exceeded() {
             let bound = target.map_or(free, |target| target.size.min(&free));
             let starts = self.smallest_wanted.is_none_or(|need| bound.holds(&least.plus(&need)));
-            // Parts in which no task fits would keep each other from growing.
+            // Parts too small for any task would prevent each other from growing.
             let keeps = starts || target.is_none_or(|target| target.is_first);
             let shared = if keeps { least.max(&demand.min(&bound)) } else { least };
             return self.exclusive_size(&others, &least).unwrap_or(shared);
@@ -416,14 +423,14 @@
         self.size_after_return(known, least, now)
     }
 
-    /// The size for a task that is larger than the whole limit, when its turn has come and nothing else runs.
+    /// The size for a task that exceeds the whole limit, if its claim is first and nothing else runs.
     fn exclusive_size(&self, others: &Resources, least: &Resources) -> Option<Resources> {
         let smallest = self.smallest_wanted.filter(|need| self.exceeds_limit(need))?;
         let is_first = self.target().is_none_or(|target| target.size.holds(&smallest));
         (is_first && others.is_zero() && least.is_zero()).then_some(smallest)
     }
 
-    /// What to keep of a share for which nobody else asks.
+    /// The size of a share after returning what isn't needed, while no other cell is short.
     fn size_after_return(&self, known: Resources, least: Resources, now: Time) -> Resources {
         let cells = self.split.shares.len().max(1) as u64;
         let base = self.limit().0.divided_by(2 * cells);
@@ -434,7 +441,7 @@
     }
 
     fn is_worth_writing(&self, known: &Share, next: &Share, now: Time) -> bool {
-        // A change without an answer counts as it is worse for this cell until another one settles what became of it.
+        // An unanswered change counts with its worse outcome for this cell until a later change settles it.
         let is_unsettled = self.pending.iter().any(|pending| pending.version == self.version);
         if is_unsettled || !self.is_split_current() && !self.split.shares.is_empty() {
             return true;
@@ -458,7 +465,8 @@
         is_useful || asks_anew || self.must_yield(known, now)
     }
 
-    /// Whether others that are short have to learn that this cell has started something meanwhile.
+    /// Whether the share must be written because this cell has started a task and short cells now
+    /// precede it.
     fn must_yield(&self, known: &Share, now: Time) -> bool {
         let has_place = known.is_short()
             && self.started_since_write
@@ -466,13 +474,13 @@
         has_place && !self.split.other_claims(&self.holder.cell).is_empty()
     }
 
-    /// Whether an amount is more than a part of the limit in any resource.
+    /// Whether an amount exceeds the limit divided by `divisor` in any resource.
     fn exceeds_limit_part(&self, amount: &Resources, divisor: u64) -> bool {
         let min = self.limit().0.divided_by(divisor);
         amount.cpu > min.cpu || amount.memory_mb > min.memory_mb || amount.gpu > min.gpu
     }
 
-    /// What is known, for logs and operators.
+    /// A summary for logs and operators.
     pub fn summary(&self, now: Time) -> Summary {
         Summary {
             limit: self.limit(),
@@ -483,15 +491,15 @@
     }
 }
 
-/// An account at a moment.
+/// A snapshot of an account.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Summary {
     /// The workspace's limit.
     pub limit: Limit,
     /// This cell's share of it.
     pub share: Resources,
-    /// What may be running in this cell.
+    /// What runs in this cell may be using.
     pub used: Resources,
-    /// How old the knowledge of the split is; none if it was never read.
+    /// The age of the known split; `None` if it was never read.
     pub age: Option<Duration>,
 }
--- a/crates/engine/src/quota/split.rs
+++ b/crates/engine/src/quota/split.rs
@@ -1,4 +1,4 @@
-//! A workspace's limit, and how it is split between the cells.
+//! A workspace's limit and its split between the cells.
 
 use crate::job::Resources;
 use serde::{Deserialize, Serialize};
@@ -6,11 +6,12 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What a workspace may have running at once.
+/// The resources that a workspace may use at once.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Limit(pub Resources);
 
-/// An amount that no limit comes near; sums of a few of it stay far from overflowing.
+/// Amount from which a limit counts as unlimited; far above any real limit, and sums of a few such
+/// amounts don't overflow.
 const UNLIMITED_AMOUNT: u64 = 1 << 50;
 
 impl Limit {
@@ -21,12 +22,12 @@
         gpu: UNLIMITED_AMOUNT,
     });
 
-    /// Whether one of its amounts bounds nothing.
+    /// Whether an amount doesn't limit its resource.
     fn is_unlimited_amount(amount: u64) -> bool {
         amount >= UNLIMITED_AMOUNT
     }
 
-    /// Whether it bounds nothing.
+    /// Whether no resource is limited.
     pub fn is_unlimited(&self) -> bool {
         self.0.holds(&Self::UNLIMITED.0)
     }
@@ -46,60 +47,60 @@
     }
 }
 
-/// What one cell may use of a workspace's limit.
+/// The part of a workspace's limit that one cell may use.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Share {
-    /// The fencing token of the owner that wrote it last.
+    /// The fencing token of the owner that last wrote it.
     pub token: u64,
-    /// What the cell may have running.
+    /// The resources that the cell may use.
     pub size: Resources,
-    /// What it would have running; nothing while the size is enough.
+    /// The resources that it would use; zero while the size is sufficient.
     pub wanted: Resources,
     /// The size with which it could start one more task.
     pub least: Resources,
-    /// The row's version when something began to wait, or when something was last started since; 0 while nothing
-    /// waits.
+    /// The row's version when tasks began to wait, or when a task was last started since then; 0 while
+    /// none waits.
     pub since: u64,
 }
 
 impl Share {
-    /// Whether its cell asks for more than it has.
+    /// Whether its cell wants more than it has.
     pub fn is_short(&self) -> bool {
         !self.size.holds(&self.wanted)
     }
 }
 
-/// A cell's place in the order in which those that are short get their parts.
+/// A cell's claim to a part of the limit while cells are short.
 #[derive(Clone, Debug)]
 pub(crate) struct Claim<'a> {
-    /// The longer a cell has started nothing the earlier it comes.
+    /// Claims are ordered by this: cells that have started no task for longest come first.
     pub(crate) since: u64,
     pub(crate) cell: &'a str,
     pub(crate) wanted: Resources,
     pub(crate) least: Resources,
 }
 
-/// How a workspace's limit is split, as it is kept.
+/// The stored split of a workspace's limit.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Split {
-    /// The version of the configuration that the limit is of.
+    /// The version of the configuration that contains the limit.
     pub configuration: u64,
     /// The limit.
     pub limit: Limit,
-    /// Each cell's share, by its name.
+    /// The shares, by cell.
     pub shares: BTreeMap<Box<str>, Share>,
 }
 
-/// What a cell may have running while others are short.
+/// The resources that a cell may use while others are short.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Target {
     pub(crate) size: Resources,
-    /// Whether it is the cell that has started nothing for longest.
+    /// Whether the cell has started no task for longest.
     pub(crate) is_first: bool,
 }
 
 impl Split {
-    /// The sum of all shares but that of `cell`.
+    /// The sum of the shares of all cells except `cell`.
     pub(crate) fn others_total(&self, cell: &str) -> Resources {
         let others = self.shares.iter().filter(|(name, _)| ***name != *cell);
         others.fold(Resources::default(), |sum, (_, share)| sum.plus(&share.size))
@@ -109,7 +110,7 @@
         self.shares.get(cell).copied().unwrap_or_default()
     }
 
-    /// The claims of the cells but `cell` that ask for more than they have.
+    /// The claims of all short cells except `cell`.
     pub(crate) fn other_claims(&self, cell: &str) -> SmallVec<[Claim<'_>; 4]> {
         let others =
             self.shares.iter().filter(|(name, share)| ***name != *cell && share.is_short());
@@ -124,12 +125,12 @@
     }
 }
 
-/// A change of a workspace's split, to be written on condition of its row's version.
+/// A change of a workspace's split, written on condition of its row's version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// The workspace.
     pub workspace: Box<str>,
-    /// The version that the row must have; 0 if there must be none.
+    /// The version that the row must have; 0 if there must be no row.
     pub version: u64,
     /// The split to write.
     pub split: Split,
