--- a/crates/engine/tests/all/maintenance.rs
+++ b/crates/engine/tests/all/maintenance.rs
@@ -36,12 +36,12 @@
 
 /// Plays a wave whose minions empty at once, counting how many machines are down together.
 #[test]
-fn a_wave_is_completed_with_never_more_down_than_allowed() {
+fn a_wave_completes_with_never_more_down_than_allowed() {
     let mut planner = planner(12, 3);
     let mut machines = machines(12);
     let mut emptying = BTreeSet::new();
     let mut down: BTreeMap<String, Time> = BTreeMap::new();
-    let (mut now, mut most, mut completed) = (Time(0), 0, false);
+    let (mut now, mut max_down, mut completed) = (Time(0), 0, false);
     for _ in 0..200 {
         now = now + Duration::from_millis(350);
         down.retain(|name, since| {
@@ -74,17 +74,17 @@
                 }
             }
         }
-        most = most.max(down.len());
+        max_down = max_down.max(down.len());
     }
     assert!(completed);
-    assert_eq!(most, 3);
+    assert_eq!(max_down, 3);
     assert_eq!(planner.wave(1).unwrap().begun.len(), 12);
 }
 
 /// The list of machines lags behind an order; a machine ordered down and still listed as up
 /// counts as down, or the wave would exceed what may be down at once.
 #[test]
-fn an_order_that_the_list_does_not_show_yet_counts() {
+fn an_order_that_the_list_does_not_show_yet_counts_as_down() {
     let mut planner = planner(4, 1);
     let machines = machines(4);
     let all: BTreeSet<String> = (0..4).map(|number| format!("minion-{number}")).collect();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_machine_that_is_gone_for_good_is_not_waited_for() {
+fn an_unlisted_machine_does_not_block_its_wave() {
     let mut planner = planner(1, 1);
     let steps = planner.plan(&machines(0), &BTreeSet::new(), &BTreeSet::new(), Time(0), 0);
     assert!(steps.is_empty(), "an empty list of machines proves nothing");
@@ -116,18 +116,18 @@
 
 /// A fleet in a wave, played by steps of a tenth of a second: a machine empties in the time that its work
 /// takes, is down for two seconds and comes back with another minion.
-struct Play {
+struct Simulation {
     planner: Planner,
     machines: BTreeMap<String, Machine>,
     /// When each machine that was asked to empty is empty.
-    empties: BTreeMap<String, Time>,
+    empty_at: BTreeMap<String, Time>,
     down: BTreeMap<String, Time>,
     now: Time,
-    most_under_way: usize,
-    first_begun: Vec<String>,
+    max_under_way: usize,
+    start_order: Vec<String>,
 }
 
-impl Play {
+impl Simulation {
     fn new(count: usize, at_once: usize, window_ms: u64) -> Self {
         let mut planner = Planner::new(Settings::default());
         let names = (0..count).map(|number| format!("machine-{number}")).collect();
@@ -135,15 +135,15 @@
         Self {
             planner,
             machines: machines(count),
-            empties: BTreeMap::new(),
+            empty_at: BTreeMap::new(),
             down: BTreeMap::new(),
             now: Time(0),
-            most_under_way: 0,
-            first_begun: Vec::new(),
+            max_under_way: 0,
+            start_order: Vec::new(),
         }
     }
 
-    fn occupy(&mut self, numbers: std::ops::Range<usize>, occupation: Occupation) {
+    fn set_occupation(&mut self, numbers: std::ops::Range<usize>, occupation: Occupation) {
         for number in numbers {
             self.machines.get_mut(&format!("machine-{number}")).unwrap().occupation = occupation;
         }
@@ -162,8 +162,8 @@
             self.machines.insert(name, Machine { minion, up: true, ..Machine::default() });
         }
         let minion = |name: &String| name.replace("machine", "minion");
-        let emptying = self.empties.keys().map(minion).collect();
-        let empty = self.empties.iter().filter(|(_, at)| now >= **at);
+        let emptying = self.empty_at.keys().map(minion).collect();
+        let empty = self.empty_at.iter().filter(|(_, at)| now >= **at);
         let empty = empty.map(|(name, _)| minion(name)).collect();
         for step in self.planner.plan(&self.machines, &emptying, &empty, now, now.0) {
             match step {
@@ -173,13 +173,13 @@
                         Occupation::Working(_) => 1000,
                         Occupation::LongRunning => 3000,
                     };
-                    self.empties.insert(machine, now + Duration::from_millis(takes));
+                    self.empty_at.insert(machine, now + Duration::from_millis(takes));
                 }
                 Action::Begin { machine, wave } => {
                     self.planner.record_order(&machine, now);
                     self.planner.record_start(wave, &machine);
-                    self.empties.remove(&machine);
-                    self.first_begun.push(machine.clone());
+                    self.empty_at.remove(&machine);
+                    self.start_order.push(machine.clone());
                     let under = Machine { in_maintenance: true, ..Machine::default() };
                     self.machines.insert(machine.clone(), under);
                     self.down.insert(machine, now);
@@ -187,7 +187,7 @@
                 Action::Complete { wave } => self.planner.record_completion(wave),
             }
         }
-        self.most_under_way = self.most_under_way.max(self.empties.len() + self.down.len());
+        self.max_under_way = self.max_under_way.max(self.empty_at.len() + self.down.len());
     }
 
     fn run(&mut self, until: Time) {
@@ -200,60 +200,64 @@
 /// Half of a fleet is due within 26 seconds, and a fifth of it may be down at once.  With all of that taken
 /// at once, the callers of the worst seconds miss a fifth of the room, and the window is used for a third.
 #[test]
-fn a_wave_takes_no_more_working_machines_than_its_window_asks_for() {
-    let mut play = Play::new(580, 225, 26_000);
-    play.occupy(0..580, Occupation::Working(8000));
-    play.run(Time(26_000));
-    assert_eq!(play.begun(), 580);
-    assert!(play.most_under_way <= 160, "{} at once", play.most_under_way);
+fn a_wave_takes_no_more_working_machines_than_its_window_requires() {
+    let mut simulation = Simulation::new(580, 225, 26_000);
+    simulation.set_occupation(0..580, Occupation::Working(8000));
+    simulation.run(Time(26_000));
+    assert_eq!(simulation.begun(), 580);
+    assert!(simulation.max_under_way <= 160, "{} at once", simulation.max_under_way);
 }
 
 /// Machines with lasting tasks empty one after the other; begun last, they would miss the window.
 #[test]
-fn machines_that_take_long_to_empty_are_not_left_for_the_end() {
-    let mut play = Play::new(60, 20, 26_000);
-    play.occupy(0..40, Occupation::Working(8000));
-    play.occupy(40..60, Occupation::LongRunning);
-    play.run(Time(26_000));
-    assert_eq!(play.begun(), 60);
-    let lasting = |name: &&String| name["machine-".len()..].parse::<usize>().unwrap() >= 40;
-    let early = play.first_begun[..30].iter().filter(lasting).count();
+fn machines_that_take_long_to_empty_begin_early() {
+    let mut simulation = Simulation::new(60, 20, 26_000);
+    simulation.set_occupation(0..40, Occupation::Working(8000));
+    simulation.set_occupation(40..60, Occupation::LongRunning);
+    simulation.run(Time(26_000));
+    assert_eq!(simulation.begun(), 60);
+    let long_running = |name: &&String| name["machine-".len()..].parse::<usize>().unwrap() >= 40;
+    let early = simulation.start_order[..30].iter().filter(long_running).count();
     assert!(early >= 8, "{early} of the first thirty");
 }
 
 /// Machines that are off or rest cost nobody anything, so they go as soon as is allowed.
 #[test]
-fn machines_that_idle_go_first_and_as_many_as_allowed() {
-    let mut play = Play::new(100, 30, 26_000);
-    play.occupy(0..60, Occupation::Working(8000));
-    play.run(Time(3000));
-    assert!(play.begun() >= 30, "{} in three seconds", play.begun());
+fn idle_machines_go_first_and_as_many_as_allowed() {
+    let mut simulation = Simulation::new(100, 30, 26_000);
+    simulation.set_occupation(0..60, Occupation::Working(8000));
+    simulation.run(Time(3000));
+    assert!(simulation.begun() >= 30, "{} in three seconds", simulation.begun());
     let idle = |name: &&String| name["machine-".len()..].parse::<usize>().unwrap() >= 60;
-    assert!(play.first_begun[..30].iter().all(|name| idle(&name)), "{:?}", play.first_begun);
+    assert!(
+        simulation.start_order[..30].iter().all(|name| idle(&name)),
+        "{:?}",
+        simulation.start_order
+    );
 }
 
 /// The store is away in the middle of a wave, or its window is short: what is left goes as fast as is
 /// allowed, and no faster.
 #[test]
 fn a_wave_that_falls_behind_catches_up() {
-    let mut play = Play::new(150, 40, 26_000);
-    play.occupy(0..150, Occupation::Working(8000));
-    play.run(Time(5000));
-    let before = play.begun();
-    play.now = Time(12_000);
-    play.run(Time(26_000));
+    let mut simulation = Simulation::new(150, 40, 26_000);
+    simulation.set_occupation(0..150, Occupation::Working(8000));
+    simulation.run(Time(5000));
+    let before = simulation.begun();
+    simulation.now = Time(12_000);
+    simulation.run(Time(26_000));
     assert!(before < 60, "{before} in the first five seconds");
-    assert_eq!(play.begun(), 150);
-    let mut short = Play::new(40, 10, 3000);
-    short.occupy(0..40, Occupation::Working(8000));
+    assert_eq!(simulation.begun(), 150);
+    let mut short = Simulation::new(40, 10, 3000);
+    short.set_occupation(0..40, Occupation::Working(8000));
     short.run(Time(2000));
-    assert_eq!(short.most_under_way, 10 + Settings::default().extra_emptying);
+    assert_eq!(short.max_under_way, 10 + Settings::default().extra_emptying);
 }
 
 /// Dozens of orders are refused for their rate.  Taken for orders that may have been carried out, they kept
 /// their machines emptied, and their places, for three and a half seconds.
 #[test]
-fn an_order_that_is_put_off_is_given_again_at_once() {
+fn a_refused_order_is_repeated_at_once() {
     let mut planner = planner(2, 1);
     let machines = machines(2);
     let all: BTreeSet<String> = (0..2).map(|number| format!("minion-{number}")).collect();
--- a/crates/engine/tests/all/outage.rs
+++ b/crates/engine/tests/all/outage.rs
@@ -16,7 +16,7 @@
 /// The store goes away at a turn's peak.  Hundreds of callers' jobs are sent to it all the same, and each
 /// of them must then be told that nobody knows whether it runs.
 #[test]
-fn a_store_that_answers_nothing_is_away_within_a_moment() {
+fn a_store_that_stops_answering_is_soon_down() {
     assert!(!outage(1040, &[]).is_ongoing(Time(1040)), "two failures may be chance");
     assert!(outage(1160, &[]).is_ongoing(Time(1160)));
 }
@@ -30,7 +30,7 @@
 /// The store turns away most calls, but not all.  Taken for away, it would get none, although each
 /// caller would be served at the second or third try.
 #[test]
-fn a_store_that_turns_some_calls_away_is_there() {
+fn a_store_that_refuses_some_calls_is_not_down() {
     let answers: Vec<u64> = (1000..3000).step_by(90).collect();
     for until in (1500..3000).step_by(10) {
         assert!(!outage(until, &answers).is_ongoing(Time(until)), "{until}");
--- a/crates/engine/tests/all/ownership.rs
+++ b/crates/engine/tests/all/ownership.rs
@@ -132,7 +132,7 @@
 
 /// The entry says itself how long it may be silent.
 #[test]
-fn a_holder_with_a_longer_term_is_left_alone_for_longer() {
+fn a_longer_term_delays_the_takeover() {
     let mut entries = entries(10_000, &["b"], &["a", "b"]);
     entries.get_mut("b").unwrap().term = Duration::from_millis(10_500);
     assert_eq!(decision("a", Some("b"), &entries, 10_000), Decision::Decline);
@@ -143,7 +143,7 @@
 /// every holder lives: the rows are older than the term, because nobody could renew them, and
 /// each entry reads them before their holders have written again.
 #[test]
-fn an_outage_of_the_store_is_nobodys_silence() {
+fn a_store_outage_does_not_count_as_silence() {
     let mut entries = entries(10_000, &[], &["a", "b"]);
     let (before, after) = (Time(10_000), Time(12_600));
     record_read(&mut entries, before, after);
@@ -160,7 +160,7 @@
 /// Each entry reads what all others write.  At a fixed interval that grows with the square of their
 /// number, beyond what an instance may spend on control.
 #[test]
-fn many_entries_renew_less_often_and_are_given_more_time() {
+fn many_entries_renew_less_often_and_have_longer_terms() {
     let least = Duration::from_millis(300);
     assert_eq!(renewal_interval(least, 9, 5, false), least);
     assert_eq!(renewal_interval(least, 28, 5, false), Duration::from_millis(504));
@@ -172,7 +172,7 @@
 /// of a core takes it: it attends too few of the minions in time, learns of jobs seconds late, and
 /// its callers are told that jobs wait which nobody counts.
 #[test]
-fn a_strong_instance_with_a_cell_goes_before_a_weak_one_without() {
+fn a_large_entry_with_a_cell_precedes_a_small_one_without() {
     let mut entries = entries(10_000, &[], &["strong", "weak"]);
     entries.get_mut("strong").unwrap().millicores = 500;
     entries.get_mut("weak").unwrap().millicores = 120;
@@ -190,7 +190,7 @@
 /// One of 147 entries holds a cell and is cut off.  With as long a term as the idle ones, nobody takes its
 /// cell for eight seconds, and all of its callers' jobs stand still.
 #[test]
-fn a_holder_among_many_entries_is_missed_as_soon_as_among_few() {
+fn a_lost_holder_is_detected_as_soon_among_many_entries_as_among_few() {
     let least = Duration::from_millis(300);
     let taken = Duration::from_millis(1300);
     let few = term(taken, renewal_interval(least, 9, 5, true), Duration::ZERO);
@@ -206,7 +206,7 @@
 /// A zone is cut off with the holder of a cell and thirty entries without one, which renew seldom and
 /// still count as living.  Each of them that comes first in the order delays the takeover.
 #[test]
-fn entries_seen_since_the_holder_come_before_those_that_may_be_cut_off_with_it() {
+fn entries_that_renewed_after_the_holder_come_first() {
     let names = ["a", "b", "c", "d", "e", "f", "holder"];
     let mut entries = entries(9000, &[], &names);
     let living = "d";
@@ -223,7 +223,7 @@
 /// The store forgets its history while 147 entries follow the table.  All read it whole at once, a call for
 /// each row; most calls are refused for their rate and repeated, and no entry learns anything any more.
 #[test]
-fn entries_that_read_all_again_keep_within_the_stores_rate() {
+fn rereads_keep_within_the_stores_rate_limit() {
     for (entries, calls_a_second) in [(9, 2000), (41, 6000), (147, 16_000)] {
         let draws = (0..=100).map(|draw| reread_delay(entries, f64::from(draw) / 100.0));
         let mean = draws.sum::<Duration>().as_secs_f64() / 101.0;
--- a/crates/engine/tests/all/pools.rs
+++ b/crates/engine/tests/all/pools.rs
@@ -38,7 +38,7 @@
 
 /// One queue asks for 240 cores of 144 while the other asks for nothing.
 #[test]
-fn a_burst_gets_the_machines_that_idle_before_spare_ones() {
+fn a_burst_gets_idle_machines_before_spare_ones() {
     let mut planner = Planner::new(Settings::default());
     let moves = planner.plan(&machines(), &loads(240, 0), Some("spare"), Time(0));
     assert!(moves.iter().all(|plan| plan.to == "a"), "{moves:?}");
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn spare_machines_help_when_none_idles() {
+fn spare_machines_move_when_none_is_idle() {
     let mut planner = Planner::new(Settings::default());
     let moves = planner.plan(&machines(), &loads(200, 200), Some("spare"), Time(0));
     assert_eq!(moves.iter().filter(|plan| plan.from == "spare").count(), 2);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_is_under_way_counts() {
+fn pending_and_arriving_machines_count() {
     let mut planner = Planner::new(Settings::default());
     let first = planner.plan(&machines(), &loads(240, 0), Some("spare"), Time(0));
     assert!(!first.is_empty());
@@ -101,18 +101,18 @@
 }
 
 #[test]
-fn a_move_that_takes_too_long_is_given_up() {
+fn a_move_that_takes_too_long_is_overdue() {
     let mut planner = Planner::new(Settings::default());
     let first = planner.plan(&machines(), &loads(240, 0), None, Time(0));
     assert!(planner.overdue_moves(Time(1000)).is_empty());
-    let patience = Settings::default().order_timeout + Duration::from_millis(1);
-    assert_eq!(planner.overdue_moves(Time(0) + patience).len(), first.len());
+    let timeout = Settings::default().order_timeout + Duration::from_millis(1);
+    assert_eq!(planner.overdue_moves(Time(0) + timeout).len(), first.len());
 }
 
 /// A service runs a task on each of five machines, no two together.  With its other machines lent
 /// out, a task whose machine goes down has nowhere to go, although cores are free.
 #[test]
-fn a_pool_keeps_the_machines_over_which_lasting_tasks_are_spread() {
+fn a_pool_keeps_the_machines_over_which_long_running_tasks_are_spread() {
     let mut planner = Planner::new(Settings::default());
     let mut loads = loads(400, 0);
     loads.get_mut("b").unwrap().min_minions = 5;
@@ -123,7 +123,7 @@
 /// An outage leaves one pool with eighty machines' work.  Another queue's turn begins, and its callers
 /// wait with one machine for five seconds: all that idles goes to the pool that lacks most.
 #[test]
-fn a_pool_with_a_large_remainder_does_not_take_all() {
+fn a_pool_with_a_large_backlog_does_not_get_all_machines() {
     let mut machines = machines();
     machines.retain(|name, _| !name.starts_with("b-") || name == "b-0");
     for number in 0..14 {
--- a/crates/engine/tests/all/quota.rs
+++ b/crates/engine/tests/all/quota.rs
@@ -7,43 +7,43 @@
 use celerythread_engine::job::{Accepted, Definition, Id, Origin, Resources, Step};
 use celerythread_engine::quota::{Account, Holder, Limit, Share, Split};
 use celerythread_engine::time::Time;
-use model::{Play, Trouble};
+use model::{DisabledGuards, Simulation};
 use std::time::Duration;
 
 /// Draws of the model in a run of all tests.
-const DRAWS: u64 = 1000;
+const DEFAULT_DRAWS: u64 = 1000;
 
 /// Set to play so many draws by hand.
 const DRAWS_VARIABLE: &str = "CELERYTHREAD_DRAWS";
 
 fn draws() -> u64 {
     let given = std::env::var(DRAWS_VARIABLE).ok();
-    given.and_then(|text| text.parse().ok()).unwrap_or(DRAWS)
+    given.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_DRAWS)
 }
 
 /// Guards against a workspace running beyond its limit when owners die, stand still or are cut off, and when
 /// transactions are lost, late or unanswered; and against tasks that wait for ever once that is over.
 #[test]
-fn a_limit_holds_under_any_trouble() {
-    let mut broken = Vec::new();
+fn a_limit_holds_under_all_drawn_faults() {
+    let mut failures = Vec::new();
     for seed in 0..draws() {
-        if let Err(breach) = Play::new(seed).run() {
-            broken.push(format!("seed {seed}: {breach}"));
+        if let Err(failure) = Simulation::new(seed).run() {
+            failures.push(format!("seed {seed}: {failure}"));
         }
     }
-    let first = &broken[..broken.len().min(5)];
-    assert!(broken.is_empty(), "{} of {} draws broken: {first:#?}", broken.len(), draws());
+    let first = &failures[..failures.len().min(5)];
+    assert!(failures.is_empty(), "{} of {} draws broken: {first:#?}", failures.len(), draws());
 }
 
 /// The model finds the breach of an owner that raises its share without a condition.
 #[test]
-fn the_model_sees_a_limit_that_is_broken() {
-    let broken = (0..200).filter(|seed| {
-        let mut play = Play::new(*seed);
-        play.trouble = Trouble { unconditional: true };
-        play.run().is_err()
+fn the_model_detects_a_broken_limit() {
+    let failures = (0..200).filter(|seed| {
+        let mut simulation = Simulation::new(*seed);
+        simulation.disabled_guards = DisabledGuards { unconditional: true };
+        simulation.run().is_err()
     });
-    assert!(broken.count() > 0);
+    assert!(failures.count() > 0);
 }
 
 fn cores(count: u64) -> Resources {
@@ -73,7 +73,7 @@
 
 /// Guards against a successor that spends what its predecessor's runs still use.
 #[test]
-fn a_successor_counts_its_predecessors_share_until_all_minions_told() {
+fn a_successor_counts_its_predecessors_share_until_all_minions_have_reported() {
     let mut account = account("cell", false);
     let former = Share { token: 3, size: cores(80), ..Share::default() };
     let shares = [("cell".into(), former)].into_iter().collect();
@@ -109,7 +109,7 @@
 
 /// Guards against new starts after a limit fell below what runs: the shares of all are more than it then.
 #[test]
-fn nothing_starts_while_shares_are_more_than_a_fallen_limit() {
+fn nothing_starts_while_shares_exceed_a_lowered_limit() {
     let mut account = account("cell", true);
     let other = Share { token: 3, size: cores(60), ..Share::default() };
     let own = Share { token: 7, size: cores(20), ..Share::default() };
@@ -125,7 +125,7 @@
 
 /// Guards against starts by shares that an owner which hasn't heard of a lower limit may be raising just then.
 #[test]
-fn nothing_starts_before_the_split_is_written_by_the_lower_limit() {
+fn nothing_starts_before_the_split_is_written_with_the_lower_limit() {
     let mut account = account("cell", true);
     let other = Share { token: 3, size: cores(10), ..Share::default() };
     let own = Share { token: 7, size: cores(20), ..Share::default() };
@@ -154,7 +154,7 @@
 
 /// Guards against one cell that keeps the whole limit busy while another one's jobs wait.
 #[test]
-fn a_busy_cell_gives_way_to_one_that_asks() {
+fn a_busy_cell_yields_to_one_that_is_short() {
     let mut account = account("cell", true);
     let asking = Share { token: 3, wanted: cores(40), least: cores(5), ..Share::default() };
     let own = Share { token: 7, size: cores(100), ..Share::default() };
@@ -222,7 +222,7 @@
 
 /// Guards against a gang wider than its workspace's limit taking the whole of it and still not starting.
 #[test]
-fn a_gang_wider_than_the_limit_holds_up_nobody() {
+fn a_gang_wider_than_the_limit_blocks_no_other_job() {
     let mut world = limited(2, 5);
     submit(&mut world, 1, team(), vec![Step { gang: true, ..step(8) }]);
     submit(&mut world, 2, team(), vec![step(4)]);
@@ -273,7 +273,7 @@
 
 /// Guards against anybody learning of, or cancelling, another workspace's job.
 #[test]
-fn a_job_is_seen_by_its_workspace_only() {
+fn a_job_is_visible_only_to_its_workspace() {
     let mut world = World::new(1);
     submit(&mut world, 1, team(), vec![step(1)]);
     let (own, other) = (team(), Origin::Workspace("other".into()));
--- a/crates/engine/tests/all/quota/model.rs
+++ b/crates/engine/tests/all/quota/model.rs
@@ -10,24 +10,24 @@
 const CELLS: usize = 4;
 const STEP: Duration = Duration::from_millis(20);
 /// Trouble comes until then, and what must come has come by the end.
-const CALM: Time = Time(12_000);
+const FAULTS_END: Time = Time(12_000);
 /// When the last trouble is over.
-const QUIET: Time = Time(18_000);
+const CHECKS_START: Time = Time(18_000);
 /// When what it left behind is cleared up.
-const SETTLED: Time = Time(19_000);
+const RECOVERED: Time = Time(19_000);
 const END: Time = Time(24_000);
 /// How long an owner that doesn't reach the store goes on starting tasks.
-const ALONE: Duration = Duration::from_millis(3000);
+const ISOLATED_START_LIMIT: Duration = Duration::from_millis(3000);
 /// Longest wait of a task in calm times while its workspace uses under half of its limit.
-const LONGEST_WAIT: Duration = Duration::from_millis(1000);
+const MAX_WAIT: Duration = Duration::from_millis(1000);
 /// The same beside a task that needs more than half of the limit, for which the others must end first.
-const DRAINED: Duration = Duration::from_millis(3000);
+const MAX_WAIT_BESIDE_LARGE_TASK: Duration = Duration::from_millis(3000);
 const ROOM: Resources = Resources { cpu: 1 << 30, memory_mb: 1 << 30, gpu: 0 };
 const LIMITS: [u64; 5] = [40, 100, 20, 8, 60];
 
 /// Guards switched off, to see that the check finds what they guard against.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Trouble {
+pub(crate) struct DisabledGuards {
     /// Writes take effect whatever the row's version is.
     pub(crate) unconditional: bool,
 }
@@ -48,15 +48,15 @@
     /// Whether it gives orders: minions don't refuse its token.
     fenced: bool,
     settled: bool,
-    settles: Time,
+    settles_at: Time,
     paused_until: Time,
-    cut_until: Time,
-    contact: Time,
+    isolated_until: Time,
+    last_contact: Time,
     /// The configuration that it knows.
     configuration: usize,
     /// When it reads the split next, and hears of the newest configuration.
-    reads: Time,
-    hears: Time,
+    next_read: Time,
+    next_configuration: Time,
     /// Until when a write of its own is waited for.
     busy_until: Time,
 }
@@ -69,25 +69,25 @@
 }
 
 /// A write that is carried out later.
-struct Late {
+struct DelayedWrite {
     at: Time,
     change: Change,
 }
 
-pub(crate) struct Play {
-    pub(crate) trouble: Trouble,
+pub(crate) struct Simulation {
+    pub(crate) disabled_guards: DisabledGuards,
     random: StdRng,
     now: Time,
     cells: Vec<Cell>,
     runs: Vec<Run>,
     split: Split,
     version: u64,
-    late: Vec<Late>,
+    delayed: Vec<DelayedWrite>,
     /// How many of the limits have been configured.
     configured: usize,
-    tokens: u64,
+    last_token: u64,
     /// When half of the limit or more was last in use.
-    busy: Time,
+    last_busy: Time,
 }
 
 fn cores(count: u64) -> Resources {
@@ -99,46 +99,46 @@
     Limit(Resources { cpu: LIMITS[configuration] * 1000, ..any })
 }
 
-impl Play {
+impl Simulation {
     pub(crate) fn new(seed: u64) -> Self {
-        let mut play = Self {
-            trouble: Trouble::default(),
+        let mut simulation = Self {
+            disabled_guards: DisabledGuards::default(),
             random: StdRng::seed_from_u64(seed),
             now: Time(1000),
             cells: Vec::new(),
             runs: Vec::new(),
             split: Split::default(),
             version: 0,
-            late: Vec::new(),
+            delayed: Vec::new(),
             configured: 0,
-            tokens: 0,
-            busy: Time(0),
+            last_token: 0,
+            last_busy: Time(0),
         };
         for cell in 0..CELLS {
-            play.cells.push(Cell { owners: Vec::new(), waiting: Vec::new() });
-            play.take_over(cell, true);
+            simulation.cells.push(Cell { owners: Vec::new(), waiting: Vec::new() });
+            simulation.take_over(cell, true);
         }
-        play
+        simulation
     }
 
     fn take_over(&mut self, cell: usize, is_first: bool) {
-        self.tokens += 1;
-        let holder = Holder { cell: format!("cell-{cell}").into(), token: self.tokens };
+        self.last_token += 1;
+        let holder = Holder { cell: format!("cell-{cell}").into(), token: self.last_token };
         let mut account = Account::new("team", holder, is_first, self.now);
         account.configure(limit(self.configured), self.configured as u64 + 1, self.now);
-        let settles = self.now + Duration::from_millis(self.random.random_range(50..3000));
+        let settles_at = self.now + Duration::from_millis(self.random.random_range(50..3000));
         let owner = Owner {
-            token: self.tokens,
+            token: self.last_token,
             account,
             fenced: false,
             settled: is_first,
-            settles,
+            settles_at,
             paused_until: Time(0),
-            cut_until: Time(0),
-            contact: self.now,
+            isolated_until: Time(0),
+            last_contact: self.now,
             configuration: self.configured,
-            reads: self.now,
-            hears: self.now,
+            next_read: self.now,
+            next_configuration: self.now,
             busy_until: Time(0),
         };
         self.cells[cell].owners.push(owner);
@@ -149,24 +149,24 @@
             self.now = self.now + STEP;
             let now = self.now;
             self.runs.retain(|run| run.ends > now);
-            self.carry_out_late();
-            if now < CALM {
-                self.disturb();
+            self.commit_delayed();
+            if now < FAULTS_END {
+                self.inject_fault();
             }
-            self.demand();
+            self.add_tasks();
             for cell in 0..CELLS {
                 for owner in 0..self.cells[cell].owners.len() {
                     self.act(cell, owner)?;
                 }
             }
-            if now > QUIET {
+            if now > CHECKS_START {
                 self.check_waits()?;
             }
         }
         Ok(())
     }
 
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         let cell = self.random.random_range(0..CELLS);
         let now = self.now;
         let span = Duration::from_millis(self.random.random_range(100..6000));
@@ -182,22 +182,22 @@
                 if span.as_millis().is_multiple_of(2) {
                     owner.paused_until = now + span;
                 } else {
-                    owner.cut_until = now + span;
+                    owner.isolated_until = now + span;
                 }
                 self.take_over(cell, false);
             }
             6..9 => self.cells[cell].owners.last_mut().unwrap().paused_until = now + span,
-            9..12 => self.cells[cell].owners.last_mut().unwrap().cut_until = now + span,
+            9..12 => self.cells[cell].owners.last_mut().unwrap().isolated_until = now + span,
             12..14 => self.configured = (self.configured + 1).min(LIMITS.len() - 1),
             _ => {}
         }
     }
 
-    fn demand(&mut self) {
+    fn add_tasks(&mut self) {
         for cell in 0..CELLS {
             let is_turn = self.now.0 / 2000 % CELLS as u64 == cell as u64;
             let chance = if is_turn { 0.16 } else { 0.008 };
-            let chance = if self.now > CALM { chance / 8.0 } else { chance };
+            let chance = if self.now > FAULTS_END { chance / 8.0 } else { chance };
             if self.random.random_bool(chance) {
                 let cores =
                     if self.random.random_bool(0.02) { 70 } else { self.random.random_range(1..6) };
@@ -212,22 +212,23 @@
         if owner.fenced || now < owner.paused_until {
             return Ok(());
         }
-        if now >= owner.cut_until {
-            owner.contact = now;
-            if now >= owner.hears && owner.configuration != self.configured {
+        if now >= owner.isolated_until {
+            owner.last_contact = now;
+            if now >= owner.next_configuration && owner.configuration != self.configured {
                 owner.configuration = self.configured;
                 let version = self.configured as u64 + 1;
                 owner.account.configure(limit(self.configured), version, now);
             }
-            if now >= owner.reads {
+            if now >= owner.next_read {
                 let split = (self.version > 0).then(|| self.split.clone());
                 owner.account.apply_row(self.version, split, now);
                 owner.account.confirm(now);
-                owner.reads = now + Duration::from_millis(self.random.random_range(20..100));
-                owner.hears = now + Duration::from_millis(self.random.random_range(0..400));
+                owner.next_read = now + Duration::from_millis(self.random.random_range(20..100));
+                owner.next_configuration =
+                    now + Duration::from_millis(self.random.random_range(0..400));
             }
         }
-        if !owner.settled && now >= owner.settles && index + 1 == self.cells[cell].owners.len() {
+        if !owner.settled && now >= owner.settles_at && index + 1 == self.cells[cell].owners.len() {
             self.settle(cell);
         }
         self.start(cell, index)?;
@@ -247,7 +248,7 @@
     fn start(&mut self, cell: usize, index: usize) -> Result<(), String> {
         let now = self.now;
         let owner = &mut self.cells[cell].owners[index];
-        if now.since(owner.contact) > ALONE {
+        if now.since(owner.last_contact) > ISOLATED_START_LIMIT {
             return Ok(());
         }
         owner.account.reset_counts();
@@ -278,7 +279,9 @@
     /// A start may bring no more to run than the highest limit that an owner may still go by, or it runs alone.
     fn check_start(&self, need: u64) -> Result<(), String> {
         let running: u64 = self.runs.iter().map(|run| run.cores).sum();
-        let starts = |owner: &&Owner| !owner.fenced && self.now.since(owner.contact) <= ALONE;
+        let starts = |owner: &&Owner| {
+            !owner.fenced && self.now.since(owner.last_contact) <= ISOLATED_START_LIMIT
+        };
         let owners = self.cells.iter().flat_map(|cell| &cell.owners).filter(starts);
         let oldest = owners.map(|owner| owner.configuration).min().unwrap_or(0);
         let highest = LIMITS[oldest..=self.configured].iter().max().copied().unwrap_or(0);
@@ -292,11 +295,11 @@
     fn write(&mut self, cell: usize, index: usize) {
         let now = self.now;
         let owner = &mut self.cells[cell].owners[index];
-        if now < owner.busy_until || now < owner.cut_until {
+        if now < owner.busy_until || now < owner.isolated_until {
             return;
         }
         let Some(change) = owner.account.next_change(&ROOM, now) else { return };
-        let fate = if now < CALM { self.random.random_range(0..20) } else { 19 };
+        let fate = if now < FAULTS_END { self.random.random_range(0..20) } else { 19 };
         let owner = &mut self.cells[cell].owners[index];
         owner.busy_until = now + Duration::from_millis(20);
         match fate {
@@ -304,15 +307,15 @@
             1 => {
                 owner.busy_until = now + Duration::from_millis(500);
                 let delay = Duration::from_millis(self.random.random_range(200..6000));
-                self.late.push(Late { at: now + delay, change });
+                self.delayed.push(DelayedWrite { at: now + delay, change });
             }
             2 => {
                 owner.busy_until = now + Duration::from_millis(500);
-                self.carry_out(&change);
+                self.commit(&change);
             }
             3 => owner.account.record_refusal(&change),
             _ => {
-                if self.carry_out(&change) {
+                if self.commit(&change) {
                     let version = self.version;
                     self.cells[cell].owners[index].account.record_write(&change, version, now);
                 } else {
@@ -325,8 +328,8 @@
         }
     }
 
-    fn carry_out(&mut self, change: &Change) -> bool {
-        if change.version != self.version && !self.trouble.unconditional {
+    fn commit(&mut self, change: &Change) -> bool {
+        if change.version != self.version && !self.disabled_guards.unconditional {
             return false;
         }
         self.version += 1;
@@ -334,14 +337,14 @@
         true
     }
 
-    fn carry_out_late(&mut self) {
+    fn commit_delayed(&mut self) {
         let now = self.now;
-        let (due, late) =
-            std::mem::take(&mut self.late).into_iter().partition(|late| late.at <= now);
-        self.late = late;
-        let due: Vec<Late> = due;
-        due.iter().for_each(|late| {
-            self.carry_out(&late.change);
+        let (due, delayed) =
+            std::mem::take(&mut self.delayed).into_iter().partition(|delayed| delayed.at <= now);
+        self.delayed = delayed;
+        let due: Vec<DelayedWrite> = due;
+        due.iter().for_each(|delayed| {
+            self.commit(&delayed.change);
         });
     }
 
@@ -350,15 +353,19 @@
         let running: u64 = self.runs.iter().map(|run| run.cores).sum();
         let limit = LIMITS[self.configured];
         if running * 2 >= limit {
-            self.busy = self.now;
+            self.last_busy = self.now;
             return Ok(());
         }
         let all = || self.cells.iter().flat_map(|cell| &cell.waiting);
-        let bound = if all().any(|(cores, _)| cores * 2 > limit) { DRAINED } else { LONGEST_WAIT };
+        let bound = if all().any(|(cores, _)| cores * 2 > limit) {
+            MAX_WAIT_BESIDE_LARGE_TASK
+        } else {
+            MAX_WAIT
+        };
         for (number, cell) in self.cells.iter().enumerate() {
             let small = cell.waiting.iter().filter(|(cores, _)| running + cores <= limit / 2);
             if let Some((cores, since)) = small.min_by_key(|(_, since)| *since)
-                && self.now.since(SETTLED.max(self.busy).max(*since)) > bound
+                && self.now.since(RECOVERED.max(self.last_busy).max(*since)) > bound
             {
                 let waited = self.now.since(*since);
                 let (now, split) = (self.now, &self.split.shares);
--- a/crates/engine/tests/all/turns.rs
+++ b/crates/engine/tests/all/turns.rs
@@ -8,7 +8,7 @@
 const CORES: u64 = 16_000;
 const POOLS: [&str; 4] = ["a", "b", "c", "d"];
 /// Between two looks at the demand.
-const TICK: Duration = Duration::from_millis(200);
+const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A fleet of nine machines in each of four pools, whose moves are done at once.
 struct Fleet {
@@ -40,8 +40,8 @@
     }
 
     /// One look at a demand of so many cores in one pool, and one core in each other.
-    fn look(&mut self, busy: &str, cores: u64) -> Vec<Move> {
-        self.now = self.now + TICK;
+    fn plan_once(&mut self, busy: &str, cores: u64) -> Vec<Move> {
+        self.now = self.now + PLAN_INTERVAL;
         let loads = POOLS
             .iter()
             .map(|pool| {
@@ -60,21 +60,21 @@
     /// A turn of ten seconds: the demand rises to `peak` cores and falls again.
     fn turn(&mut self, pool: &str, peak: u64) -> Vec<Move> {
         let shape = [2, 4, 6, 8, 10, 10, 8, 6, 4, 2];
-        let looks = shape.iter().flat_map(|tenths| [peak * tenths / 10; 5]).collect::<Vec<_>>();
-        looks.into_iter().flat_map(|cores| self.look(pool, cores)).collect()
+        let demands = shape.iter().flat_map(|tenths| [peak * tenths / 10; 5]).collect::<Vec<_>>();
+        demands.into_iter().flat_map(|cores| self.plan_once(pool, cores)).collect()
     }
 
     /// A turn of each pool.
     fn round(&mut self) {
         for pool in POOLS {
             self.turn(pool, 300);
-            self.pause();
+            self.idle_gap();
         }
     }
 
     /// The time between two turns.
-    fn pause(&mut self) -> Vec<Move> {
-        (0..10).flat_map(|_| self.look("", 1)).collect()
+    fn idle_gap(&mut self) -> Vec<Move> {
+        (0..10).flat_map(|_| self.plan_once("", 1)).collect()
     }
 }
 
@@ -82,11 +82,11 @@
 /// other pools all the while: they were sent for when the demand showed, and not before, although
 /// the queues take their turns in the same order again and again.
 #[test]
-fn machines_are_there_before_a_turn_that_was_seen_before() {
+fn machines_are_moved_ahead_of_a_known_turn() {
     let mut fleet = Fleet::new();
     fleet.round();
     fleet.turn("a", 300);
-    fleet.pause();
+    fleet.idle_gap();
     assert!(fleet.in_pool("b") >= 19, "300 cores need 19 machines: {}", fleet.in_pool("b"));
     let moves = fleet.turn("b", 300);
     assert!(moves.iter().all(|plan| plan.to != "b"), "{moves:?}");
@@ -95,12 +95,12 @@
 /// In the first round nobody followed the present turn yet.  Those that have not had one may come
 /// next, so each of them gets a share.
 #[test]
-fn before_a_round_is_over_those_without_a_turn_share_what_idles() {
+fn in_the_first_round_pools_without_a_turn_share_idle_machines() {
     let mut fleet = Fleet::new();
     fleet.turn("a", 300);
-    fleet.pause();
+    fleet.idle_gap();
     fleet.turn("b", 300);
-    fleet.pause();
+    fleet.idle_gap();
     assert!(
         fleet.in_pool("c") > 9 && fleet.in_pool("d") > 9,
         "{:?}",
@@ -111,12 +111,12 @@
 /// A pool whose turn has begun asks for little as yet.  What idles stays for its peak and isn't
 /// sent on to the next one's.
 #[test]
-fn a_turn_that_rises_keeps_what_its_peak_will_need() {
+fn a_rising_turn_keeps_the_machines_for_its_peak() {
     let mut fleet = Fleet::new();
     fleet.round();
     fleet.turn("a", 300);
-    fleet.pause();
-    let moves: Vec<Move> = (0..20).flat_map(|_| fleet.look("b", 120)).collect();
+    fleet.idle_gap();
+    let moves: Vec<Move> = (0..20).flat_map(|_| fleet.plan_once("b", 120)).collect();
     assert!(moves.iter().all(|plan| plan.from != "b"), "{moves:?}");
 }
 
@@ -128,10 +128,10 @@
     let mut fleet = Fleet::new();
     for _ in 0..2 {
         fleet.turn("a", 300);
-        fleet.pause();
+        fleet.idle_gap();
     }
     fleet.turn("a", 300);
-    let mut moves = fleet.pause();
+    let mut moves = fleet.idle_gap();
     moves.extend(fleet.turn("a", 300));
     assert_eq!(moves, Vec::<Move>::new());
 }
@@ -139,22 +139,22 @@
 /// The first turn ends, and the next one's callers find four machines in their pool: all others idle
 /// where they were needed last, and are sent for one look after the other as the demand rises.
 #[test]
-fn after_the_first_turn_its_machines_are_shared_by_those_that_may_come_next() {
+fn after_the_first_turn_the_other_pools_share_its_machines() {
     let mut fleet = Fleet::new();
     fleet.turn("a", 500);
-    fleet.pause();
+    fleet.idle_gap();
     assert!(POOLS[1..].iter().all(|pool| fleet.in_pool(pool) >= 9), "{:?}", fleet.machines);
 }
 
 /// A turn begins while what waited in the last one is still being worked off.  It counts from its
 /// beginning, not from when it asks for more than the last one's remainder.
 #[test]
-fn the_remainder_of_a_turn_does_not_hide_the_next_one() {
+fn the_backlog_of_a_turn_does_not_hide_the_next_one() {
     let mut fleet = Fleet::new();
     fleet.turn("a", 400);
-    fleet.now = fleet.now + TICK;
+    fleet.now = fleet.now + PLAN_INTERVAL;
     for _ in 0..4 {
-        fleet.now = fleet.now + TICK;
+        fleet.now = fleet.now + PLAN_INTERVAL;
         let of = |pool: &str| {
             if pool == "a" {
                 200
@@ -174,39 +174,39 @@
 /// A third of what idles was sent to a pool whose turn it isn't.  The pool whose turn it is finds it
 /// there, doing nothing, and gets it only three seconds later, as if it had work to finish.
 #[test]
-fn what_came_ahead_in_vain_leaves_at_once() {
+fn machines_moved_ahead_in_vain_can_leave_at_once() {
     let mut fleet = Fleet::new();
     fleet.turn("a", 500);
     let ahead = loop {
-        let moves = fleet.look("a", 40);
+        let moves = fleet.plan_once("a", 40);
         if !moves.is_empty() {
             break moves;
         }
     };
     assert!(ahead.iter().any(|plan| plan.to == "c"), "{ahead:?}");
-    let sent: Vec<Move> = (0..4).flat_map(|_| fleet.look("b", 600)).collect();
+    let sent: Vec<Move> = (0..4).flat_map(|_| fleet.plan_once("b", 600)).collect();
     let came_ahead = |plan: &&Move| ahead.iter().any(|other| other.machine == plan.machine);
     assert!(sent.iter().any(|plan| came_ahead(&plan)), "{sent:?}");
 }
 
 /// The holder of the duty is lost, and the next one knows the turns that it saw.
 #[test]
-fn the_next_holder_goes_on_from_the_kept_turns() {
+fn a_new_planner_continues_from_the_stored_turns() {
     let mut fleet = Fleet::new();
     fleet.round();
     let history = fleet.planner.history().clone();
     assert_eq!(history.turns, POOLS);
     fleet.planner = Planner::new(Settings::default());
     fleet.planner.restore_history(history);
-    fleet.pause();
+    fleet.idle_gap();
     assert!(fleet.in_pool("a") >= 19, "a's turn comes after d's: {}", fleet.in_pool("a"));
 }
 
 impl Fleet {
     /// Looks for `seconds` at the same demands, in cores; one core in each pool that isn't named.
-    fn looks(&mut self, seconds: u64, demands: &[(&str, u64)]) {
+    fn plan_for(&mut self, seconds: u64, demands: &[(&str, u64)]) {
         for _ in 0..seconds * 5 {
-            self.now = self.now + TICK;
+            self.now = self.now + PLAN_INTERVAL;
             let of = |pool: &str| {
                 demands.iter().find(|(name, _)| *name == pool).map_or(1, |(_, cores)| *cores)
             };
@@ -228,13 +228,13 @@
 fn a_single_large_job_is_no_turn() {
     let mut fleet = Fleet::new();
     fleet.turn("a", 300);
-    fleet.looks(1, &[("c", 60)]);
+    fleet.plan_for(1, &[("c", 60)]);
     fleet.turn("b", 300);
-    fleet.looks(1, &[("a", 60)]);
+    fleet.plan_for(1, &[("a", 60)]);
     fleet.turn("c", 300);
-    fleet.looks(1, &[("a", 60)]);
-    fleet.looks(1, &[("b", 60)]);
-    fleet.pause();
+    fleet.plan_for(1, &[("a", 60)]);
+    fleet.plan_for(1, &[("b", 60)]);
+    fleet.idle_gap();
     assert_eq!(fleet.planner.history().turns, ["a", "b", "c"]);
     assert!(fleet.in_pool("d") >= 19, "d alone has had no turn: {}", fleet.in_pool("d"));
 }
@@ -242,41 +242,41 @@
 /// What is left of a turn asks for much once more, when the next one's demand is served.  Counted as a
 /// turn, it hid which pool comes next.
 #[test]
-fn a_remainder_that_flickers_up_is_no_turn() {
+fn a_backlog_that_rises_again_is_no_turn() {
     let mut fleet = Fleet::new();
     fleet.turn("a", 400);
-    fleet.looks(2, &[("a", 80), ("b", 150)]);
-    fleet.looks(1, &[("a", 120), ("b", 20)]);
+    fleet.plan_for(2, &[("a", 80), ("b", 150)]);
+    fleet.plan_for(1, &[("a", 120), ("b", 20)]);
     fleet.turn("b", 300);
-    fleet.pause();
+    fleet.idle_gap();
     assert_eq!(fleet.planner.history().turns, ["a", "b"]);
 }
 
 /// Two queues take turns and two never do.  After each has had a second turn it is known who comes next,
 /// and nothing is kept ready for those that never ask.
 #[test]
-fn pools_that_never_have_a_turn_are_not_waited_for() {
+fn no_machines_are_reserved_for_pools_without_turns() {
     let mut fleet = Fleet::new();
     for _ in 0..2 {
         fleet.turn("a", 300);
-        fleet.pause();
+        fleet.idle_gap();
         fleet.turn("b", 300);
-        fleet.pause();
+        fleet.idle_gap();
     }
     assert!(fleet.in_pool("a") >= 19, "a comes after b: {}", fleet.in_pool("a"));
 }
 
 /// Pools of very different demand take turns of different lengths; the order is the same all the same.
 #[test]
-fn turns_of_any_length_and_height_are_told_apart() {
+fn turns_of_any_length_and_height_are_recognized() {
     let mut fleet = Fleet::new();
     for _ in 0..2 {
-        fleet.looks(3, &[("c", 90)]);
-        fleet.pause();
-        fleet.looks(20, &[("a", 500)]);
-        fleet.pause();
-        fleet.looks(6, &[("d", 200)]);
-        fleet.pause();
+        fleet.plan_for(3, &[("c", 90)]);
+        fleet.idle_gap();
+        fleet.plan_for(20, &[("a", 500)]);
+        fleet.idle_gap();
+        fleet.plan_for(6, &[("d", 200)]);
+        fleet.idle_gap();
     }
     assert_eq!(fleet.planner.history().turns, ["c", "a", "d", "c", "a", "d"]);
     assert!(fleet.in_pool("c") >= 5, "c comes after d: {}", fleet.in_pool("c"));
@@ -286,16 +286,16 @@
 /// most of its peak when the next one's callers come.  By the demand alone their machines are sent for when
 /// they wait already, two seconds too late; so they go ahead when the next turn is due.
 #[test]
-fn machines_go_ahead_of_a_turn_that_is_due_although_the_last_one_still_asks() {
+fn machines_are_moved_ahead_of_a_due_turn_while_the_last_one_has_demand() {
     let mut fleet = Fleet::new();
     for pool in ["a", "b", "c"] {
         for _ in 0..50 {
-            fleet.look(pool, 260);
+            fleet.plan_once(pool, 260);
         }
     }
     // The third turn has lasted as long as the others did, and its pool asks for what it did.
     for _ in 0..5 {
-        fleet.look("c", 260);
+        fleet.plan_once("c", 260);
     }
     assert!(fleet.in_pool("d") >= 14, "{:?}", POOLS.map(|pool| fleet.in_pool(pool)));
     assert!(fleet.in_pool("c") >= 17, "and the present one keeps what it needs");
--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -272,7 +272,7 @@
             (
                 "a write is lost only by the measure of a read",
                 "engine::timeout::is_write_lost",
-                "a_write_is_lost_only_by_the_measure_of_a_read",
+                "a_write_counts_as_lost_only_relative_to_a_reads_latency",
             ),
             (
                 "steps wait for the steps before them",
@@ -334,7 +334,7 @@
             ),
             (
                 "owners killed, frozen, cut off, replaced while alive; writes lost, late, refused; limits lowered",
-                &["a_limit_holds_under_any_trouble"],
+                &["a_limit_holds_under_all_drawn_faults"],
             ),
             ("owner killed", &["a_limit_holds_over_services_and_killed_owners"]),
             ("owner frozen and woken", &["a_limit_holds_when_a_frozen_owner_wakes"]),
@@ -349,12 +349,12 @@
             (
                 "shares are written on condition of the split's version",
                 "engine::quota::account::Account::next_change",
-                "the_model_sees_a_limit_that_is_broken",
+                "the_model_detects_a_broken_limit",
             ),
             (
                 "a successor counts its predecessor's whole share until all minions told",
                 "engine::quota::account::Account::in_use",
-                "a_successor_counts_its_predecessors_share_until_all_minions_told",
+                "a_successor_counts_its_predecessors_share_until_all_minions_have_reported",
             ),
             (
                 "a share that may have been lowered counts as lowered",
@@ -364,12 +364,12 @@
             (
                 "nothing starts while shares are more than a fallen limit",
                 "engine::quota::account::Account::may_start",
-                "nothing_starts_while_shares_are_more_than_a_fallen_limit",
+                "nothing_starts_while_shares_exceed_a_lowered_limit",
             ),
             (
                 "nothing starts before the split is written by a lower limit's configuration",
                 "engine::quota::account::Account::is_split_current",
-                "nothing_starts_before_the_split_is_written_by_the_lower_limit",
+                "nothing_starts_before_the_split_is_written_with_the_lower_limit",
             ),
             (
                 "what can't be read opens nothing",
@@ -394,12 +394,12 @@
             (
                 "no more machines down than allowed",
                 "engine::maintenance::Planner::decide",
-                "a_wave_is_completed_with_never_more_down_than_allowed",
+                "a_wave_completes_with_never_more_down_than_allowed",
             ),
             (
                 "an order that the list doesn't show yet counts",
                 "engine::maintenance::Planner::down_count",
-                "an_order_that_the_list_does_not_show_yet_counts",
+                "an_order_that_the_list_does_not_show_yet_counts_as_down",
             ),
             (
                 "only an empty machine goes down",
@@ -414,12 +414,12 @@
             (
                 "a pool keeps the machines of its spread",
                 "engine::pools::Planner::need",
-                "a_pool_keeps_the_machines_over_which_lasting_tasks_are_spread",
+                "a_pool_keeps_the_machines_over_which_long_running_tasks_are_spread",
             ),
             (
                 "what idles is in the next pool before its turn",
                 "engine::pools::turns",
-                "machines_are_there_before_a_turn_that_was_seen_before",
+                "machines_are_moved_ahead_of_a_known_turn",
             ),
             ("what is no turn hides none", "engine::pools::turns", "a_single_large_job_is_no_turn"),
             (
@@ -430,7 +430,7 @@
             (
                 "a large remainder doesn't take all machines",
                 "engine::pools::Planner::fill",
-                "a_pool_with_a_large_remainder_does_not_take_all",
+                "a_pool_with_a_large_backlog_does_not_get_all_machines",
             ),
             (
                 "what can't be started asks for no machines",
@@ -456,7 +456,7 @@
             ("a planned stop", &["a_cell_is_handed_to_a_living_entry_that_stays"]),
             (
                 "the store away for longer than a term",
-                &["an_outage_of_the_store_is_nobodys_silence"],
+                &["a_store_outage_does_not_count_as_silence"],
             ),
             ("the store is a hundred times slower", &["a_slow_store_keeps_its_owners_at_work"]),
             ("a holder that renews at the last moment, over the store", NOT),
@@ -475,12 +475,12 @@
             (
                 "a strong entry goes before a weak one",
                 "engine::ownership::cells_per_core",
-                "a_strong_instance_with_a_cell_goes_before_a_weak_one_without",
+                "a_large_entry_with_a_cell_precedes_a_small_one_without",
             ),
             (
                 "what nobody could read is nobody's silence",
                 "engine::ownership::record_read",
-                "an_outage_of_the_store_is_nobodys_silence",
+                "a_store_outage_does_not_count_as_silence",
             ),
             (
                 "a takeover requires the holder to be silent still",
@@ -490,12 +490,12 @@
             (
                 "holders among many entries are missed soon",
                 "engine::ownership::renewal_interval",
-                "a_holder_among_many_entries_is_missed_as_soon_as_among_few",
+                "a_lost_holder_is_detected_as_soon_among_many_entries_as_among_few",
             ),
             (
                 "who may be cut off with the holder comes later",
                 "engine::ownership::decide",
-                "entries_seen_since_the_holder_come_before_those_that_may_be_cut_off_with_it",
+                "entries_that_renewed_after_the_holder_come_first",
             ),
         ],
     },
@@ -515,7 +515,7 @@
             (
                 "a wave takes from working machines what its window asks for",
                 "engine::maintenance::pace",
-                "a_wave_takes_no_more_working_machines_than_its_window_asks_for",
+                "a_wave_takes_no_more_working_machines_than_its_window_requires",
             ),
             (
                 "a wave that falls behind goes as fast as is allowed",
@@ -525,12 +525,12 @@
             (
                 "lasting tasks begin to leave early",
                 "engine::maintenance::Slots::choose",
-                "machines_that_take_long_to_empty_are_not_left_for_the_end",
+                "machines_that_take_long_to_empty_begin_early",
             ),
             (
                 "an order refused for its rate is given again",
                 "engine::maintenance::Planner::record_refusal",
-                "an_order_that_is_put_off_is_given_again_at_once",
+                "a_refused_order_is_repeated_at_once",
             ),
             (
                 "only what was asked to empty goes down",
@@ -560,7 +560,7 @@
             (
                 "machines go ahead of a turn that is due",
                 "engine::pools::turns",
-                "machines_go_ahead_of_a_turn_that_is_due_although_the_last_one_still_asks",
+                "machines_are_moved_ahead_of_a_due_turn_while_the_last_one_has_demand",
             ),
         ],
     },
