--- a/crates/engine/tests/all/maintenance.rs
+++ b/crates/engine/tests/all/maintenance.rs
@@ -34,7 +34,7 @@
         .collect()
 }
 
-/// Plays a wave whose minions empty at once, counting how many machines are down together.
+/// Simulates a wave whose minions empty at once and counts the machines that are down together.
 #[test]
 fn a_wave_completes_with_never_more_down_than_allowed() {
     let mut planner = planner(12, 3);
@@ -81,8 +81,8 @@
     assert_eq!(planner.wave(1).unwrap().begun.len(), 12);
 }
 
-/// The list of machines lags behind an order; a machine ordered down and still listed as up
-/// counts as down, or the wave would exceed what may be down at once.
+/// The list of machines lags behind an order.  A machine that is ordered down but still listed as up
+/// must count as down, or the wave would exceed what may be down at once.
 #[test]
 fn an_order_that_the_list_does_not_show_yet_counts_as_down() {
     let mut planner = planner(4, 1);
@@ -94,7 +94,7 @@
     assert!(begins(&planner.plan(&machines, &all, &all, Time(300), 0)).is_empty());
 }
 
-/// What runs on a machine ends at once with its maintenance, so it goes down only when it is empty.
+/// A machine's maintenance ends all that runs on it at once, so it must be empty first.
 #[test]
 fn a_machine_that_is_not_empty_stays_up() {
     let mut planner = planner(1, 1);
@@ -114,12 +114,12 @@
     assert_eq!(steps, [Action::Complete { wave: 1 }]);
 }
 
-/// A fleet in a wave, played by steps of a tenth of a second: a machine empties in the time that its work
-/// takes, is down for two seconds and comes back with another minion.
+/// A simulated wave in steps of 100 ms: a machine empties in the time that its tasks take, is down for
+/// two seconds and comes back with another minion.
 struct Simulation {
     planner: Planner,
     machines: BTreeMap<String, Machine>,
-    /// When each machine that was asked to empty is empty.
+    /// When each machine that was asked to empty will be empty.
     empty_at: BTreeMap<String, Time>,
     down: BTreeMap<String, Time>,
     now: Time,
@@ -197,8 +197,9 @@
     }
 }
 
-/// Half of a fleet is due within 26 seconds, and a fifth of it may be down at once.  With all of that taken
-/// at once, the callers of the worst seconds miss a fifth of the room, and the window is used for a third.
+/// Half of a fleet is due within 26 seconds, and a fifth of it may be down at once.  If all of these were
+/// taken at once, a fifth of the capacity would be missing at peak load, and only a third of the window
+/// would be used.
 #[test]
 fn a_wave_takes_no_more_working_machines_than_its_window_requires() {
     let mut simulation = Simulation::new(580, 225, 26_000);
@@ -208,7 +209,8 @@
     assert!(simulation.max_under_way <= 160, "{} at once", simulation.max_under_way);
 }
 
-/// Machines with lasting tasks empty one after the other; begun last, they would miss the window.
+/// Machines with long-running tasks empty one after the other; if they began last, they would miss the
+/// window.
 #[test]
 fn machines_that_take_long_to_empty_begin_early() {
     let mut simulation = Simulation::new(60, 20, 26_000);
@@ -221,7 +223,7 @@
     assert!(early >= 8, "{early} of the first thirty");
 }
 
-/// Machines that are off or rest cost nobody anything, so they go as soon as is allowed.
+/// Taking idle machines or ones that are off out of service costs nothing, so they go as soon as allowed.
 #[test]
 fn idle_machines_go_first_and_as_many_as_allowed() {
     let mut simulation = Simulation::new(100, 30, 26_000);
@@ -236,8 +238,8 @@
     );
 }
 
-/// The store is away in the middle of a wave, or its window is short: what is left goes as fast as is
-/// allowed, and no faster.
+/// After a store outage in the middle of a wave, or with a short window, the remaining machines go as
+/// fast as allowed, but no faster.
 #[test]
 fn a_wave_that_falls_behind_catches_up() {
     let mut simulation = Simulation::new(150, 40, 26_000);
@@ -254,8 +256,8 @@
     assert_eq!(short.max_under_way, 10 + Settings::default().extra_emptying);
 }
 
-/// Dozens of orders are refused for their rate.  Taken for orders that may have been carried out, they kept
-/// their machines emptied, and their places, for three and a half seconds.
+/// A rate limit refuses dozens of orders.  If they counted as possibly carried out, their machines would
+/// stay empty and occupy slots for three and a half seconds.
 #[test]
 fn a_refused_order_is_repeated_at_once() {
     let mut planner = planner(2, 1);
@@ -267,7 +269,7 @@
     assert_eq!(begins(&planner.plan(&machines, &all, &all, Time(100), 0)), first);
 }
 
-/// A minion that is empty for a moment and was not asked to stay so may get a task at any time.
+/// A minion that is empty but was not asked to empty may be sent a task at any time.
 #[test]
 fn a_machine_goes_down_only_after_it_was_asked_to_empty() {
     let mut planner = planner(1, 1);
--- a/crates/engine/tests/all/outage.rs
+++ b/crates/engine/tests/all/outage.rs
@@ -1,9 +1,9 @@
-//! When the store counts as away.
+//! Detection of store outages.
 
 use celerythread_engine::outage::Outage;
 use celerythread_engine::time::Time;
 
-/// A store that answers at first and at these times, and fails every 30 ms otherwise.
+/// Records calls every 30 ms to a store that answers only the first one and those at `answers`.
 fn outage(until: u64, answers: &[u64]) -> Outage {
     let mut outage = Outage::default();
     outage.record(true, Time(1000));
@@ -13,22 +13,22 @@
     outage
 }
 
-/// The store goes away at a turn's peak.  Hundreds of callers' jobs are sent to it all the same, and each
-/// of them must then be told that nobody knows whether it runs.
+/// Guards against sending jobs to a store that is down at peak load: hundreds of callers would be told
+/// that the outcome is unknown.
 #[test]
 fn a_store_that_stops_answering_is_soon_down() {
     assert!(!outage(1040, &[]).is_ongoing(Time(1040)), "two failures may be chance");
     assert!(outage(1160, &[]).is_ongoing(Time(1160)));
 }
 
-/// It is back: the first answer says so, and callers who wait are let in.
+/// The first answer ends an outage, so that waiting callers are served.
 #[test]
 fn one_answer_ends_an_outage() {
     assert!(!outage(3000, &[2990]).is_ongoing(Time(3000)));
 }
 
-/// The store turns away most calls, but not all.  Taken for away, it would get none, although each
-/// caller would be served at the second or third try.
+/// A store that refuses most calls, but not all, must not count as down: it would get no calls, although
+/// each caller is served at the second or third attempt.
 #[test]
 fn a_store_that_refuses_some_calls_is_not_down() {
     let answers: Vec<u64> = (1000..3000).step_by(90).collect();
@@ -37,7 +37,7 @@
     }
 }
 
-/// One connection is lost with five calls on it.  That is no outage.
+/// One lost connection with five calls on it is no outage.
 #[test]
 fn calls_that_fail_together_are_no_outage() {
     let mut outage = Outage::default();
--- a/crates/engine/tests/all/ownership.rs
+++ b/crates/engine/tests/all/ownership.rs
@@ -1,4 +1,4 @@
-//! Who owns a cell.
+//! Ownership of cells.
 
 use assert_matches::assert_matches;
 use celerythread_engine::ownership::{
@@ -45,8 +45,8 @@
     assert_eq!(decision("b", Some("b"), &entries, 11_000), Decision::Own);
 }
 
-/// The takeover requires the silent holder's row to be unchanged, so one that renews at the
-/// last moment keeps its cell.
+/// The takeover requires the silent holder's row to be unchanged, so a holder that renews at the last
+/// moment keeps its cell.
 #[test]
 fn a_silent_holder_is_replaced_on_condition_that_it_stays_silent() {
     let entries = entries(10_000, &["b"], &["a", "b"]);
@@ -95,8 +95,8 @@
     assert!(held.values().all(|count| (60..150).contains(count)), "{held:?}");
 }
 
-/// During a restart of all entries in turn, a cell handed to one that is still to be restarted
-/// changes hands again, each time with a pause.
+/// During a rolling restart, a cell handed to an entry that is yet to be restarted changes owners again,
+/// each time with a pause.
 #[test]
 fn a_cell_is_handed_to_the_entry_that_started_last() {
     let mut entries = entries(10_000, &[], &["a", "b", "c", "d"]);
@@ -106,7 +106,7 @@
     assert_eq!(to.as_deref(), Some("b"));
 }
 
-/// Entries differ in their share of a processor; a cell on the smallest of them starves.
+/// Entries differ in their share of a processor; on the smallest, a cell gets too little of it.
 #[test]
 fn the_largest_entry_is_the_first_candidate() {
     let mut entries = entries(10_000, &[], &["a", "b", "c", "d"]);
@@ -116,8 +116,8 @@
     assert!(takes("c") && !takes("a") && !takes("b") && !takes("d"));
 }
 
-/// A store that turns a hundred times slower needs 0.8 s for a renewal.  With a term that is made
-/// for its usual speed, cells change hands for as long as that lasts, and nobody starts tasks.
+/// A store that is a hundred times slower than usual needs 0.8 s for a renewal.  With a term that suits
+/// its usual speed, cells would keep changing owners, and no tasks would be started.
 #[test]
 fn the_term_follows_the_renewals() {
     let least = Duration::from_millis(1300);
@@ -130,7 +130,7 @@
     assert_eq!(after(Duration::from_secs(60)), after(Duration::from_secs(6)));
 }
 
-/// The entry says itself how long it may be silent.
+/// The term is taken from the holder's row.
 #[test]
 fn a_longer_term_delays_the_takeover() {
     let mut entries = entries(10_000, &["b"], &["a", "b"]);
@@ -139,9 +139,8 @@
     assert_matches!(decision("a", Some("b"), &entries, 10_500), Decision::TakeOver { .. });
 }
 
-/// The store was away for two seconds.  In the moment it is back all cells change hands, although
-/// every holder lives: the rows are older than the term, because nobody could renew them, and
-/// each entry reads them before their holders have written again.
+/// Guards against takeovers from live holders after a store outage of two seconds: the rows are older
+/// than the term, because no entry could renew them, and are read before their holders renew them.
 #[test]
 fn a_store_outage_does_not_count_as_silence() {
     let mut entries = entries(10_000, &[], &["a", "b"]);
@@ -157,8 +156,8 @@
     );
 }
 
-/// Each entry reads what all others write.  At a fixed interval that grows with the square of their
-/// number, beyond what an instance may spend on control.
+/// Every entry reads the renewals of all others.  At a fixed interval the traffic would grow with the
+/// square of their number, beyond what an instance may spend on control.
 #[test]
 fn many_entries_renew_less_often_and_have_longer_terms() {
     let least = Duration::from_millis(300);
@@ -168,9 +167,9 @@
     assert!(term(Duration::from_millis(1300), pause, Duration::ZERO) >= pause * 3);
 }
 
-/// The owner of a large cell is lost.  The strong instances hold a cell each, so one with an eighth
-/// of a core takes it: it attends too few of the minions in time, learns of jobs seconds late, and
-/// its callers are told that jobs wait which nobody counts.
+/// The owner of a large cell is lost while each large entry holds a cell.  An entry with an eighth of a
+/// core must not take it over just because it has none: it would poll too few of the minions in time,
+/// learn of jobs seconds late, and its callers would be told that jobs wait which it doesn't count.
 #[test]
 fn a_large_entry_with_a_cell_precedes_a_small_one_without() {
     let mut entries = entries(10_000, &[], &["strong", "weak"]);
@@ -187,8 +186,8 @@
     assert!(take("weak", 4) && !take("strong", 4), "ten for each core against eight");
 }
 
-/// One of 147 entries holds a cell and is cut off.  With as long a term as the idle ones, nobody takes its
-/// cell for eight seconds, and all of its callers' jobs stand still.
+/// One of 147 entries holds a cell and is cut off.  If its term were as long as that of entries without
+/// cells, its cell would stall for eight seconds.
 #[test]
 fn a_lost_holder_is_detected_as_soon_among_many_entries_as_among_few() {
     let least = Duration::from_millis(300);
@@ -199,12 +198,13 @@
     assert_eq!(
         renewal_interval(least, 147, 31, true),
         Duration::from_millis(558),
-        "by the holders there are"
+        "by the number of cells"
     );
 }
 
-/// A zone is cut off with the holder of a cell and thirty entries without one, which renew seldom and
-/// still count as living.  Each of them that comes first in the order delays the takeover.
+/// An availability zone is cut off with the holder of a cell and thirty entries without one, which renew
+/// rarely and still count as alive.  Each of them that precedes a reachable entry would delay the
+/// takeover.
 #[test]
 fn entries_that_renewed_after_the_holder_come_first() {
     let names = ["a", "b", "c", "d", "e", "f", "holder"];
@@ -220,8 +220,9 @@
     assert_matches!(decision, Decision::TakeOver { .. }, "at once, whatever its rank");
 }
 
-/// The store forgets its history while 147 entries follow the table.  All read it whole at once, a call for
-/// each row; most calls are refused for their rate and repeated, and no entry learns anything any more.
+/// The store loses its history while 147 entries follow the table.  If all reread it at once, with a call
+/// for each row, most calls would be refused by the rate limit and repeated, and no entry would get
+/// updates any more.
 #[test]
 fn rereads_keep_within_the_stores_rate_limit() {
     for (entries, calls_a_second) in [(9, 2000), (41, 6000), (147, 16_000)] {
@@ -230,5 +231,5 @@
         let calls = (entries * entries) as f64 / mean;
         assert!(calls <= f64::from(calls_a_second) / 2.0, "{calls} calls a second of {entries}");
     }
-    assert!(reread_delay(9, 1.0) <= Duration::from_millis(400), "few entries read again soon");
+    assert!(reread_delay(9, 1.0) <= Duration::from_millis(400), "few entries reread soon");
 }
--- a/crates/engine/tests/all/pools.rs
+++ b/crates/engine/tests/all/pools.rs
@@ -1,4 +1,4 @@
-//! Machines follow the demand.
+//! Moves of machines between pools.
 
 use celerythread_engine::pools::{Load, Machine, Move, Planner, Settings};
 use celerythread_engine::time::Time;
@@ -43,7 +43,7 @@
     let moves = planner.plan(&machines(), &loads(240, 0), Some("spare"), Time(0));
     assert!(moves.iter().all(|plan| plan.to == "a"), "{moves:?}");
     let idle = moves.iter().filter(|plan| plan.from == "b").count();
-    assert_eq!(idle, 6, "all that pool a misses comes from pool b");
+    assert_eq!(idle, 6, "all machines that pool a lacks come from pool b");
 }
 
 #[test]
@@ -66,7 +66,7 @@
     assert!(planner.plan(&machines(), &loads(240, 0), Some("spare"), Time(300)).is_empty());
 }
 
-/// A minion with a lasting task isn't among the free ones, and one due for maintenance is pinned.
+/// A minion with a long-running task isn't among the free ones, and one due for maintenance is pinned.
 #[test]
 fn machines_that_must_stay_are_not_moved() {
     let mut planner = Planner::new(Settings::default());
@@ -80,8 +80,8 @@
     assert_eq!(moves, Vec::<Move>::new());
 }
 
-/// Two queues that burst in turn must not make machines change back and forth before they have
-/// worked.
+/// Two queues with alternating bursts must not make machines move back and forth before they have run
+/// any tasks.
 #[test]
 fn a_machine_stays_for_a_while() {
     let mut planner = Planner::new(Settings::default());
@@ -109,8 +109,8 @@
     assert_eq!(planner.overdue_moves(Time(0) + timeout).len(), first.len());
 }
 
-/// A service runs a task on each of five machines, no two together.  With its other machines lent
-/// out, a task whose machine goes down has nowhere to go, although cores are free.
+/// A service runs at most one task on each of five machines.  If its other machines moved away, a task
+/// whose machine goes down could not be placed, although cores are free.
 #[test]
 fn a_pool_keeps_the_machines_over_which_long_running_tasks_are_spread() {
     let mut planner = Planner::new(Settings::default());
@@ -120,8 +120,8 @@
     assert_eq!(moves.len(), 3, "nine less five and one in reserve");
 }
 
-/// An outage leaves one pool with eighty machines' work.  Another queue's turn begins, and its callers
-/// wait with one machine for five seconds: all that idles goes to the pool that lacks most.
+/// An outage leaves one pool with a backlog for eighty machines.  When another queue's turn begins, its
+/// callers would wait for five seconds with one machine if all idle machines went to the largest shortfall.
 #[test]
 fn a_pool_with_a_large_backlog_does_not_get_all_machines() {
     let mut machines = machines();
@@ -136,5 +136,5 @@
     let moves = Planner::new(Settings::default()).plan(&machines, &loads, None, Time(0));
     let to = |pool: &str| moves.iter().filter(|plan| plan.to == pool).count();
     assert!(to("b") >= 1, "one of ten before nine of eighty-two: {moves:?}");
-    assert!(to("a") >= 5, "and the larger remainder gets its part: {moves:?}");
+    assert!(to("a") >= 5, "the larger shortfall gets its part: {moves:?}");
 }
--- a/crates/engine/tests/all/quota.rs
+++ b/crates/engine/tests/all/quota.rs
@@ -1,4 +1,4 @@
-//! Limits of workspaces: how they are split between cells, and what runs.
+//! Limits of workspaces: their split between cells, and what may run within them.
 
 mod model;
 
@@ -10,10 +10,10 @@
 use model::{DisabledGuards, Simulation};
 use std::time::Duration;
 
-/// Draws of the model in a run of all tests.
+/// Default number of random simulations.
 const DEFAULT_DRAWS: u64 = 1000;
 
-/// Set to play so many draws by hand.
+/// Environment variable that overrides the number of random simulations.
 const DRAWS_VARIABLE: &str = "CELERYTHREAD_DRAWS";
 
 fn draws() -> u64 {
@@ -21,8 +21,8 @@
     given.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_DRAWS)
 }
 
-/// Guards against a workspace running beyond its limit when owners die, stand still or are cut off, and when
-/// transactions are lost, late or unanswered; and against tasks that wait for ever once that is over.
+/// Guards against a workspace exceeding its limit when owners crash, stall or are cut off, and when
+/// transactions are lost, late or unanswered; and against tasks that wait forever after such faults.
 #[test]
 fn a_limit_holds_under_all_drawn_faults() {
     let mut failures = Vec::new();
@@ -35,7 +35,7 @@
     assert!(failures.is_empty(), "{} of {} draws broken: {first:#?}", failures.len(), draws());
 }
 
-/// The model finds the breach of an owner that raises its share without a condition.
+/// The simulation must fail when owners raise their shares without a condition.
 #[test]
 fn the_model_detects_a_broken_limit() {
     let failures = (0..200).filter(|seed| {
@@ -64,14 +64,14 @@
 
 const ROOM: Resources = Resources { cpu: 1 << 30, memory_mb: 1 << 30, gpu: 0 };
 
-/// Writes a change that is due, as the store would carry it out.
+/// Applies the change that is due as if the store had committed it.
 fn write(account: &mut Account, version: u64, at: u64) -> Option<Split> {
     let change = account.next_change(&ROOM, Time(at))?;
     account.record_write(&change, version, Time(at));
     Some(change.split)
 }
 
-/// Guards against a successor that spends what its predecessor's runs still use.
+/// Guards against a new owner that uses resources which its predecessor's runs still use.
 #[test]
 fn a_successor_counts_its_predecessors_share_until_all_minions_have_reported() {
     let mut account = account("cell", false);
@@ -90,7 +90,7 @@
     assert!(account.may_start(&cores(50), 1, Time(10)));
 }
 
-/// Guards against a share that is used as if it had not been given back, while the answer that gave it back is lost.
+/// Guards against using a part of a share that was returned by a transaction whose answer was lost.
 #[test]
 fn a_share_that_may_have_been_lowered_counts_as_lowered() {
     let mut account = account("cell", true);
@@ -98,7 +98,7 @@
     account.record_wanted(&cores(10), 8);
     write(&mut account, 1, 0).unwrap();
     assert!(account.may_start(&cores(80), 1, Time(0)));
-    // Nothing is needed for a while, and the transaction that gives it back isn't answered.
+    // Nothing is needed for a while, and the transaction that returns the share isn't answered.
     account.reset_counts();
     for at in [1500, 2200, 2900, 3600] {
         account.next_change(&ROOM, Time(at));
@@ -107,7 +107,7 @@
     assert!(!account.may_start(&cores(80), 1, Time(3600)));
 }
 
-/// Guards against new starts after a limit fell below what runs: the shares of all are more than it then.
+/// Guards against starts after a limit was lowered below what runs: the sum of the shares exceeds it then.
 #[test]
 fn nothing_starts_while_shares_exceed_a_lowered_limit() {
     let mut account = account("cell", true);
@@ -123,7 +123,7 @@
     assert!(!account.may_start(&cores(5), 1, Time(20)));
 }
 
-/// Guards against starts by shares that an owner which hasn't heard of a lower limit may be raising just then.
+/// Guards against starts while an owner that doesn't know the lower limit yet may still raise its share.
 #[test]
 fn nothing_starts_before_the_split_is_written_with_the_lower_limit() {
     let mut account = account("cell", true);
@@ -139,7 +139,7 @@
     assert!(account.may_start(&cores(5), 1, Time(20)));
 }
 
-/// Guards against a task that is larger than its workspace's limit waiting for ever; beside another it would break it.
+/// Guards against a task that exceeds its workspace's limit waiting forever, or running beside another one.
 #[test]
 fn a_task_larger_than_the_limit_runs_alone() {
     let mut account = account("cell", true);
@@ -152,7 +152,7 @@
     assert!(!account.may_start(&cores(1), 1, Time(0)));
 }
 
-/// Guards against one cell that keeps the whole limit busy while another one's jobs wait.
+/// Guards against one cell using the whole limit continuously while another one's jobs wait.
 #[test]
 fn a_busy_cell_yields_to_one_that_is_short() {
     let mut account = account("cell", true);
@@ -165,7 +165,7 @@
     assert!(!account.may_start(&cores(1), 1, Time(0)));
     let split = write(&mut account, 6, 0).unwrap();
     assert_eq!(split.shares["cell"].size, cores(90));
-    // As its tasks end, their part goes to the other cell down to a half for each.
+    // As its tasks end, the cell yields their resources until each cell has half of the limit.
     account.reset_counts();
     account.count_run(&cores(30), true);
     account.record_wanted(&cores(1), 60);
@@ -190,7 +190,7 @@
     world
 }
 
-/// Writes all changes that are due; true if there were some.
+/// Writes all changes that are due; returns whether there were any.
 fn write_all(world: &mut World, version: u64) -> bool {
     world.pass(50);
     let changes = world.cell.split_changes(world.now);
@@ -202,7 +202,8 @@
     Origin::Workspace(TEAM.into())
 }
 
-/// Guards against tasks of a workspace beyond its limit, and against others that wait behind them.
+/// Guards against starting a workspace's tasks beyond its limit, and against others' tasks waiting behind
+/// them.
 #[test]
 fn a_workspace_runs_no_more_than_its_limit() {
     let mut world = limited(2, 5);
@@ -220,7 +221,7 @@
     assert_eq!(world.cell.take_notes().iter().filter(|note| held(note)).count(), 1);
 }
 
-/// Guards against a gang wider than its workspace's limit taking the whole of it and still not starting.
+/// Guards against a gang wider than its workspace's limit reserving all of it without ever starting.
 #[test]
 fn a_gang_wider_than_the_limit_blocks_no_other_job() {
     let mut world = limited(2, 5);
@@ -233,7 +234,7 @@
     assert_eq!(starts(&world.plan()).len(), 4);
 }
 
-/// Guards against jobs of an older release, which kept no workspace, running beyond anybody's limit, or never.
+/// Guards against jobs of an older release, which stored no workspace, running without a limit, or never.
 #[test]
 fn jobs_of_an_unknown_workspace_run_one_task_at_a_time() {
     let mut world = limited(2, 5);
@@ -247,7 +248,7 @@
     assert!(starts(&world.plan()).is_empty());
 }
 
-/// Guards against a limit that is not known to hold while nothing is read: an owner without the splits starts nothing.
+/// Guards against exceeding a limit before the splits are read: until then, no limited task may start.
 #[test]
 fn nothing_limited_starts_before_the_splits_are_read() {
     let mut world = World::new(1);
@@ -257,7 +258,7 @@
     assert!(!write_all(&mut world, 1));
 }
 
-/// Rows of a release that kept no workspace are read, and are nobody's by name.
+/// Rows of a release that stored no workspace decode with an unknown origin.
 #[test]
 fn a_job_without_an_origin_is_read() {
     let accepted = Accepted {
@@ -271,7 +272,7 @@
     assert_eq!(Accepted::decode(&bytes).unwrap(), accepted);
 }
 
-/// Guards against anybody learning of, or cancelling, another workspace's job.
+/// Guards against one workspace reading or cancelling another one's job.
 #[test]
 fn a_job_is_visible_only_to_its_workspace() {
     let mut world = World::new(1);
--- a/crates/engine/tests/all/quota/model.rs
+++ b/crates/engine/tests/all/quota/model.rs
@@ -1,4 +1,5 @@
-//! Cells with owners that die, stand still and are cut off, a store that loses answers, and what truly runs.
+//! Simulation of cells whose owners crash, stall and are cut off, of a store that loses answers, and of the
+//! runs that actually exist.
 
 use celerythread_engine::job::Resources;
 use celerythread_engine::quota::{Account, Change, Holder, Limit, Split};
@@ -9,35 +10,35 @@
 
 const CELLS: usize = 4;
 const STEP: Duration = Duration::from_millis(20);
-/// Trouble comes until then, and what must come has come by the end.
+/// When fault injection ends.
 const FAULTS_END: Time = Time(12_000);
-/// When the last trouble is over.
+/// When the last fault has ended and waiting times are checked.
 const CHECKS_START: Time = Time(18_000);
-/// When what it left behind is cleared up.
+/// When the effects of the faults have been cleaned up; earlier waiting times don't count.
 const RECOVERED: Time = Time(19_000);
 const END: Time = Time(24_000);
-/// How long an owner that doesn't reach the store goes on starting tasks.
+/// How long an owner that can't reach the store continues to start tasks.
 const ISOLATED_START_LIMIT: Duration = Duration::from_millis(3000);
-/// Longest wait of a task in calm times while its workspace uses under half of its limit.
+/// Longest wait of a task without faults while its workspace uses less than half of its limit.
 const MAX_WAIT: Duration = Duration::from_millis(1000);
-/// The same beside a task that needs more than half of the limit, for which the others must end first.
+/// The same while a task waits that needs more than half of the limit, for which others must end first.
 const MAX_WAIT_BESIDE_LARGE_TASK: Duration = Duration::from_millis(3000);
 const ROOM: Resources = Resources { cpu: 1 << 30, memory_mb: 1 << 30, gpu: 0 };
 const LIMITS: [u64; 5] = [40, 100, 20, 8, 60];
 
-/// Guards switched off, to see that the check finds what they guard against.
+/// Guards that are disabled to show that the checks detect what they guard against.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DisabledGuards {
-    /// Writes take effect whatever the row's version is.
+    /// Writes are committed whatever the row's version is.
     pub(crate) unconditional: bool,
 }
 
-/// A run as it truly is.
+/// A run that actually exists, whether or not its owner knows it.
 #[derive(Clone, Debug)]
 struct Run {
     cell: usize,
     cores: u64,
-    /// The token of the owner that ordered it.
+    /// The token of the owner that started it.
     token: u64,
     ends: Time,
 }
@@ -45,30 +46,30 @@
 struct Owner {
     token: u64,
     account: Account,
-    /// Whether it gives orders: minions don't refuse its token.
+    /// Whether it can't start tasks any more, because minions refuse its token or it has crashed.
     fenced: bool,
     settled: bool,
     settles_at: Time,
     paused_until: Time,
     isolated_until: Time,
     last_contact: Time,
-    /// The configuration that it knows.
+    /// Index of the newest configuration that it knows.
     configuration: usize,
-    /// When it reads the split next, and hears of the newest configuration.
+    /// When it next reads the split, and when it next receives the newest configuration.
     next_read: Time,
     next_configuration: Time,
-    /// Until when a write of its own is waited for.
+    /// Until when it waits for the answer to a write.
     busy_until: Time,
 }
 
 struct Cell {
-    /// The last one is in charge; earlier ones may not know it.
+    /// The last one is the current owner; earlier ones may not know that.
     owners: Vec<Owner>,
-    /// Cores of the tasks that wait, with when they came.
+    /// Cores of the waiting tasks, with their arrival times.
     waiting: Vec<(u64, Time)>,
 }
 
-/// A write that is carried out later.
+/// A write that is committed later.
 struct DelayedWrite {
     at: Time,
     change: Change,
@@ -172,12 +173,12 @@
         let span = Duration::from_millis(self.random.random_range(100..6000));
         match self.random.random_range(0..750) {
             0..3 => {
-                // Its owner is killed: it does nothing more, and a successor takes over later.
+                // The owner crashes, and a new one takes over.
                 self.cells[cell].owners.last_mut().unwrap().fenced = true;
                 self.take_over(cell, false);
             }
             3..6 => {
-                // It stands still, or is cut off, and is replaced although it lives.
+                // The owner stalls or is cut off, and is replaced although it is alive.
                 let owner = self.cells[cell].owners.last_mut().unwrap();
                 if span.as_millis().is_multiple_of(2) {
                     owner.paused_until = now + span;
@@ -236,7 +237,7 @@
         Ok(())
     }
 
-    /// All minions have answered the newest owner: they refuse the others, and it sees what runs.
+    /// All minions have answered the newest owner: they refuse the others, and it knows what runs.
     fn settle(&mut self, cell: usize) {
         let owners = &mut self.cells[cell].owners;
         let last = owners.len() - 1;
@@ -276,7 +277,7 @@
         Ok(())
     }
 
-    /// A start may bring no more to run than the highest limit that an owner may still go by, or it runs alone.
+    /// A start must keep within the highest limit that an owner may still apply, or run alone.
     fn check_start(&self, need: u64) -> Result<(), String> {
         let running: u64 = self.runs.iter().map(|run| run.cores).sum();
         let starts = |owner: &&Owner| {
@@ -348,7 +349,7 @@
         });
     }
 
-    /// In calm times no task waits for long while its workspace uses under half of its limit.
+    /// Without faults no task waits long while its workspace uses less than half of its limit.
     fn check_waits(&mut self) -> Result<(), String> {
         let running: u64 = self.runs.iter().map(|run| run.cores).sum();
         let limit = LIMITS[self.configured];
--- a/crates/engine/tests/all/timeout.rs
+++ b/crates/engine/tests/all/timeout.rs
@@ -1,10 +1,10 @@
-//! How long answers are waited for.
+//! Adaptive timeouts of calls.
 
 use celerythread_engine::timeout::{Timeout, is_write_lost};
 use std::time::Duration;
 
-/// Half of the answers are lost.  A caller who waits a second for each waits through its whole
-/// deadline, although asking again would have brought the answer within milliseconds.
+/// Half of the answers are lost.  With a timeout of a second each, callers would miss their deadlines,
+/// although a retry is answered within milliseconds.
 #[test]
 fn a_lost_answer_costs_little_while_others_come_fast() {
     let mut timeout = Timeout::default();
@@ -16,7 +16,7 @@
     }
 }
 
-/// The store turns sixty times slower; given up on each time, nothing would ever be written.
+/// The store becomes sixty times slower; if every call timed out, nothing would ever be written.
 #[test]
 fn the_timeout_reaches_a_slow_stores_latency_after_a_few_calls() {
     let mut timeout = Timeout::default();
@@ -32,11 +32,11 @@
     assert!(tries.count() <= 3);
     timeout.record_answer(slow);
     timeout.record_answer(slow);
-    assert!(timeout.current() >= slow, "and then at once");
+    assert!(timeout.current() >= slow, "further calls don't time out");
 }
 
-/// Every copy of a write takes its partition's turn.  While the store is slow, an overdue write is
-/// on its way and must not be sent again; while others are answered at once, it is lost.
+/// Each repetition of a write queues in its partition.  While the store is slow, an overdue write is still
+/// queued and must not be sent again; while reads are answered at once, it is lost.
 #[test]
 fn a_write_counts_as_lost_only_relative_to_a_reads_latency() {
     let overdue = Duration::from_millis(300);
@@ -44,10 +44,10 @@
     assert!(!is_write_lost(overdue, Duration::from_millis(240)));
     assert!(
         !is_write_lost(Duration::from_millis(1400), Duration::from_millis(400)),
-        "its turn may come"
+        "it may still be queued"
     );
     assert!(
         !is_write_lost(Duration::from_millis(20), Duration::from_millis(1)),
-        "it isn't even late"
+        "it isn't overdue"
     );
 }
--- a/crates/engine/tests/all/turns.rs
+++ b/crates/engine/tests/all/turns.rs
@@ -1,4 +1,4 @@
-//! Machines are where the next turn's demand will be.
+//! Moves of machines ahead of the next turn's demand.
 
 use celerythread_engine::pools::{Load, Machine, Move, Planner, Settings};
 use celerythread_engine::time::Time;
@@ -7,10 +7,10 @@
 
 const CORES: u64 = 16_000;
 const POOLS: [&str; 4] = ["a", "b", "c", "d"];
-/// Between two looks at the demand.
+/// Time between two rounds of planning.
 const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A fleet of nine machines in each of four pools, whose moves are done at once.
+/// A fleet of nine machines in each of four pools, whose moves take no time.
 struct Fleet {
     planner: Planner,
     machines: BTreeMap<String, Machine>,
@@ -39,7 +39,7 @@
         Load { working: cores * 1000, minion_cpu: CORES, free, minions: 9, ..Load::default() }
     }
 
-    /// One look at a demand of so many cores in one pool, and one core in each other.
+    /// Plans once with a demand of `cores` in the pool `busy` and one core in each other pool.
     fn plan_once(&mut self, busy: &str, cores: u64) -> Vec<Move> {
         self.now = self.now + PLAN_INTERVAL;
         let loads = POOLS
@@ -57,7 +57,7 @@
         moves
     }
 
-    /// A turn of ten seconds: the demand rises to `peak` cores and falls again.
+    /// A turn of ten seconds, in which the demand rises to `peak` cores and falls again.
     fn turn(&mut self, pool: &str, peak: u64) -> Vec<Move> {
         let shape = [2, 4, 6, 8, 10, 10, 8, 6, 4, 2];
         let demands = shape.iter().flat_map(|tenths| [peak * tenths / 10; 5]).collect::<Vec<_>>();
@@ -78,9 +78,8 @@
     }
 }
 
-/// A queue's turn begins, and its first callers wait two seconds for machines that stood idle in
-/// other pools all the while: they were sent for when the demand showed, and not before, although
-/// the queues take their turns in the same order again and again.
+/// Guards against moving machines only once demand is observed, although the queues' turns repeat in the
+/// same order: the first callers of a turn would wait two seconds for machines that were idle elsewhere.
 #[test]
 fn machines_are_moved_ahead_of_a_known_turn() {
     let mut fleet = Fleet::new();
@@ -92,8 +91,8 @@
     assert!(moves.iter().all(|plan| plan.to != "b"), "{moves:?}");
 }
 
-/// In the first round nobody followed the present turn yet.  Those that have not had one may come
-/// next, so each of them gets a share.
+/// In the first round it is unknown which pool follows the current turn.  Any pool that has not had one
+/// may be next, so each of them gets a share.
 #[test]
 fn in_the_first_round_pools_without_a_turn_share_idle_machines() {
     let mut fleet = Fleet::new();
@@ -108,8 +107,8 @@
     );
 }
 
-/// A pool whose turn has begun asks for little as yet.  What idles stays for its peak and isn't
-/// sent on to the next one's.
+/// A pool whose turn has just begun asks for little.  Its idle machines must stay for its peak and not
+/// move on to the next pool.
 #[test]
 fn a_rising_turn_keeps_the_machines_for_its_peak() {
     let mut fleet = Fleet::new();
@@ -120,9 +119,8 @@
     assert!(moves.iter().all(|plan| plan.from != "b"), "{moves:?}");
 }
 
-/// One pool is the busiest again and again, and no other ever.  After its first turn the others get
-/// a share, as any of them may be next; after its second one it is known that none is, and moving
-/// machines away and back each time would only cost moves.
+/// Only one pool ever has turns.  After its first one the others get a share, as any of them may be next;
+/// after its second one none is expected, and moving machines away and back would only cost moves.
 #[test]
 fn a_single_busy_pool_keeps_its_machines() {
     let mut fleet = Fleet::new();
@@ -136,8 +134,8 @@
     assert_eq!(moves, Vec::<Move>::new());
 }
 
-/// The first turn ends, and the next one's callers find four machines in their pool: all others idle
-/// where they were needed last, and are sent for one look after the other as the demand rises.
+/// Guards against machines staying idle in the first turn's pool after it has ended: the next turn's
+/// callers would find four machines in their pool, and the others would move only as demand rises.
 #[test]
 fn after_the_first_turn_the_other_pools_share_its_machines() {
     let mut fleet = Fleet::new();
@@ -146,8 +144,8 @@
     assert!(POOLS[1..].iter().all(|pool| fleet.in_pool(pool) >= 9), "{:?}", fleet.machines);
 }
 
-/// A turn begins while what waited in the last one is still being worked off.  It counts from its
-/// beginning, not from when it asks for more than the last one's remainder.
+/// A turn begins while the backlog of the last one is still being worked off.  It must be recorded at its
+/// beginning, not when its demand exceeds that of the backlog.
 #[test]
 fn the_backlog_of_a_turn_does_not_hide_the_next_one() {
     let mut fleet = Fleet::new();
@@ -171,8 +169,8 @@
     assert_eq!(fleet.planner.history().turns, ["a", "b"]);
 }
 
-/// A third of what idles was sent to a pool whose turn it isn't.  The pool whose turn it is finds it
-/// there, doing nothing, and gets it only three seconds later, as if it had work to finish.
+/// A third of the idle machines was moved to a pool whose turn doesn't come.  They have run no tasks there,
+/// so the pool with the turn must get them at once, not after the least stay of three seconds.
 #[test]
 fn machines_moved_ahead_in_vain_can_leave_at_once() {
     let mut fleet = Fleet::new();
@@ -189,7 +187,7 @@
     assert!(sent.iter().any(|plan| came_ahead(&plan)), "{sent:?}");
 }
 
-/// The holder of the duty is lost, and the next one knows the turns that it saw.
+/// When the entry with the fleet controller is lost, the next one must know the turns observed so far.
 #[test]
 fn a_new_planner_continues_from_the_stored_turns() {
     let mut fleet = Fleet::new();
@@ -203,7 +201,7 @@
 }
 
 impl Fleet {
-    /// Looks for `seconds` at the same demands, in cores; one core in each pool that isn't named.
+    /// Plans for `seconds` with constant demands, in cores; one core in each pool that isn't named.
     fn plan_for(&mut self, seconds: u64, demands: &[(&str, u64)]) {
         for _ in 0..seconds * 5 {
             self.now = self.now + PLAN_INTERVAL;
@@ -221,9 +219,9 @@
     }
 }
 
-/// The last queue's turn begins, and its callers find as few machines as ever, while those that idle
-/// wait where a single large job had been: between two turns it was the most that any pool asked for,
-/// so it counted as a turn, and its pool as the one that is followed by another.
+/// Guards against counting a single large job as a turn because it is the highest demand between two turns:
+/// idle machines would then be moved ahead to the wrong pool, and the last queue's turn would begin
+/// without them.
 #[test]
 fn a_single_large_job_is_no_turn() {
     let mut fleet = Fleet::new();
@@ -239,8 +237,8 @@
     assert!(fleet.in_pool("d") >= 19, "d alone has had no turn: {}", fleet.in_pool("d"));
 }
 
-/// What is left of a turn asks for much once more, when the next one's demand is served.  Counted as a
-/// turn, it hid which pool comes next.
+/// The backlog of a turn becomes the highest demand again when that of the next turn is served.  If this
+/// counted as a turn, the next pool would be predicted wrongly.
 #[test]
 fn a_backlog_that_rises_again_is_no_turn() {
     let mut fleet = Fleet::new();
@@ -252,8 +250,8 @@
     assert_eq!(fleet.planner.history().turns, ["a", "b"]);
 }
 
-/// Two queues take turns and two never do.  After each has had a second turn it is known who comes next,
-/// and nothing is kept ready for those that never ask.
+/// Two queues have turns and two never do.  After the second turn of each the next pool is known, and no
+/// machines are kept ready for the others.
 #[test]
 fn no_machines_are_reserved_for_pools_without_turns() {
     let mut fleet = Fleet::new();
@@ -266,7 +264,7 @@
     assert!(fleet.in_pool("a") >= 19, "a comes after b: {}", fleet.in_pool("a"));
 }
 
-/// Pools of very different demand take turns of different lengths; the order is the same all the same.
+/// Turns of pools with very different demand and of different lengths repeat in the same order.
 #[test]
 fn turns_of_any_length_and_height_are_recognized() {
     let mut fleet = Fleet::new();
@@ -282,9 +280,9 @@
     assert!(fleet.in_pool("c") >= 5, "c comes after d: {}", fleet.in_pool("c"));
 }
 
-/// Turns follow each other without a pause, and each leaves so much waiting that its pool still asks for
-/// most of its peak when the next one's callers come.  By the demand alone their machines are sent for when
-/// they wait already, two seconds too late; so they go ahead when the next turn is due.
+/// Turns follow each other without a pause, and each leaves such a backlog that its pool still asks for
+/// most of its peak when the next turn begins.  By the demand alone, machines would move two seconds too
+/// late, so they must move ahead when the next turn is due.
 #[test]
 fn machines_are_moved_ahead_of_a_due_turn_while_the_last_one_has_demand() {
     let mut fleet = Fleet::new();
@@ -293,10 +291,10 @@
             fleet.plan_once(pool, 260);
         }
     }
-    // The third turn has lasted as long as the others did, and its pool asks for what it did.
+    // The third turn has lasted as long as the others, and its pool's demand has not fallen.
     for _ in 0..5 {
         fleet.plan_once("c", 260);
     }
     assert!(fleet.in_pool("d") >= 14, "{:?}", POOLS.map(|pool| fleet.in_pool(pool)));
-    assert!(fleet.in_pool("c") >= 17, "and the present one keeps what it needs");
+    assert!(fleet.in_pool("c") >= 17, "the current pool keeps what it needs");
 }
