--- a/crates/engine/tests/all/ownership.rs
+++ b/crates/engine/tests/all/ownership.rs
@@ -142,7 +142,7 @@
 /// Guards against takeovers from live holders after a store outage of two seconds: the rows are older
 /// than the term, because no entry could renew them, and are read before their holders renew them.
 #[test]
-fn a_store_outage_does_not_count_as_silence() {
+fn an_outage_of_the_store_is_nobodys_silence() {
     let mut entries = entries(10_000, &[], &["a", "b"]);
     let (before, after) = (Time(10_000), Time(12_600));
     record_read(&mut entries, before, after);
@@ -171,7 +171,7 @@
 /// core must not take it over just because it has none: it would poll too few of the minions in time,
 /// learn of jobs seconds late, and its callers would be told that jobs wait which it doesn't count.
 #[test]
-fn a_large_entry_with_a_cell_precedes_a_small_one_without() {
+fn a_strong_instance_with_a_cell_goes_before_a_weak_one_without() {
     let mut entries = entries(10_000, &[], &["strong", "weak"]);
     entries.get_mut("strong").unwrap().millicores = 500;
     entries.get_mut("weak").unwrap().millicores = 120;
@@ -189,7 +189,7 @@
 /// One of 147 entries holds a cell and is cut off.  If its term were as long as that of entries without
 /// cells, its cell would stall for eight seconds.
 #[test]
-fn a_lost_holder_is_detected_as_soon_among_many_entries_as_among_few() {
+fn a_holder_among_many_entries_is_missed_as_soon_as_among_few() {
     let least = Duration::from_millis(300);
     let taken = Duration::from_millis(1300);
     let few = term(taken, renewal_interval(least, 9, 5, true), Duration::ZERO);
@@ -206,7 +206,7 @@
 /// rarely and still count as alive.  Each of them that precedes a reachable entry would delay the
 /// takeover.
 #[test]
-fn entries_that_renewed_after_the_holder_come_first() {
+fn entries_seen_since_the_holder_come_before_those_that_may_be_cut_off_with_it() {
     let names = ["a", "b", "c", "d", "e", "f", "holder"];
     let mut entries = entries(9000, &[], &names);
     let living = "d";
--- a/crates/engine/tests/all/pools.rs
+++ b/crates/engine/tests/all/pools.rs
@@ -112,7 +112,7 @@
 /// A service runs at most one task on each of five machines.  If its other machines moved away, a task
 /// whose machine goes down could not be placed, although cores are free.
 #[test]
-fn a_pool_keeps_the_machines_over_which_long_running_tasks_are_spread() {
+fn a_pool_keeps_the_machines_over_which_lasting_tasks_are_spread() {
     let mut planner = Planner::new(Settings::default());
     let mut loads = loads(400, 0);
     loads.get_mut("b").unwrap().min_minions = 5;
@@ -123,7 +123,7 @@
 /// An outage leaves one pool with a backlog for eighty machines.  When another queue's turn begins, its
 /// callers would wait for five seconds with one machine if all idle machines went to the largest shortfall.
 #[test]
-fn a_pool_with_a_large_backlog_does_not_get_all_machines() {
+fn a_pool_with_a_large_remainder_does_not_take_all() {
     let mut machines = machines();
     machines.retain(|name, _| !name.starts_with("b-") || name == "b-0");
     for number in 0..14 {
--- a/crates/engine/tests/all/timeout.rs
+++ b/crates/engine/tests/all/timeout.rs
@@ -38,7 +38,7 @@
 /// Each repetition of a write queues in its partition.  While the store is slow, an overdue write is still
 /// queued and must not be sent again; while reads are answered at once, it is lost.
 #[test]
-fn a_write_counts_as_lost_only_relative_to_a_reads_latency() {
+fn a_write_is_lost_only_by_the_measure_of_a_read() {
     let overdue = Duration::from_millis(300);
     assert!(is_write_lost(overdue, Duration::from_millis(6)));
     assert!(!is_write_lost(overdue, Duration::from_millis(240)));
--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -272,7 +272,7 @@
             (
                 "a write is lost only by the measure of a read",
                 "engine::timeout::is_write_lost",
-                "a_write_counts_as_lost_only_relative_to_a_reads_latency",
+                "a_write_is_lost_only_by_the_measure_of_a_read",
             ),
             (
                 "steps wait for the steps before them",
@@ -414,7 +414,7 @@
             (
                 "a pool keeps the machines of its spread",
                 "engine::pools::Planner::need",
-                "a_pool_keeps_the_machines_over_which_long_running_tasks_are_spread",
+                "a_pool_keeps_the_machines_over_which_lasting_tasks_are_spread",
             ),
             (
                 "what idles is in the next pool before its turn",
@@ -430,7 +430,7 @@
             (
                 "a large remainder doesn't take all machines",
                 "engine::pools::Planner::fill",
-                "a_pool_with_a_large_backlog_does_not_get_all_machines",
+                "a_pool_with_a_large_remainder_does_not_take_all",
             ),
             (
                 "what can't be started asks for no machines",
@@ -456,7 +456,7 @@
             ("a planned stop", &["a_cell_is_handed_to_a_living_entry_that_stays"]),
             (
                 "the store away for longer than a term",
-                &["a_store_outage_does_not_count_as_silence"],
+                &["an_outage_of_the_store_is_nobodys_silence"],
             ),
             ("the store is a hundred times slower", &["a_slow_store_keeps_its_owners_at_work"]),
             ("a holder that renews at the last moment, over the store", NOT),
@@ -475,12 +475,12 @@
             (
                 "a strong entry goes before a weak one",
                 "engine::ownership::cells_per_core",
-                "a_large_entry_with_a_cell_precedes_a_small_one_without",
+                "a_strong_instance_with_a_cell_goes_before_a_weak_one_without",
             ),
             (
                 "what nobody could read is nobody's silence",
                 "engine::ownership::record_read",
-                "a_store_outage_does_not_count_as_silence",
+                "an_outage_of_the_store_is_nobodys_silence",
             ),
             (
                 "a takeover requires the holder to be silent still",
@@ -490,12 +490,12 @@
             (
                 "holders among many entries are missed soon",
                 "engine::ownership::renewal_interval",
-                "a_lost_holder_is_detected_as_soon_among_many_entries_as_among_few",
+                "a_holder_among_many_entries_is_missed_as_soon_as_among_few",
             ),
             (
                 "who may be cut off with the holder comes later",
                 "engine::ownership::decide",
-                "entries_that_renewed_after_the_holder_come_first",
+                "entries_seen_since_the_holder_come_before_those_that_may_be_cut_off_with_it",
             ),
         ],
     },
