--- a/crates/engine/src/maintenance.rs
+++ b/crates/engine/src/maintenance.rs
@@ -176,7 +176,8 @@
     /// Records that an order was refused before it took effect, so it can be repeated at once.
     ///
     /// If it counted as possibly carried out, its machine would stay empty and occupy one of the
-    /// slots for machines that are down for seconds; a rate limit refuses dozens of orders at a time.
+    /// slots for machines that are down for seconds; a rate limit refuses dozens of orders at a
+    /// time.
     pub fn record_refusal(&mut self, machine: &str) {
         self.ordered_at.remove(machine);
     }
--- a/crates/engine/src/outage.rs
+++ b/crates/engine/src/outage.rs
@@ -42,8 +42,9 @@
         std::mem::replace(&mut self.was_ongoing, is_ongoing) != is_ongoing
     }
 
-    /// Whether the service may be down because the last calls failed.  An entry that writes on behalf
-    /// of another one doesn't try then: such a write could be neither confirmed nor handed back.
+    /// Whether the service may be down because the last calls failed.  An entry that writes on
+    /// behalf of another one doesn't try then: such a write could be neither confirmed nor handed
+    /// back.
     pub fn is_suspected(&self) -> bool {
         self.consecutive_failures >= SUSPECTED_FAILURES
     }
--- a/crates/engine/src/ownership.rs
+++ b/crates/engine/src/ownership.rs
@@ -128,9 +128,9 @@
 /// Records that a read of the table was answered, after a previous one at `before`.  Must be called
 /// before the result is applied.
 ///
-/// Nobody can renew or read rows during an outage of the store, so afterwards every row is as old as
-/// the outage.  If that counted as silence, entries would take cells from live holders and stop each
-/// other's tasks, so a gap between reads restarts the time of every row.
+/// Nobody can renew or read rows during an outage of the store, so afterwards every row is as old
+/// as the outage.  If that counted as silence, entries would take cells from live holders and stop
+/// each other's tasks, so a gap between reads restarts the time of every row.
 pub fn record_read(entries: &mut BTreeMap<String, Entry>, before: Time, now: Time) {
     if now.since(before) >= MAX_READ_GAP {
         entries.values_mut().for_each(|entry| entry.last_renewal = entry.last_renewal.max(now));
@@ -160,10 +160,10 @@
 
 /// Decides what the entry `me` does about a cell.
 ///
-/// `owned` counts the cells that each entry holds: candidates are ordered by cells per core, so that
-/// one entry doesn't end up with all cells after a rolling restart of its peers, nor a small one with
-/// more than it can handle.  `now` is when a read of the rows was last answered, because rows can't be
-/// seen to be silent after that.
+/// `owned` counts the cells that each entry holds: candidates are ordered by cells per core, so
+/// that one entry doesn't end up with all cells after a rolling restart of its peers, nor a small
+/// one with more than it can handle.  `now` is when a read of the rows was last answered, because
+/// rows can't be seen to be silent after that.
 pub fn decide(
     cell: &str,
     me: &str,
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -33,11 +33,12 @@
     pub min_machines: usize,
     /// Time after which a move that has not been ordered is cancelled and its machine used again.
     pub order_timeout: Duration,
-    /// Least time that a machine stays in a pool after it was ordered there: twice the time of a move.
+    /// Least time that a machine stays in a pool after it was ordered there: twice the time of a
+    /// move.
     pub min_stay: Duration,
-    /// Machines chosen for one pool at a time, or a third of the pool if that is more, because a burst
-    /// asks for several times what the pool holds.  With four rounds of planning a second, this should
-    /// match the rate of orders that the platform accepts.
+    /// Machines chosen for one pool at a time, or a third of the pool if that is more, because a
+    /// burst asks for several times what the pool holds.  With four rounds of planning a second,
+    /// this should match the rate of orders that the platform accepts.
     pub max_moves_per_pool: usize,
 }
 
@@ -322,11 +323,12 @@
         self.fill_shortfalls(round, shortfalls, Reason::Ahead);
     }
 
-    /// Chooses machines for pools with a shortfall, each for the pool that has the smallest share of
-    /// what it needs.
+    /// Chooses machines for pools with a shortfall, each for the pool that has the smallest share
+    /// of what it needs.
     ///
-    /// If the largest shortfall came first, a pool with a large backlog from an outage would get all
-    /// machines: callers of another pool, whose turn had begun, waited five seconds with two machines.
+    /// If the largest shortfall came first, a pool with a large backlog from an outage would get
+    /// all machines: callers of another pool, whose turn had begun, waited five seconds with two
+    /// machines.
     fn fill_shortfalls<'a>(
         &self,
         round: &mut Round<'a>,
@@ -383,7 +385,8 @@
         let Round { machines, loads, spare, now, moves, .. } = round;
         let chosen: BTreeSet<&str> = moves.iter().map(|plan| plan.machine.as_str()).collect();
         let settled = |name: &str| match self.last_orders.get(name) {
-            // A machine that was moved ahead of demand isn't needed here if the demand rises elsewhere.
+            // A machine that was moved ahead of demand isn't needed here if the demand rises
+            // elsewhere.
             Some((_, Reason::Ahead)) if reason == Reason::Shortage => true,
             Some((ordered_at, _)) => now.since(*ordered_at) >= self.settings.min_stay,
             None => true,
@@ -400,7 +403,8 @@
             .collect();
         let cost = |machine: &Machine| {
             if *spare == Some(machine.pool.as_str()) {
-                // Its time in a pool costs something besides the move, so it ranks after idle machines.
+                // Its time in a pool costs something besides the move, so it ranks after idle
+                // machines.
                 return Some(1);
             }
             in_use.get(machine.minion.as_deref()?).map(|cpu| 2 * cpu)
--- a/crates/engine/src/pools/turns.rs
+++ b/crates/engine/src/pools/turns.rs
@@ -2,23 +2,23 @@
 //!
 //! The queues' demand peaks in turns: for some seconds one pool asks for most of the fleet and the
 //! others for a twentieth of their mean, and the turns repeat in the same order.  A machine that is
-//! moved once the demand is observed starts work some 2 s later (0.2 s to observe it, 1.5 s to move,
-//! the rest until it is listed and its owner has contacted it), which is the first fifth of a turn.
-//! Idle machines can be moved to the next pool before its turn begins, at the cost of a move that
-//! they would make anyway.
+//! moved once the demand is observed starts work some 2 s later (0.2 s to observe it, 1.5 s to
+//! move, the rest until it is listed and its owner has contacted it), which is the first fifth of a
+//! turn.  Idle machines can be moved to the next pool before its turn begins, at the cost of a move
+//! that they would make anyway.
 //!
-//! The order is derived from the turns observed so far.  In the first round, the pools that have not
-//! had a turn are expected next; later, the pool whose turn is longest ago.
+//! The order is derived from the turns observed so far.  In the first round, the pools that have
+//! not had a turn are expected next; later, the pool whose turn is longest ago.
 //!
-//! The backlog of a turn hides its end: its pool still asks for most of its peak when the callers of
-//! the next turn arrive.  So the mean time between the beginnings of turns is measured, and when the
-//! next turn is due, machines that the current pool doesn't need now are moved ahead of it.
+//! The backlog of a turn hides its end: its pool still asks for most of its peak when the callers
+//! of the next turn arrive.  So the mean time between the beginnings of turns is measured, and when
+//! the next turn is due, machines that the current pool doesn't need now are moved ahead of it.
 //!
-//! Not every peak is a turn.  The backlog of a turn can rise again seconds after it, and between two
-//! turns a single large job can be the highest demand.  When such peaks counted as turns, eleven
-//! turns were recorded on a day with four, which hid the pool that had not had one yet, and it got no
-//! machines ahead of its turn.  So a turn must reach an eighth of the fleet, and a pool that had one
-//! must have rested before its next.
+//! Not every peak is a turn.  The backlog of a turn can rise again seconds after it, and between
+//! two turns a single large job can be the highest demand.  When such peaks counted as turns,
+//! eleven turns were recorded on a day with four, which hid the pool that had not had one yet, and
+//! it got no machines ahead of its turn.  So a turn must reach an eighth of the fleet, and a pool
+//! that had one must have rested before its next.
 
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
@@ -34,32 +34,34 @@
 const MIN_LEADING_DEMAND_MILLICORES: u64 = 32_000;
 
 /// Divisor of the fleet's cores: a pool must ask for this part of them to have a turn.  A turn asks
-/// for more than its pool holds, which is a quarter of the fleet with four pools; half of that covers
-/// smaller turns.
+/// for more than its pool holds, which is a quarter of the fleet with four pools; half of that
+/// covers smaller turns.
 const MIN_TURN_FLEET_DIVISOR: u64 = 8;
 
-/// Divisor of the fleet's cores: a pool that asks for less than this part of them is at rest.  A queue
-/// at rest asks for a twentieth of its mean, which is a hundredth of its demand in a turn.
+/// Divisor of the fleet's cores: a pool that asks for less than this part of them is at rest.  A
+/// queue at rest asks for a twentieth of its mean, which is a hundredth of its demand in a turn.
 const REST_FLEET_DIVISOR: u64 = 32;
 
-/// How long a pool must have rested before its next turn: longer than running tasks last on average,
-/// since their ends leave gaps in the demand of a backlog, and far shorter than the others' turns.
+/// How long a pool must have rested before its next turn: longer than running tasks last on
+/// average, since their ends leave gaps in the demand of a backlog, and far shorter than the
+/// others' turns.
 const MIN_REST: Duration = Duration::from_millis(1500);
 
 /// A pool whose demand has fallen below this share of its turn's peak won't need more machines in
 /// this turn, because demand rises and falls only once in a turn.
 const DECLINING_PEAK_SHARE: f64 = 0.6;
 
-/// Once a pool's demand has fallen below this share of its turn's peak, another rise can begin a new
-/// turn.
+/// Once a pool's demand has fallen below this share of its turn's peak, another rise can begin a
+/// new turn.
 const ENDED_PEAK_SHARE: f64 = 0.3;
 
-/// Multiple of its highest demand so far that a pool is expected to reach in its first turn.  Demand
-/// doubles between the second second of a turn and its peak.
+/// Multiple of its highest demand so far that a pool is expected to reach in its first turn.
+/// Demand doubles between the second second of a turn and its peak.
 const FIRST_TURN_PEAK_MULTIPLIER: u64 = 2;
 
 /// How long before the next turn is expected to be recorded machines are moved ahead of it: the 2 s
-/// that they take, and the 1.5 s from a turn's first callers until it asks for an eighth of the fleet.
+/// that they take, and the 1.5 s from a turn's first callers until it asks for an eighth of the
+/// fleet.
 const LEAD_TIME: Duration = Duration::from_millis(3500);
 
 /// Covers several rounds of turns with the pools of current deployments.
@@ -74,7 +76,8 @@
     pub peaks: BTreeMap<String, u64>,
     /// Mean time between the beginnings of two turns, in milliseconds; 0 before the second one.
     pub gap_ms: u64,
-    /// When the last one began, in milliseconds since the Unix epoch; set by the code that stores it.
+    /// When the last one began, in milliseconds since the Unix epoch; set by the code that stores
+    /// it.
     pub began_ms: u64,
 }
 
@@ -139,8 +142,8 @@
         &self.history
     }
 
-    /// Records the current demand of each pool; `fleet` is the capacity of all machines.  Both are in
-    /// millicores.
+    /// Records the current demand of each pool; `fleet` is the capacity of all machines.  Both are
+    /// in millicores.
     pub(crate) fn observe(&mut self, demands: &BTreeMap<&str, u64>, fleet: u64, now: Time) {
         self.update_rests(demands, fleet, now);
         if let Some(busiest) = &mut self.busiest {
@@ -198,8 +201,8 @@
         }
     }
 
-    /// Records a turn of the busiest pool once its demand is high enough, unless that is the backlog of
-    /// its last turn.
+    /// Records a turn of the busiest pool once its demand is high enough, unless that is the
+    /// backlog of its last turn.
     fn record_turn(&mut self, fleet: u64, now: Time) {
         let Some(busiest) = &mut self.busiest else { return };
         if busiest.is_turn || busiest.demand < fleet / MIN_TURN_FLEET_DIVISOR {
@@ -231,8 +234,9 @@
         passed + LEAD_TIME >= gap && passed < gap + gap / 2
     }
 
-    /// The expected demand of pools, in millicores: that of the current turn's pool until its demand
-    /// falls or the next turn is due, then an equal share of one turn for each pool that may be next.
+    /// The expected demand of pools, in millicores: that of the current turn's pool until its
+    /// demand falls or the next turn is due, then an equal share of one turn for each pool that may
+    /// be next.
     pub(crate) fn expected_demand(&self, pools: &[&str], now: Time) -> Vec<(String, u64)> {
         let Some(busiest) = &self.busiest else { return Vec::new() };
         let ends = busiest.is_turn && self.is_next_due(now);
@@ -247,15 +251,16 @@
         let count = next.len().max(1) as u64;
         let share = |pool: &str| self.expected_peak(pool) / count;
         if rises {
-            // This may be a turn or a single large job; either way idle machines go where tasks wait.
+            // This may be a turn or a single large job; either way idle machines go where tasks
+            // wait.
             let ahead = if next.contains(&&*busiest.pool) { share(&busiest.pool) } else { 0 };
             return vec![(busiest.pool.clone(), first_turn_peak.max(ahead))];
         }
         next.into_iter().map(|pool| (pool.to_owned(), share(pool))).collect()
     }
 
-    /// The peak demand expected of a pool: that of its last turn, or the highest of any pool if it has
-    /// had none.
+    /// The peak demand expected of a pool: that of its last turn, or the highest of any pool if it
+    /// has had none.
     fn expected_peak(&self, pool: &str) -> u64 {
         let known = self.history.peaks.get(pool).copied();
         let busiest = self.busiest.as_ref().filter(|busiest| busiest.is_turn);
--- a/crates/engine/src/quota/account.rs
+++ b/crates/engine/src/quota/account.rs
@@ -19,12 +19,12 @@
 /// Least time between two changes that only yield to cells that are short.
 const MIN_YIELD_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Divisor of the limit: the least part that is worth a transaction to return while no other cell asks
-/// for it.
+/// Divisor of the limit: the least part that is worth a transaction to return while no other cell
+/// asks for it.
 const MIN_RETURN_DIVISOR: u64 = 8;
 
-/// Divisor of the limit: the least part that is worth a transaction to return while other cells ask for
-/// it.
+/// Divisor of the limit: the least part that is worth a transaction to return while other cells ask
+/// for it.
 const MIN_YIELD_DIVISOR: u64 = 32;
 
 /// A change of a split with an unknown outcome: it may still be committed.
@@ -61,19 +61,20 @@
     lowered_by: u64,
     /// No task is started before this time.
     starts_held_until: Time,
-    /// The split as last read, its row's version, and when that was last known to be current; `None`
-    /// before the first read.
+    /// The split as last read, its row's version, and when that was last known to be current;
+    /// `None` before the first read.
     split: Split,
     version: u64,
     confirmed_at: Option<Time>,
     pending: SmallVec<[Pending; 1]>,
-    /// What a former owner's runs may use without being known here yet; `None` once all minions have
-    /// reported.
+    /// What a former owner's runs may use without being known here yet; `None` once all minions
+    /// have reported.
     former_usage: Option<Resources>,
     /// What the runs that this owner started use, and those that it adopted.
     own_usage: Resources,
     adopted_usage: Resources,
-    /// What the last plan could not start because the share was too small, and the smallest such task.
+    /// What the last plan could not start because the share was too small, and the smallest such
+    /// task.
     wanted: Resources,
     smallest_wanted: Option<Resources>,
     /// The smallest such task of the plan before.
@@ -132,14 +133,14 @@
         self.configuration = configuration;
     }
 
-    /// The effective limit: that of the configuration in force here or the one with which the split was
-    /// last written, whichever is newer.
+    /// The effective limit: that of the configuration in force here or the one with which the split
+    /// was last written, whichever is newer.
     pub fn limit(&self) -> Limit {
         if self.split.configuration > self.configuration { self.split.limit } else { self.limit }
     }
 
-    /// Applies the row as read; `None` if there is no row.  Answers can arrive out of order, so an older
-    /// version is ignored.
+    /// Applies the row as read; `None` if there is no row.  Answers can arrive out of order, so an
+    /// older version is ignored.
     pub fn apply_row(&mut self, version: u64, split: Option<Split>, now: Time) {
         if version < self.version {
             return;
@@ -209,8 +210,8 @@
 
     /// The resources that runs in this cell may be using.
     ///
-    /// Until all minions have reported, a former owner's runs are assumed to use its whole share, which
-    /// includes the runs that are known already.
+    /// Until all minions have reported, a former owner's runs are assumed to use its whole share,
+    /// which includes the runs that are known already.
     pub fn in_use(&self) -> Resources {
         match &self.former_usage {
             Some(former) => self.own_usage.plus(&former.max(&self.adopted_usage)),
@@ -224,8 +225,8 @@
         (share.token == self.holder.token).then_some(*share)
     }
 
-    /// The size of this cell's share that is certainly granted: a change that may still be committed can
-    /// lower it.
+    /// The size of this cell's share that is certainly granted: a change that may still be
+    /// committed can lower it.
     fn confirmed_size(&self) -> Resources {
         let size = self.own_share().map(|share| share.size).unwrap_or_default();
         let pending = self.pending.iter().filter(|pending| pending.version == self.version);
@@ -234,9 +235,10 @@
 
     /// The resources that this cell may use while other cells are short; `None` while none is.
     ///
-    /// Each short cell gets an equal part of the limit, and at least what its next task needs.  Cells that
-    /// have started no task for longest come first.  Cells for which not enough is left start nothing, so
-    /// that smaller tasks don't starve a large one, and parts too small for any task don't block all.
+    /// Each short cell gets an equal part of the limit, and at least what its next task needs.
+    /// Cells that have started no task for longest come first.  Cells for which not enough is left
+    /// start nothing, so that smaller tasks don't starve a large one, and parts too small for any
+    /// task don't block all.
     fn target(&self) -> Option<Target> {
         let cell = &self.holder.cell;
         let mut claims = self.split.other_claims(cell);
@@ -300,8 +302,8 @@
 
     /// Whether the split was written since the limit was last lowered.
     ///
-    /// Until then an owner that doesn't know the new limit may raise its share up to the former one.  After
-    /// a write with the new configuration none can.
+    /// Until then an owner that doesn't know the new limit may raise its share up to the former
+    /// one.  After a write with the new configuration none can.
     fn is_split_current(&self) -> bool {
         self.split.configuration >= self.lowered_by
     }
@@ -322,7 +324,8 @@
         !self.is_limit_exceeded() && size.holds(&self.in_use().plus(&need.times(count)))
     }
 
-    /// Whether a task that exceeds the whole limit may run because nothing else of its workspace runs.
+    /// Whether a task that exceeds the whole limit may run because nothing else of its workspace
+    /// runs.
     fn may_start_alone(&self, need: &Resources) -> bool {
         let is_alone =
             self.split.others_total(&self.holder.cell).is_zero() && self.in_use().is_zero();
@@ -376,8 +379,8 @@
         let demand = in_use.plus(&self.wanted.min(room));
         let share = Share { token: self.holder.token, size, ..Share::default() };
         let Some(smallest) = self.smallest_wanted else { return share };
-        // The cell keeps its position until it starts a task, even if the size is sufficient: otherwise
-        // the next cell would get the size before the start.
+        // The cell keeps its position until it starts a task, even if the size is sufficient:
+        // otherwise the next cell would get the size before the start.
         let since =
             if known.since > 0 && !self.started_since_write { known.since } else { self.version };
         let wanted = if size.holds(&demand) { Resources::default() } else { demand };
@@ -423,7 +426,8 @@
         self.size_after_return(known, least, now)
     }
 
-    /// The size for a task that exceeds the whole limit, if its claim is first and nothing else runs.
+    /// The size for a task that exceeds the whole limit, if its claim is first and nothing else
+    /// runs.
     fn exclusive_size(&self, others: &Resources, least: &Resources) -> Option<Resources> {
         let smallest = self.smallest_wanted.filter(|need| self.exceeds_limit(need))?;
         let is_first = self.target().is_none_or(|target| target.size.holds(&smallest));
@@ -441,7 +445,8 @@
     }
 
     fn is_worth_writing(&self, known: &Share, next: &Share, now: Time) -> bool {
-        // An unanswered change counts with its worse outcome for this cell until a later change settles it.
+        // An unanswered change counts with its worse outcome for this cell until a later change
+        // settles it.
         let is_unsettled = self.pending.iter().any(|pending| pending.version == self.version);
         if is_unsettled || !self.is_split_current() && !self.split.shares.is_empty() {
             return true;
--- a/crates/engine/src/quota/split.rs
+++ b/crates/engine/src/quota/split.rs
@@ -58,8 +58,8 @@
     pub wanted: Resources,
     /// The size with which it could start one more task.
     pub least: Resources,
-    /// The row's version when tasks began to wait, or when a task was last started since then; 0 while
-    /// none waits.
+    /// The row's version when tasks began to wait, or when a task was last started since then; 0
+    /// while none waits.
     pub since: u64,
 }
 
--- a/crates/engine/tests/all/maintenance.rs
+++ b/crates/engine/tests/all/maintenance.rs
@@ -81,8 +81,8 @@
     assert_eq!(planner.wave(1).unwrap().begun.len(), 12);
 }
 
-/// The list of machines lags behind an order.  A machine that is ordered down but still listed as up
-/// must count as down, or the wave would exceed what may be down at once.
+/// The list of machines lags behind an order.  A machine that is ordered down but still listed as
+/// up must count as down, or the wave would exceed what may be down at once.
 #[test]
 fn an_order_that_the_list_does_not_show_yet_counts_as_down() {
     let mut planner = planner(4, 1);
@@ -114,8 +114,8 @@
     assert_eq!(steps, [Action::Complete { wave: 1 }]);
 }
 
-/// A simulated wave in steps of 100 ms: a machine empties in the time that its tasks take, is down for
-/// two seconds and comes back with another minion.
+/// A simulated wave in steps of 100 ms: a machine empties in the time that its tasks take, is down
+/// for two seconds and comes back with another minion.
 struct Simulation {
     planner: Planner,
     machines: BTreeMap<String, Machine>,
@@ -197,9 +197,9 @@
     }
 }
 
-/// Half of a fleet is due within 26 seconds, and a fifth of it may be down at once.  If all of these were
-/// taken at once, a fifth of the capacity would be missing at peak load, and only a third of the window
-/// would be used.
+/// Half of a fleet is due within 26 seconds, and a fifth of it may be down at once.  If all of
+/// these were taken at once, a fifth of the capacity would be missing at peak load, and only a
+/// third of the window would be used.
 #[test]
 fn a_wave_takes_no_more_working_machines_than_its_window_requires() {
     let mut simulation = Simulation::new(580, 225, 26_000);
@@ -209,8 +209,8 @@
     assert!(simulation.max_under_way <= 160, "{} at once", simulation.max_under_way);
 }
 
-/// Machines with long-running tasks empty one after the other; if they began last, they would miss the
-/// window.
+/// Machines with long-running tasks empty one after the other; if they began last, they would miss
+/// the window.
 #[test]
 fn machines_that_take_long_to_empty_begin_early() {
     let mut simulation = Simulation::new(60, 20, 26_000);
@@ -223,7 +223,8 @@
     assert!(early >= 8, "{early} of the first thirty");
 }
 
-/// Taking idle machines or ones that are off out of service costs nothing, so they go as soon as allowed.
+/// Taking idle machines or ones that are off out of service costs nothing, so they go as soon as
+/// allowed.
 #[test]
 fn idle_machines_go_first_and_as_many_as_allowed() {
     let mut simulation = Simulation::new(100, 30, 26_000);
@@ -238,8 +239,8 @@
     );
 }
 
-/// After a store outage in the middle of a wave, or with a short window, the remaining machines go as
-/// fast as allowed, but no faster.
+/// After a store outage in the middle of a wave, or with a short window, the remaining machines go
+/// as fast as allowed, but no faster.
 #[test]
 fn a_wave_that_falls_behind_catches_up() {
     let mut simulation = Simulation::new(150, 40, 26_000);
@@ -256,8 +257,8 @@
     assert_eq!(short.max_under_way, 10 + Settings::default().extra_emptying);
 }
 
-/// A rate limit refuses dozens of orders.  If they counted as possibly carried out, their machines would
-/// stay empty and occupy slots for three and a half seconds.
+/// A rate limit refuses dozens of orders.  If they counted as possibly carried out, their machines
+/// would stay empty and occupy slots for three and a half seconds.
 #[test]
 fn a_refused_order_is_repeated_at_once() {
     let mut planner = planner(2, 1);
--- a/crates/engine/tests/all/outage.rs
+++ b/crates/engine/tests/all/outage.rs
@@ -13,8 +13,8 @@
     outage
 }
 
-/// Guards against sending jobs to a store that is down at peak load: hundreds of callers would be told
-/// that the outcome is unknown.
+/// Guards against sending jobs to a store that is down at peak load: hundreds of callers would be
+/// told that the outcome is unknown.
 #[test]
 fn a_store_that_stops_answering_is_soon_down() {
     assert!(!outage(1040, &[]).is_ongoing(Time(1040)), "two failures may be chance");
@@ -27,8 +27,8 @@
     assert!(!outage(3000, &[2990]).is_ongoing(Time(3000)));
 }
 
-/// A store that refuses most calls, but not all, must not count as down: it would get no calls, although
-/// each caller is served at the second or third attempt.
+/// A store that refuses most calls, but not all, must not count as down: it would get no calls,
+/// although each caller is served at the second or third attempt.
 #[test]
 fn a_store_that_refuses_some_calls_is_not_down() {
     let answers: Vec<u64> = (1000..3000).step_by(90).collect();
--- a/crates/engine/tests/all/ownership.rs
+++ b/crates/engine/tests/all/ownership.rs
@@ -45,8 +45,8 @@
     assert_eq!(decision("b", Some("b"), &entries, 11_000), Decision::Own);
 }
 
-/// The takeover requires the silent holder's row to be unchanged, so a holder that renews at the last
-/// moment keeps its cell.
+/// The takeover requires the silent holder's row to be unchanged, so a holder that renews at the
+/// last moment keeps its cell.
 #[test]
 fn a_silent_holder_is_replaced_on_condition_that_it_stays_silent() {
     let entries = entries(10_000, &["b"], &["a", "b"]);
@@ -95,8 +95,8 @@
     assert!(held.values().all(|count| (60..150).contains(count)), "{held:?}");
 }
 
-/// During a rolling restart, a cell handed to an entry that is yet to be restarted changes owners again,
-/// each time with a pause.
+/// During a rolling restart, a cell handed to an entry that is yet to be restarted changes owners
+/// again, each time with a pause.
 #[test]
 fn a_cell_is_handed_to_the_entry_that_started_last() {
     let mut entries = entries(10_000, &[], &["a", "b", "c", "d"]);
@@ -116,8 +116,8 @@
     assert!(takes("c") && !takes("a") && !takes("b") && !takes("d"));
 }
 
-/// A store that is a hundred times slower than usual needs 0.8 s for a renewal.  With a term that suits
-/// its usual speed, cells would keep changing owners, and no tasks would be started.
+/// A store that is a hundred times slower than usual needs 0.8 s for a renewal.  With a term that
+/// suits its usual speed, cells would keep changing owners, and no tasks would be started.
 #[test]
 fn the_term_follows_the_renewals() {
     let least = Duration::from_millis(1300);
@@ -139,8 +139,9 @@
     assert_matches!(decision("a", Some("b"), &entries, 10_500), Decision::TakeOver { .. });
 }
 
-/// Guards against takeovers from live holders after a store outage of two seconds: the rows are older
-/// than the term, because no entry could renew them, and are read before their holders renew them.
+/// Guards against takeovers from live holders after a store outage of two seconds: the rows are
+/// older than the term, because no entry could renew them, and are read before their holders renew
+/// them.
 #[test]
 fn an_outage_of_the_store_is_nobodys_silence() {
     let mut entries = entries(10_000, &[], &["a", "b"]);
@@ -156,8 +157,8 @@
     );
 }
 
-/// Every entry reads the renewals of all others.  At a fixed interval the traffic would grow with the
-/// square of their number, beyond what an instance may spend on control.
+/// Every entry reads the renewals of all others.  At a fixed interval the traffic would grow with
+/// the square of their number, beyond what an instance may spend on control.
 #[test]
 fn many_entries_renew_less_often_and_have_longer_terms() {
     let least = Duration::from_millis(300);
@@ -167,9 +168,10 @@
     assert!(term(Duration::from_millis(1300), pause, Duration::ZERO) >= pause * 3);
 }
 
-/// The owner of a large cell is lost while each large entry holds a cell.  An entry with an eighth of a
-/// core must not take it over just because it has none: it would poll too few of the minions in time,
-/// learn of jobs seconds late, and its callers would be told that jobs wait which it doesn't count.
+/// The owner of a large cell is lost while each large entry holds a cell.  An entry with an eighth
+/// of a core must not take it over just because it has none: it would poll too few of the minions
+/// in time, learn of jobs seconds late, and its callers would be told that jobs wait which it
+/// doesn't count.
 #[test]
 fn a_strong_instance_with_a_cell_goes_before_a_weak_one_without() {
     let mut entries = entries(10_000, &[], &["strong", "weak"]);
@@ -186,8 +188,8 @@
     assert!(take("weak", 4) && !take("strong", 4), "ten for each core against eight");
 }
 
-/// One of 147 entries holds a cell and is cut off.  If its term were as long as that of entries without
-/// cells, its cell would stall for eight seconds.
+/// One of 147 entries holds a cell and is cut off.  If its term were as long as that of entries
+/// without cells, its cell would stall for eight seconds.
 #[test]
 fn a_holder_among_many_entries_is_missed_as_soon_as_among_few() {
     let least = Duration::from_millis(300);
@@ -202,9 +204,9 @@
     );
 }
 
-/// An availability zone is cut off with the holder of a cell and thirty entries without one, which renew
-/// rarely and still count as alive.  Each of them that precedes a reachable entry would delay the
-/// takeover.
+/// An availability zone is cut off with the holder of a cell and thirty entries without one, which
+/// renew rarely and still count as alive.  Each of them that precedes a reachable entry would delay
+/// the takeover.
 #[test]
 fn entries_seen_since_the_holder_come_before_those_that_may_be_cut_off_with_it() {
     let names = ["a", "b", "c", "d", "e", "f", "holder"];
@@ -220,9 +222,9 @@
     assert_matches!(decision, Decision::TakeOver { .. }, "at once, whatever its rank");
 }
 
-/// The store loses its history while 147 entries follow the table.  If all reread it at once, with a call
-/// for each row, most calls would be refused by the rate limit and repeated, and no entry would get
-/// updates any more.
+/// The store loses its history while 147 entries follow the table.  If all reread it at once, with
+/// a call for each row, most calls would be refused by the rate limit and repeated, and no entry
+/// would get updates any more.
 #[test]
 fn rereads_keep_within_the_stores_rate_limit() {
     for (entries, calls_a_second) in [(9, 2000), (41, 6000), (147, 16_000)] {
--- a/crates/engine/tests/all/pools.rs
+++ b/crates/engine/tests/all/pools.rs
@@ -66,7 +66,8 @@
     assert!(planner.plan(&machines(), &loads(240, 0), Some("spare"), Time(300)).is_empty());
 }
 
-/// A minion with a long-running task isn't among the free ones, and one due for maintenance is pinned.
+/// A minion with a long-running task isn't among the free ones, and one due for maintenance is
+/// pinned.
 #[test]
 fn machines_that_must_stay_are_not_moved() {
     let mut planner = Planner::new(Settings::default());
@@ -80,8 +81,8 @@
     assert_eq!(moves, Vec::<Move>::new());
 }
 
-/// Two queues with alternating bursts must not make machines move back and forth before they have run
-/// any tasks.
+/// Two queues with alternating bursts must not make machines move back and forth before they have
+/// run any tasks.
 #[test]
 fn a_machine_stays_for_a_while() {
     let mut planner = Planner::new(Settings::default());
@@ -109,8 +110,8 @@
     assert_eq!(planner.overdue_moves(Time(0) + timeout).len(), first.len());
 }
 
-/// A service runs at most one task on each of five machines.  If its other machines moved away, a task
-/// whose machine goes down could not be placed, although cores are free.
+/// A service runs at most one task on each of five machines.  If its other machines moved away, a
+/// task whose machine goes down could not be placed, although cores are free.
 #[test]
 fn a_pool_keeps_the_machines_over_which_lasting_tasks_are_spread() {
     let mut planner = Planner::new(Settings::default());
@@ -120,8 +121,9 @@
     assert_eq!(moves.len(), 3, "nine less five and one in reserve");
 }
 
-/// An outage leaves one pool with a backlog for eighty machines.  When another queue's turn begins, its
-/// callers would wait for five seconds with one machine if all idle machines went to the largest shortfall.
+/// An outage leaves one pool with a backlog for eighty machines.  When another queue's turn begins,
+/// its callers would wait for five seconds with one machine if all idle machines went to the
+/// largest shortfall.
 #[test]
 fn a_pool_with_a_large_remainder_does_not_take_all() {
     let mut machines = machines();
--- a/crates/engine/tests/all/quota.rs
+++ b/crates/engine/tests/all/quota.rs
@@ -22,7 +22,8 @@
 }
 
 /// Guards against a workspace exceeding its limit when owners crash, stall or are cut off, and when
-/// transactions are lost, late or unanswered; and against tasks that wait forever after such faults.
+/// transactions are lost, late or unanswered; and against tasks that wait forever after such
+/// faults.
 #[test]
 fn a_limit_holds_under_all_drawn_faults() {
     let mut failures = Vec::new();
@@ -107,7 +108,8 @@
     assert!(!account.may_start(&cores(80), 1, Time(3600)));
 }
 
-/// Guards against starts after a limit was lowered below what runs: the sum of the shares exceeds it then.
+/// Guards against starts after a limit was lowered below what runs: the sum of the shares exceeds
+/// it then.
 #[test]
 fn nothing_starts_while_shares_exceed_a_lowered_limit() {
     let mut account = account("cell", true);
@@ -123,7 +125,8 @@
     assert!(!account.may_start(&cores(5), 1, Time(20)));
 }
 
-/// Guards against starts while an owner that doesn't know the lower limit yet may still raise its share.
+/// Guards against starts while an owner that doesn't know the lower limit yet may still raise its
+/// share.
 #[test]
 fn nothing_starts_before_the_split_is_written_with_the_lower_limit() {
     let mut account = account("cell", true);
@@ -139,7 +142,8 @@
     assert!(account.may_start(&cores(5), 1, Time(20)));
 }
 
-/// Guards against a task that exceeds its workspace's limit waiting forever, or running beside another one.
+/// Guards against a task that exceeds its workspace's limit waiting forever, or running beside
+/// another one.
 #[test]
 fn a_task_larger_than_the_limit_runs_alone() {
     let mut account = account("cell", true);
@@ -202,8 +206,8 @@
     Origin::Workspace(TEAM.into())
 }
 
-/// Guards against starting a workspace's tasks beyond its limit, and against others' tasks waiting behind
-/// them.
+/// Guards against starting a workspace's tasks beyond its limit, and against others' tasks waiting
+/// behind them.
 #[test]
 fn a_workspace_runs_no_more_than_its_limit() {
     let mut world = limited(2, 5);
@@ -221,7 +225,8 @@
     assert_eq!(world.cell.take_notes().iter().filter(|note| held(note)).count(), 1);
 }
 
-/// Guards against a gang wider than its workspace's limit reserving all of it without ever starting.
+/// Guards against a gang wider than its workspace's limit reserving all of it without ever
+/// starting.
 #[test]
 fn a_gang_wider_than_the_limit_blocks_no_other_job() {
     let mut world = limited(2, 5);
@@ -234,7 +239,8 @@
     assert_eq!(starts(&world.plan()).len(), 4);
 }
 
-/// Guards against jobs of an older release, which stored no workspace, running without a limit, or never.
+/// Guards against jobs of an older release, which stored no workspace, running without a limit, or
+/// never.
 #[test]
 fn jobs_of_an_unknown_workspace_run_one_task_at_a_time() {
     let mut world = limited(2, 5);
@@ -248,7 +254,8 @@
     assert!(starts(&world.plan()).is_empty());
 }
 
-/// Guards against exceeding a limit before the splits are read: until then, no limited task may start.
+/// Guards against exceeding a limit before the splits are read: until then, no limited task may
+/// start.
 #[test]
 fn nothing_limited_starts_before_the_splits_are_read() {
     let mut world = World::new(1);
--- a/crates/engine/tests/all/quota/model.rs
+++ b/crates/engine/tests/all/quota/model.rs
@@ -1,5 +1,5 @@
-//! Simulation of cells whose owners crash, stall and are cut off, of a store that loses answers, and of the
-//! runs that actually exist.
+//! Simulation of cells whose owners crash, stall and are cut off, of a store that loses answers,
+//! and of the runs that actually exist.
 
 use celerythread_engine::job::Resources;
 use celerythread_engine::quota::{Account, Change, Holder, Limit, Split};
@@ -21,7 +21,8 @@
 const ISOLATED_START_LIMIT: Duration = Duration::from_millis(3000);
 /// Longest wait of a task without faults while its workspace uses less than half of its limit.
 const MAX_WAIT: Duration = Duration::from_millis(1000);
-/// The same while a task waits that needs more than half of the limit, for which others must end first.
+/// The same while a task waits that needs more than half of the limit, for which others must end
+/// first.
 const MAX_WAIT_BESIDE_LARGE_TASK: Duration = Duration::from_millis(3000);
 const ROOM: Resources = Resources { cpu: 1 << 30, memory_mb: 1 << 30, gpu: 0 };
 const LIMITS: [u64; 5] = [40, 100, 20, 8, 60];
--- a/crates/engine/tests/all/timeout.rs
+++ b/crates/engine/tests/all/timeout.rs
@@ -3,8 +3,8 @@
 use celerythread_engine::timeout::{Timeout, is_write_lost};
 use std::time::Duration;
 
-/// Half of the answers are lost.  With a timeout of a second each, callers would miss their deadlines,
-/// although a retry is answered within milliseconds.
+/// Half of the answers are lost.  With a timeout of a second each, callers would miss their
+/// deadlines, although a retry is answered within milliseconds.
 #[test]
 fn a_lost_answer_costs_little_while_others_come_fast() {
     let mut timeout = Timeout::default();
@@ -35,8 +35,8 @@
     assert!(timeout.current() >= slow, "further calls don't time out");
 }
 
-/// Each repetition of a write queues in its partition.  While the store is slow, an overdue write is still
-/// queued and must not be sent again; while reads are answered at once, it is lost.
+/// Each repetition of a write queues in its partition.  While the store is slow, an overdue write
+/// is still queued and must not be sent again; while reads are answered at once, it is lost.
 #[test]
 fn a_write_is_lost_only_by_the_measure_of_a_read() {
     let overdue = Duration::from_millis(300);
--- a/crates/engine/tests/all/turns.rs
+++ b/crates/engine/tests/all/turns.rs
@@ -78,8 +78,9 @@
     }
 }
 
-/// Guards against moving machines only once demand is observed, although the queues' turns repeat in the
-/// same order: the first callers of a turn would wait two seconds for machines that were idle elsewhere.
+/// Guards against moving machines only once demand is observed, although the queues' turns repeat
+/// in the same order: the first callers of a turn would wait two seconds for machines that were
+/// idle elsewhere.
 #[test]
 fn machines_are_moved_ahead_of_a_known_turn() {
     let mut fleet = Fleet::new();
@@ -91,8 +92,8 @@
     assert!(moves.iter().all(|plan| plan.to != "b"), "{moves:?}");
 }
 
-/// In the first round it is unknown which pool follows the current turn.  Any pool that has not had one
-/// may be next, so each of them gets a share.
+/// In the first round it is unknown which pool follows the current turn.  Any pool that has not had
+/// one may be next, so each of them gets a share.
 #[test]
 fn in_the_first_round_pools_without_a_turn_share_idle_machines() {
     let mut fleet = Fleet::new();
@@ -107,8 +108,8 @@
     );
 }
 
-/// A pool whose turn has just begun asks for little.  Its idle machines must stay for its peak and not
-/// move on to the next pool.
+/// A pool whose turn has just begun asks for little.  Its idle machines must stay for its peak and
+/// not move on to the next pool.
 #[test]
 fn a_rising_turn_keeps_the_machines_for_its_peak() {
     let mut fleet = Fleet::new();
@@ -119,8 +120,9 @@
     assert!(moves.iter().all(|plan| plan.from != "b"), "{moves:?}");
 }
 
-/// Only one pool ever has turns.  After its first one the others get a share, as any of them may be next;
-/// after its second one none is expected, and moving machines away and back would only cost moves.
+/// Only one pool ever has turns.  After its first one the others get a share, as any of them may be
+/// next; after its second one none is expected, and moving machines away and back would only cost
+/// moves.
 #[test]
 fn a_single_busy_pool_keeps_its_machines() {
     let mut fleet = Fleet::new();
@@ -134,8 +136,9 @@
     assert_eq!(moves, Vec::<Move>::new());
 }
 
-/// Guards against machines staying idle in the first turn's pool after it has ended: the next turn's
-/// callers would find four machines in their pool, and the others would move only as demand rises.
+/// Guards against machines staying idle in the first turn's pool after it has ended: the next
+/// turn's callers would find four machines in their pool, and the others would move only as demand
+/// rises.
 #[test]
 fn after_the_first_turn_the_other_pools_share_its_machines() {
     let mut fleet = Fleet::new();
@@ -144,8 +147,8 @@
     assert!(POOLS[1..].iter().all(|pool| fleet.in_pool(pool) >= 9), "{:?}", fleet.machines);
 }
 
-/// A turn begins while the backlog of the last one is still being worked off.  It must be recorded at its
-/// beginning, not when its demand exceeds that of the backlog.
+/// A turn begins while the backlog of the last one is still being worked off.  It must be recorded
+/// at its beginning, not when its demand exceeds that of the backlog.
 #[test]
 fn the_backlog_of_a_turn_does_not_hide_the_next_one() {
     let mut fleet = Fleet::new();
@@ -169,8 +172,9 @@
     assert_eq!(fleet.planner.history().turns, ["a", "b"]);
 }
 
-/// A third of the idle machines was moved to a pool whose turn doesn't come.  They have run no tasks there,
-/// so the pool with the turn must get them at once, not after the least stay of three seconds.
+/// A third of the idle machines was moved to a pool whose turn doesn't come.  They have run no
+/// tasks there, so the pool with the turn must get them at once, not after the least stay of three
+/// seconds.
 #[test]
 fn machines_moved_ahead_in_vain_can_leave_at_once() {
     let mut fleet = Fleet::new();
@@ -187,7 +191,8 @@
     assert!(sent.iter().any(|plan| came_ahead(&plan)), "{sent:?}");
 }
 
-/// When the entry with the fleet controller is lost, the next one must know the turns observed so far.
+/// When the entry with the fleet controller is lost, the next one must know the turns observed so
+/// far.
 #[test]
 fn a_new_planner_continues_from_the_stored_turns() {
     let mut fleet = Fleet::new();
@@ -219,9 +224,9 @@
     }
 }
 
-/// Guards against counting a single large job as a turn because it is the highest demand between two turns:
-/// idle machines would then be moved ahead to the wrong pool, and the last queue's turn would begin
-/// without them.
+/// Guards against counting a single large job as a turn because it is the highest demand between
+/// two turns: idle machines would then be moved ahead to the wrong pool, and the last queue's turn
+/// would begin without them.
 #[test]
 fn a_single_large_job_is_no_turn() {
     let mut fleet = Fleet::new();
@@ -237,8 +242,8 @@
     assert!(fleet.in_pool("d") >= 19, "d alone has had no turn: {}", fleet.in_pool("d"));
 }
 
-/// The backlog of a turn becomes the highest demand again when that of the next turn is served.  If this
-/// counted as a turn, the next pool would be predicted wrongly.
+/// The backlog of a turn becomes the highest demand again when that of the next turn is served.  If
+/// this counted as a turn, the next pool would be predicted wrongly.
 #[test]
 fn a_backlog_that_rises_again_is_no_turn() {
     let mut fleet = Fleet::new();
@@ -250,8 +255,8 @@
     assert_eq!(fleet.planner.history().turns, ["a", "b"]);
 }
 
-/// Two queues have turns and two never do.  After the second turn of each the next pool is known, and no
-/// machines are kept ready for the others.
+/// Two queues have turns and two never do.  After the second turn of each the next pool is known,
+/// and no machines are kept ready for the others.
 #[test]
 fn no_machines_are_reserved_for_pools_without_turns() {
     let mut fleet = Fleet::new();
@@ -280,9 +285,9 @@
     assert!(fleet.in_pool("c") >= 5, "c comes after d: {}", fleet.in_pool("c"));
 }
 
-/// Turns follow each other without a pause, and each leaves such a backlog that its pool still asks for
-/// most of its peak when the next turn begins.  By the demand alone, machines would move two seconds too
-/// late, so they must move ahead when the next turn is due.
+/// Turns follow each other without a pause, and each leaves such a backlog that its pool still asks
+/// for most of its peak when the next turn begins.  By the demand alone, machines would move two
+/// seconds too late, so they must move ahead when the next turn is due.
 #[test]
 fn machines_are_moved_ahead_of_a_due_turn_while_the_last_one_has_demand() {
     let mut fleet = Fleet::new();
