--- a/crates/engine/src/cell/load.rs
+++ b/crates/engine/src/cell/load.rs
@@ -4,7 +4,7 @@
 use crate::cell::minion::Minion;
 use crate::cell::work::{Job, Phase};
 use crate::job::Resources;
-use crate::pools::{HORIZON, Load};
+use crate::pools::{BACKLOG_HORIZON, Load};
 use crate::time::Time;
 use smallvec::SmallVec;
 
@@ -14,7 +14,7 @@
 const LATE_WORK_DIVISOR: u64 = 4;
 
 /// [`HORIZON`] in milliseconds.
-const HORIZON_MS: u64 = HORIZON.as_millis() as u64;
+const HORIZON_MS: u64 = BACKLOG_HORIZON.as_millis() as u64;
 
 impl Cell {
     /// The demand, and the minions that could be released.
@@ -27,7 +27,7 @@
         let takeover_complete = self.is_takeover_complete(now);
         let average = AverageMinion::of(self.minions.values());
         for job in self.active_jobs.iter().filter_map(|id| self.jobs.get(id)) {
-            load.least = load.least.max(min_minions(job));
+            load.min_minions = load.min_minions.max(min_minions(job));
             if takeover_complete || !job.inherited {
                 let is_late = self.rank(job, now).class > 1;
                 load.waiting +=
@@ -41,7 +41,7 @@
             };
             let (working, lasting) = (millicores(false), millicores(true));
             load.working += working;
-            load.lasting += lasting;
+            load.long_running += lasting;
             load.minions += 1;
             let id = || minion.id.to_string();
             if minion.leaving {
--- a/crates/engine/src/cell/quota.rs
+++ b/crates/engine/src/cell/quota.rs
@@ -70,7 +70,7 @@
     /// Charges a run that is being started.
     pub(crate) fn charge_run(&mut self, charge: Option<Charge>) {
         if let Some(Charge { account, need }) = charge {
-            self.get_mut(account).start(&need);
+            self.get_mut(account).count_start(&need);
         }
     }
 
@@ -111,7 +111,7 @@
     ) {
         for (workspace, version, split) in splits {
             let id = self.accounts.get_or_open(&workspace, self.holder(), now);
-            self.accounts.get_mut(id).read(version, Some(split), now);
+            self.accounts.get_mut(id).apply_row(version, Some(split), now);
         }
     }
 
@@ -134,7 +134,7 @@
             .accounts
             .list
             .iter_mut()
-            .filter_map(|account| account.change(&room, now))
+            .filter_map(|account| account.next_change(&room, now))
             .take(MAX_CHANGES_PER_TRANSACTION)
             .collect();
         if !changes.is_empty() {
@@ -145,12 +145,12 @@
 
     /// Records that changes were written and gave their rows this version.
     pub fn record_split_changes(&mut self, changes: &[Change], version: u64, now: Time) {
-        self.for_each_change(changes, |account, change| account.written(change, version, now));
+        self.for_each_change(changes, |account, change| account.record_write(change, version, now));
     }
 
     /// Records that changes were certainly not written.
     pub fn discard_split_changes(&mut self, changes: &[Change]) {
-        self.for_each_change(changes, Account::refused);
+        self.for_each_change(changes, Account::record_refusal);
     }
 
     fn for_each_change(&mut self, changes: &[Change], work: impl Fn(&mut Account, &Change)) {
@@ -177,11 +177,11 @@
             return;
         }
         self.settle_accounts(now);
-        self.accounts.list.iter_mut().for_each(Account::begin);
+        self.accounts.list.iter_mut().for_each(Account::reset_counts);
         let first_own = self.next_run_number(0);
         for run in self.minions.values().flat_map(|minion| minion.runs.values()) {
             if let Some(Charge { account, need }) = run.charge {
-                self.accounts.get_mut(account).count(&need, run.number >= first_own);
+                self.accounts.get_mut(account).count_run(&need, run.number >= first_own);
             }
         }
     }
@@ -230,10 +230,10 @@
         let is_gang = job.accepted.definition.steps[name.step as usize].gang;
         let is_first = !job.held_back;
         let account = self.accounts.get_mut(id);
-        let is_larger = account.is_larger(unit);
+        let is_larger = account.exceeds_limit(unit);
         // A gang larger than the whole limit would take all of it and still not start.
         if !(is_gang && is_larger) {
-            account.want(unit, count);
+            account.record_wanted(unit, count);
         }
         if is_first {
             self.record_held_event(name, id, *unit, is_larger, now);
--- a/crates/engine/src/maintenance.rs
+++ b/crates/engine/src/maintenance.rs
@@ -1,9 +1,9 @@
-//! Waves of maintenance: which machines are emptied, and when each goes down.
+//! Maintenance waves: which machines are emptied, and when each goes down.
 //!
-//! A machine's maintenance ends all that runs on it at once, so it is emptied first: its cell's
-//! owner moves its lasting tasks within what they may miss and lets the others finish.  Machines
-//! that are off or rest go first; how many of the others are out of service at a time is for
-//! [`pace`].
+//! A machine's maintenance ends everything that runs on it at once, so it is emptied first: the
+//! owner of its cell moves its long-running tasks, within the number that may be unavailable, and
+//! lets the others finish.  Machines that are off or idle go first; [`pace`] limits how many of
+//! the others are out of service at a time.
 
 mod pace;
 
@@ -18,29 +18,32 @@
 pub struct Settings {
     /// How long a machine is down for its maintenance.
     pub duration: Duration,
-    /// Time after an order in which the list of machines may not show it yet: two reads of
-    /// the list.
+    /// How far the list of machines may lag behind an order: two reads of the list.
     pub list_lag: Duration,
-    /// Machines emptied ahead, beyond those that may be down at once.
-    pub ahead: usize,
+    /// Machines emptied in advance, beyond those that may be down at once.
+    pub extra_emptying: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Self { duration: Duration::from_secs(2), list_lag: Duration::from_millis(1500), ahead: 2 }
+        Self {
+            duration: Duration::from_secs(2),
+            list_lag: Duration::from_millis(1500),
+            extra_emptying: 2,
+        }
     }
 }
 
-/// What a machine does, by what its absence costs.
+/// What a machine does, ordered by the cost of taking it out of service.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Occupation {
-    /// It has no minion, or its pool does without it.
+    /// It has no minion, or its pool doesn't need it.
     #[default]
     Idle,
-    /// It works on tasks that end; thousandths of cores in use.
+    /// It runs only finite tasks; the millicores in use.
     Working(u64),
-    /// It has lasting tasks, which leave one after the other, or nobody tells what it does.
-    Lasting,
+    /// It has long-running tasks, which are moved one after the other, or its work is unknown.
+    LongRunning,
 }
 
 /// A machine as the platform lists it.
@@ -48,24 +51,24 @@
 pub struct Machine {
     /// The id of its minion, if it has one.
     pub minion: Option<String>,
-    /// Whether it serves or could.
+    /// Whether it is in service or ready for it.
     pub up: bool,
     /// Whether it is down for its maintenance.
     pub in_maintenance: bool,
-    /// What it does.
+    /// What it does, by the cost of taking it out of service.
     pub occupation: Occupation,
 }
 
-/// A wave that was asked for, with how far it is.
+/// A requested wave and its progress.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Wave {
     /// Its machines.
     pub machines: Vec<String>,
-    /// Most of them down at once.
+    /// How many of them may be down at once.
     pub at_once: usize,
-    /// Milliseconds in which the maintenance of all must have begun; 0 if none were told.
+    /// Milliseconds within which the maintenance of all machines must have begun; 0 if unspecified.
     pub window_ms: u64,
-    /// When a holder first saw it, by the time of day in milliseconds since 1970.
+    /// When a planner first saw it, in milliseconds since the Unix epoch.
     pub seen_ms: u64,
     /// Machines whose maintenance has begun.
     pub begun: BTreeSet<String>,
@@ -76,15 +79,15 @@
 impl Wave {
     fn window(&self, wall_ms: u64) -> Window {
         Window {
-            whole: Duration::from_millis(self.window_ms),
-            passed: Duration::from_millis(wall_ms.saturating_sub(self.seen_ms)),
+            total: Duration::from_millis(self.window_ms),
+            elapsed: Duration::from_millis(wall_ms.saturating_sub(self.seen_ms)),
         }
     }
 }
 
-/// What to do next.
+/// An action for the planner's caller to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum Action {
     /// Ask the owner of a machine's minion to empty it.
     Empty {
         /// The machine.
@@ -106,36 +109,36 @@
     },
 }
 
-/// All waves, in the hands of whoever carries the duty.
+/// Plans all waves; used by the one entry that runs the fleet controller.
 #[derive(Debug, Default)]
 pub struct Planner {
     settings: Settings,
     waves: BTreeMap<u64, Wave>,
-    /// When each machine's maintenance was last ordered by this holder.
-    ordered: BTreeMap<String, Time>,
-    /// Machines that this holder has asked to be emptied, and since when.
-    emptying: BTreeMap<String, Time>,
+    /// When this planner last ordered each machine's maintenance.
+    ordered_at: BTreeMap<String, Time>,
+    /// Machines that this planner asked to be emptied, with the time of the request.
+    emptying_since: BTreeMap<String, Time>,
     pace: Pace,
 }
 
-/// What a plan goes by.
-struct Seen<'a> {
+/// The input of one round of planning.
+struct Snapshot<'a> {
     machines: &'a BTreeMap<String, Machine>,
     /// Minions asked to be emptied.
     emptying: &'a BTreeSet<String>,
-    /// Those of them that are empty.
+    /// The subset of `emptying` that is empty.
     empty: &'a BTreeSet<String>,
     now: Time,
 }
 
-/// How far a wave is, for the log and for operators.
+/// Progress of a wave, for the log and for operators.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Extent {
+pub struct Progress {
     /// Machines whose maintenance has not begun.
     pub left: usize,
     /// Machines that are being emptied.
     pub emptying: usize,
-    /// Machines that are down, or may be.
+    /// Machines that are down or may be.
     pub down: usize,
 }
 
@@ -145,70 +148,76 @@
         Self { settings, ..Self::default() }
     }
 
-    /// Takes in a wave; one that is known stays as it is.
-    pub fn add(&mut self, number: u64, wave: Wave) {
+    /// Adds a wave; one that is already known is left unchanged.
+    pub fn add_wave(&mut self, number: u64, wave: Wave) {
         self.waves.entry(number).or_insert(wave);
     }
 
-    /// One wave.
+    /// The wave with this number.
     pub fn wave(&self, number: u64) -> Option<&Wave> {
         self.waves.get(&number)
     }
 
     /// The numbers of the waves that are not completed.
-    pub fn open(&self) -> impl Iterator<Item = u64> {
+    pub fn open_waves(&self) -> impl Iterator<Item = u64> {
         self.waves.iter().filter(|(_, wave)| !wave.completed).map(|(number, _)| *number)
     }
 
     /// Whether any wave is not completed.
-    pub fn is_busy(&self) -> bool {
-        self.open().next().is_some()
+    pub fn has_open_waves(&self) -> bool {
+        self.open_waves().next().is_some()
     }
 
-    /// Notes that a machine's maintenance was ordered, whether it is answered or not.
-    pub fn ordered(&mut self, machine: &str, now: Time) {
-        self.ordered.insert(machine.into(), now);
+    /// Records that a machine's maintenance was ordered, whether or not the order is answered.
+    pub fn record_order(&mut self, machine: &str, now: Time) {
+        self.ordered_at.insert(machine.into(), now);
     }
 
-    /// Notes that an order was refused before anything was done, so that it can be given again at once.
+    /// Records that an order was refused before it took effect, so it can be repeated at once.
     ///
-    /// Taken for one that may have been carried out, it kept its machine emptied and its place among
-    /// those that may be down for seconds; a rate limit hits dozens of machines at a time.
-    pub fn put_off(&mut self, machine: &str) {
-        self.ordered.remove(machine);
+    /// If it counted as possibly carried out, its machine would stay empty and occupy one of the
+    /// slots for machines that are down for seconds; a rate limit refuses dozens of orders at a
+    /// time.
+    pub fn record_refusal(&mut self, machine: &str) {
+        self.ordered_at.remove(machine);
     }
 
-    /// Notes that a machine's maintenance has begun.
-    pub fn begun(&mut self, number: u64, machine: &str) {
+    /// Records that a machine's maintenance has begun.
+    pub fn record_start(&mut self, number: u64, machine: &str) {
         if let Some(wave) = self.waves.get_mut(&number) {
             wave.begun.insert(machine.into());
         }
-        let asked = self.emptying.remove(machine);
-        if let (Some(asked), Some(ordered)) = (asked, self.ordered.get(machine)) {
+        let asked = self.emptying_since.remove(machine);
+        if let (Some(asked), Some(ordered)) = (asked, self.ordered_at.get(machine)) {
             self.pace.observe(ordered.since(asked));
         }
     }
 
-    /// Notes that a wave was reported as completed.
-    pub fn completed(&mut self, number: u64) {
+    /// Records that a wave was reported as completed.
+    pub fn record_completion(&mut self, number: u64) {
         if let Some(wave) = self.waves.get_mut(&number) {
             wave.completed = true;
         }
     }
 
-    /// Whether a machine must not go to another pool just now: it is about to go down.
+    /// Whether a machine was asked to empty and must not move to another pool.
     pub fn is_emptying(&self, machine: &str) -> bool {
-        self.emptying.contains_key(machine)
+        self.emptying_since.contains_key(machine)
     }
 
-    /// Notes that a machine could not be asked to empty, so that it is chosen again.
-    pub fn not_asked(&mut self, machine: &str) {
-        self.emptying.remove(machine);
+    /// Records that a machine could not be asked to empty, so that it can be chosen again.
+    pub fn cancel_emptying(&mut self, machine: &str) {
+        self.emptying_since.remove(machine);
     }
 
-    /// How far a wave is.
-    pub fn extent(&self, number: u64, machines: &BTreeMap<String, Machine>, now: Time) -> Extent {
-        let Some(wave) = self.waves.get(&number) else { return Extent::default() };
+    /// A wave's progress; the default if it is unknown.
+    pub fn progress(
+        &self,
+        number: u64,
+        machines: &BTreeMap<String, Machine>,
+        now: Time,
+    ) -> Progress {
+        let Some(wave) = self.waves.get(&number) else { return Progress::default() };
         let open = wave.machines.iter().filter(|name| !wave.begun.contains(*name));
         let listed = open.filter(|name| machines.contains_key(*name));
         let (mut left, mut emptying) = (0, 0);
@@ -216,14 +225,14 @@
             left += 1;
             emptying += usize::from(self.is_emptying(name));
         }
-        Extent { left, emptying, down: self.down(wave, machines, now) }
+        Progress { left, emptying, down: self.down_count(wave, machines, now) }
     }
 
-    /// What to do next.
+    /// Decides the next actions of all open waves.
     ///
-    /// `emptying` are minions asked to be emptied, `empty` those of them that are; `wall_ms` is the
-    /// time of day in milliseconds since 1970, by which a wave's window is reckoned, since it is kept
-    /// for the next holder.
+    /// `emptying` holds the minions asked to be emptied, `empty` those of them that are.  `wall_ms`
+    /// is the wall-clock time in milliseconds since the Unix epoch; a wave's window is measured by
+    /// it because the wave is stored for later planners on other machines.
     pub fn plan(
         &mut self,
         machines: &BTreeMap<String, Machine>,
@@ -231,124 +240,126 @@
         empty: &BTreeSet<String>,
         now: Time,
         wall_ms: u64,
-    ) -> Vec<Step> {
-        let seen = Seen { machines, emptying, empty, now };
-        let mut steps = Vec::new();
+    ) -> Vec<Action> {
+        let snapshot = Snapshot { machines, emptying, empty, now };
+        let mut actions = Vec::new();
         for (number, wave) in self.waves.iter().filter(|(_, wave)| !wave.completed) {
-            self.plan_wave(*number, wave, &seen, wall_ms, &mut steps);
+            self.plan_wave(*number, wave, &snapshot, wall_ms, &mut actions);
         }
-        for step in &steps {
-            if let Step::Empty { machine, .. } | Step::Begin { machine, .. } = step {
-                self.emptying.entry(machine.clone()).or_insert(now);
+        for action in &actions {
+            if let Action::Empty { machine, .. } | Action::Begin { machine, .. } = action {
+                self.emptying_since.entry(machine.clone()).or_insert(now);
             }
         }
-        steps
+        actions
     }
 
     fn plan_wave(
         &self,
         number: u64,
         wave: &Wave,
-        seen: &Seen<'_>,
+        snapshot: &Snapshot<'_>,
         wall_ms: u64,
-        steps: &mut Vec<Step>,
+        actions: &mut Vec<Action>,
     ) {
-        // One that the platform no longer has won't come back: nothing is owed for it.
+        // A machine that the platform no longer lists won't come back and needs no maintenance.
         let open = wave.machines.iter().filter(|name| !wave.begun.contains(*name));
-        let open = open.filter_map(|name| Some((name, seen.machines.get(name)?)));
+        let open = open.filter_map(|name| Some((name, snapshot.machines.get(name)?)));
         let open: Vec<(&String, &Machine)> = open.collect();
-        if open.is_empty() && !seen.machines.is_empty() {
-            steps.push(Step::Complete { wave: number });
+        if open.is_empty() && !snapshot.machines.is_empty() {
+            actions.push(Action::Complete { wave: number });
         }
-        let down = self.down(wave, seen.machines, seen.now);
+        let down = self.down_count(wave, snapshot.machines, snapshot.now);
         let mut room = wave.at_once.saturating_sub(down);
-        let mut under_way = down;
+        let mut in_use = down;
         let mut candidates = Vec::new();
         for (name, machine) in open.iter().filter(|(_, machine)| machine.up) {
             let minion = machine.minion.as_ref();
-            // Empty by chance isn't enough: the next task may be on its way there.
-            let ready = minion
-                .is_none_or(|minion| seen.emptying.contains(minion) && seen.empty.contains(minion));
-            if ready && room > 0 && !self.is_fresh(name, seen.now) {
+            // A minion that wasn't asked to empty can still be sent a task at any time.
+            let ready = minion.is_none_or(|minion| {
+                snapshot.emptying.contains(minion) && snapshot.empty.contains(minion)
+            });
+            if ready && room > 0 && !self.is_order_recent(name, snapshot.now) {
                 room -= 1;
-                under_way += 1;
-                steps.push(Step::Begin { machine: (*name).clone(), wave: number });
+                in_use += 1;
+                actions.push(Action::Begin { machine: (*name).clone(), wave: number });
             } else if let Some(minion) = minion {
-                if seen.emptying.contains(minion) {
-                    under_way += 1;
+                if snapshot.emptying.contains(minion) {
+                    in_use += 1;
                 } else {
                     candidates.push((machine.occupation, *name, minion));
                 }
             }
         }
-        let most = wave.at_once + self.settings.ahead;
+        let max = wave.at_once + self.settings.extra_emptying;
         let down_time = self.settings.duration + self.settings.list_lag;
-        let paced = self.pace.under_way(open.len(), wave.window(wall_ms), down_time);
+        let paced = self.pace.out_of_service_target(open.len(), wave.window(wall_ms), down_time);
         candidates.sort();
-        let places = Places { most, paced: paced.unwrap_or(most).min(most), under_way };
-        for (machine, minion) in places.fill(&candidates) {
-            steps.push(Step::Empty { machine: machine.into(), minion: minion.into() });
+        let slots = Slots { max, paced_max: paced.unwrap_or(max).min(max), in_use };
+        for (machine, minion) in slots.choose(&candidates) {
+            actions.push(Action::Empty { machine: machine.into(), minion: minion.into() });
         }
     }
 
-    /// Whether an order for a machine is too fresh for the list to show.
-    fn is_fresh(&self, machine: &str, now: Time) -> bool {
-        let fresh = self.settings.duration + self.settings.list_lag;
-        self.ordered.get(machine).is_some_and(|at| now.since(*at) < fresh)
+    /// Whether an order for a machine is too recent for the list to show its effect.
+    fn is_order_recent(&self, machine: &str, now: Time) -> bool {
+        let list_delay = self.settings.duration + self.settings.list_lag;
+        self.ordered_at.get(machine).is_some_and(|at| now.since(*at) < list_delay)
     }
 
-    /// Machines of a wave that are, or may be, down for it.
-    fn down(&self, wave: &Wave, machines: &BTreeMap<String, Machine>, now: Time) -> usize {
+    /// The number of a wave's machines that are, or may be, down.
+    fn down_count(&self, wave: &Wave, machines: &BTreeMap<String, Machine>, now: Time) -> usize {
         let down = |name: &&String| {
             let listed = machines.get(*name).is_some_and(|machine| machine.in_maintenance);
-            listed || self.is_fresh(name, now)
+            listed || self.is_order_recent(name, now)
         };
         wave.machines.iter().filter(down).count()
     }
 }
 
-/// Places for machines that are to be emptied.
-struct Places {
-    /// Most that may be emptying or down.
-    most: usize,
-    /// The same for machines whose absence costs something.
-    paced: usize,
-    /// Those that are.
-    under_way: usize,
+/// Slots for machines that are being emptied or down.
+struct Slots {
+    /// The number of slots.
+    max: usize,
+    /// The number of slots that machines which aren't idle may use.
+    paced_max: usize,
+    in_use: usize,
 }
 
-impl Places {
-    /// Chooses among candidates in the order of what their absence costs.
+impl Slots {
+    /// Chooses candidates, cheapest first.
     ///
-    /// Machines that idle go as far as is allowed.  Of the rest every other one has lasting tasks:
-    /// those leave within what their steps may miss, so they take long and must begin early, but all
-    /// places given to them would stand still together.
-    fn fill<'a>(
+    /// Idle machines may use all slots.  The rest alternate between machines with and without
+    /// long-running tasks: long-running tasks move only as far as their steps may have tasks
+    /// unavailable, so these machines take long to empty and must begin early, but if they had all
+    /// slots, the wave would make no progress meanwhile.
+    fn choose<'a>(
         mut self,
         candidates: &[(Occupation, &'a String, &'a String)],
     ) -> Vec<(&'a str, &'a str)> {
-        let of = |wanted: fn(Occupation) -> bool| {
+        let with_occupation = |wanted: fn(Occupation) -> bool| {
             candidates
                 .iter()
                 .filter(move |(occupation, ..)| wanted(*occupation))
                 .map(|(_, machine, minion)| (machine.as_str(), minion.as_str()))
         };
-        let free = self.most.saturating_sub(self.under_way);
-        let mut chosen: Vec<_> = of(|one| one == Occupation::Idle).take(free).collect();
-        self.under_way += chosen.len();
-        let mut lasting = of(|one| one == Occupation::Lasting);
-        let mut working = of(|one| matches!(one, Occupation::Working(_)));
-        let mut turn = false;
-        while self.under_way < self.paced {
-            turn = !turn;
-            let next = if turn {
-                lasting.next().or_else(|| working.next())
+        let free = self.max.saturating_sub(self.in_use);
+        let mut chosen: Vec<_> =
+            with_occupation(|one| one == Occupation::Idle).take(free).collect();
+        self.in_use += chosen.len();
+        let mut long_running = with_occupation(|one| one == Occupation::LongRunning);
+        let mut working = with_occupation(|one| matches!(one, Occupation::Working(_)));
+        let mut is_long_running_next = false;
+        while self.in_use < self.paced_max {
+            is_long_running_next = !is_long_running_next;
+            let next = if is_long_running_next {
+                long_running.next().or_else(|| working.next())
             } else {
-                working.next().or_else(|| lasting.next())
+                working.next().or_else(|| long_running.next())
             };
             let Some(next) = next else { break };
             chosen.push(next);
-            self.under_way += 1;
+            self.in_use += 1;
         }
         chosen
     }
--- a/crates/engine/src/maintenance/pace.rs
+++ b/crates/engine/src/maintenance/pace.rs
@@ -1,69 +1,74 @@
 //! How many machines of a wave are out of service at a time.
 //!
-//! The pattern it answers: a wave names half of the fleet and allows a fifth of it to be down at
-//! once, while callers take turns asking for more than all machines.  Emptied as fast as allowed, a
-//! fifth of the room is missing in the seconds that are worst anyway, and the rest of the window
-//! goes unused.  So a wave takes from working machines only as many at a time as bring it through
-//! its window, and more only as it falls behind.
+//! A wave may name half of the fleet and allow a fifth of it to be down at once, while the queues'
+//! peaks ask for more than all machines.  If machines were emptied as fast as allowed, a fifth of
+//! the capacity would be missing during the worst peaks, and the rest of the window would go
+//! unused.  So a wave takes only as many working machines at a time as it needs to finish within
+//! its window, and more only when it falls behind.
 
 use std::time::Duration;
 
-/// The part of a wave's window in which it should be through, in percent.  What is left is for
-/// machines that take long to empty and for an outage of the store of some seconds.
-const PLANNED_PERCENT: u32 = 75;
+/// The part of a wave's window in which it is planned to finish, in percent.  The rest is reserve
+/// for machines that take long to empty and for a store outage of some seconds.
+const PLANNED_WINDOW_PERCENT: u32 = 75;
 
-/// How long a machine takes to empty before any has been seen to: tasks at hand last about a second.
-const FIRST_GUESS: Duration = Duration::from_millis(1000);
+/// Assumed time for a machine to empty until one is observed: running tasks last about a second.
+const INITIAL_EMPTYING_TIME: Duration = Duration::from_millis(1000);
 
-/// The weight of one machine's time in the mean, as a divisor: a change of the load shows within the
-/// machines of one batch.
-const MEMORY: u32 = 8;
+/// Divisor for the weight of a new sample in the mean time to empty, so that the mean follows a
+/// change of the load within the machines of one batch.
+const EMPTYING_EWMA_DIVISOR: u32 = 8;
 
-/// The time that a wave has.
+/// The time window of a wave.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Window {
-    /// All of it; zero if none was told.
-    pub(crate) whole: Duration,
-    /// What has passed of it.
-    pub(crate) passed: Duration,
+    /// The whole window; zero if unspecified.
+    pub(crate) total: Duration,
+    pub(crate) elapsed: Duration,
 }
 
 impl Window {
-    /// What is left of the part in which the wave should be through.
-    fn left(&self) -> Duration {
-        (self.whole * PLANNED_PERCENT / 100).saturating_sub(self.passed)
+    /// What is left of the planned part of the window.
+    fn remaining(&self) -> Duration {
+        (self.total * PLANNED_WINDOW_PERCENT / 100).saturating_sub(self.elapsed)
     }
 }
 
-/// The pace of this holder's waves, learnt from the machines that it emptied.
+/// The pace of this planner's waves, measured on the machines that it emptied.
 #[derive(Debug)]
 pub(crate) struct Pace {
-    emptying: Duration,
+    mean_emptying: Duration,
 }
 
 impl Default for Pace {
     fn default() -> Self {
-        Self { emptying: FIRST_GUESS }
+        Self { mean_emptying: INITIAL_EMPTYING_TIME }
     }
 }
 
 impl Pace {
-    /// Takes in how long a machine took from being asked to empty until it went down.
-    pub(crate) fn observe(&mut self, took: Duration) {
-        self.emptying = (self.emptying * (MEMORY - 1) + took) / MEMORY;
+    /// Records how long a machine took from the request to empty until it went down.
+    pub(crate) fn observe(&mut self, duration: Duration) {
+        self.mean_emptying =
+            (self.mean_emptying * (EMPTYING_EWMA_DIVISOR - 1) + duration) / EMPTYING_EWMA_DIVISOR;
     }
 
-    /// How many machines should be emptying or down, of `left` whose maintenance has not begun;
-    /// each counts as down for `down`.  `None` when as many as allowed are needed.
-    pub(crate) fn under_way(&self, left: usize, window: Window, down: Duration) -> Option<usize> {
-        let cycle = self.emptying + down;
-        let time = window.left();
+    /// How many machines should be emptying or down when the maintenance of `left` machines has not
+    /// begun and each is down for `down`; `None` if as many as allowed are needed.
+    pub(crate) fn out_of_service_target(
+        &self,
+        left: usize,
+        window: Window,
+        down: Duration,
+    ) -> Option<usize> {
+        let cycle = self.mean_emptying + down;
+        let time = window.remaining();
         if time <= cycle {
             return None;
         }
-        // A machine must have begun by the end of the window, not be back: only its emptying counts
-        // against the time that is left.
-        let time = time - self.emptying;
+        // Maintenance must have begun, not ended, by the end of the window: only the time to empty
+        // a machine counts against the remaining time.
+        let time = time - self.mean_emptying;
         Some((left as f64 * cycle.as_secs_f64() / time.as_secs_f64()).ceil() as usize)
     }
 }
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -1,13 +1,12 @@
-//! Which machine moves to which pool.
+//! Decides which machines move between pools.
 //!
-//! The pattern it answers: the queues' demand rises by turns, each for some seconds to several
-//! times its mean and to more than its pool holds, while the other pools idle.  A machine that
-//! works through a turn's remainder earns some fifty times what its move costs (16 cores for
-//! 3 s are 48 core-seconds, worth about 4.5 at the users' prices; a move costs 0.1), so
-//! machines follow the demand, and only those are left where they are whose loss would hurt:
-//! with lasting tasks on them, due for maintenance, or needed by their own pool.
+//! The queues' demand peaks in turns: one queue at a time rises for some seconds to several times
+//! its mean, beyond the capacity of its pool, while the other pools are idle.  A machine that works
+//! off a backlog earns about fifty times the cost of its move (16 cores for 3 s are 48
+//! core-seconds, worth about 4.5 at the users' prices; a move costs 0.1).  So machines follow the
+//! demand, except those with long-running tasks, due for maintenance, or needed by their own pool.
 //!
-//! [`turns`] tells which pool's turn comes next, so that machines which idle are there before it.
+//! [`turns`] predicts which pool's turn comes next, so that idle machines can move there before it.
 
 mod turns;
 
@@ -19,61 +18,65 @@
 pub use turns::History;
 use turns::Turns;
 
-/// Machines kept beyond those that spread lasting tasks need, so that a task whose minion is lost
-/// finds another one at once and not after a move.
-const SPREAD_RESERVE: usize = 1;
+/// Machines kept beyond those over which long-running tasks are spread, so that a task whose minion
+/// is lost finds another one at once and not after a move.
+const SPREAD_RESERVE_MACHINES: usize = 1;
 
-/// In what time a pool should be able to work off what waits.  About the slack that jobs have within
-/// their objective (some 2 s), less the time that a move takes.
-pub const HORIZON: Duration = Duration::from_millis(1000);
+/// Time within which a pool should be able to work off its backlog: about the slack that jobs have
+/// within their latency objective (some 2 s), less the time that a move takes.
+pub const BACKLOG_HORIZON: Duration = Duration::from_millis(1000);
 
-/// Weights and limits.
+/// Limits of moves.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Machines that a pool keeps whatever its demand: one may fail.
-    pub least: usize,
-    /// A move that isn't ordered after this time is given up, and its machine used again.
-    pub patience: Duration,
-    /// A machine stays at least this long after it came: twice the time of a move.
-    pub stay: Duration,
-    /// Machines chosen for one pool at a time, or a third of it if that is more: a burst asks several
-    /// times what the pool holds.  At four looks a second this is to be all of the orders a second that
-    /// the platform takes.
-    pub at_once: usize,
+    /// Machines that a pool keeps whatever its demand, because one may fail.
+    pub min_machines: usize,
+    /// Time after which a move that has not been ordered is cancelled and its machine used again.
+    pub order_timeout: Duration,
+    /// Least time that a machine stays in a pool after it was ordered there: twice the time of a
+    /// move.
+    pub min_stay: Duration,
+    /// Machines chosen for one pool at a time, or a third of the pool if that is more, because a
+    /// burst asks for several times what the pool holds.  With four rounds of planning a second,
+    /// this should match the rate of orders that the platform accepts.
+    pub max_moves_per_pool: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            least: 2,
-            patience: Duration::from_millis(2500),
-            stay: Duration::from_millis(3000),
-            at_once: 16,
+            min_machines: 2,
+            order_timeout: Duration::from_millis(2500),
+            min_stay: Duration::from_millis(3000),
+            max_moves_per_pool: 16,
         }
     }
 }
 
-/// What an owner tells of its cell.
+/// The load of a cell as its owner reports it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Core-milliseconds of waiting tasks that could be worked on within [`HORIZON`].  Here and below
-    /// a task counts for the cores that it keeps from others, by its memory or accelerators if those
-    /// are scarcer.
+    /// Core-milliseconds of waiting tasks that could be done within [`BACKLOG_HORIZON`].  Here and
+    /// below a task counts for the cores that others can't use because of it, which its memory or
+    /// accelerators determine if those are scarcer.
     pub waiting: u64,
-    /// Thousandths of cores in use by tasks that end.
+    /// Millicores in use by finite tasks.
     pub working: u64,
-    /// Thousandths of cores in use by lasting tasks.
-    pub lasting: u64,
-    /// Thousandths of cores of a minion, on average.
+    /// Millicores in use by long-running tasks.
+    #[serde(rename = "lasting")]
+    pub long_running: u64,
+    /// Millicores of a minion, on average.
     pub minion_cpu: u64,
-    /// Minions without lasting tasks, and what is in use on each in thousandths of cores.
+    /// Minions without long-running tasks, with the millicores in use on each.
     pub free: Vec<(String, u64)>,
-    /// Minions that are to be emptied and are empty.
+    /// Minions that were asked to empty and are empty.
     pub empty: Vec<String>,
-    /// Minions that take work.
+    /// Minions that accept tasks.
     pub minions: usize,
-    /// Minions that the lasting tasks need so that no more of a step are together than allowed.
-    pub least: usize,
+    /// Least number of minions on which the long-running tasks keep within each step's limit per
+    /// minion.
+    #[serde(rename = "least")]
+    pub min_minions: usize,
 }
 
 /// A machine as the platform lists it.
@@ -83,9 +86,9 @@
     pub pool: String,
     /// The id of its minion, if it has one.
     pub minion: Option<String>,
-    /// Whether it serves or could.
+    /// Whether it is in service or ready for it.
     pub up: bool,
-    /// Whether it must stay where it is: due for maintenance, for one.
+    /// Whether it must stay in its pool, for example because it is due for maintenance.
     pub pinned: bool,
 }
 
@@ -93,18 +96,18 @@
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
-    /// Its new pool asks for more than it has.
+    /// The demand of its new pool exceeds the pool's capacity.
     Shortage,
-    /// Its new pool will, by the turns seen so far.
+    /// The demand of its new pool is expected to exceed it, by the turns observed so far.
     Ahead,
 }
 
-/// A move.
+/// A move of a machine to another pool.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Move {
     /// The machine.
     pub machine: String,
-    /// Its minion, to be emptied first.
+    /// Its minion, which is emptied first.
     pub minion: Option<String>,
     /// The pool that it leaves.
     pub from: String,
@@ -113,63 +116,63 @@
     /// Why.
     pub reason: Reason,
     /// When it was decided.
-    pub since: Time,
+    pub decided_at: Time,
 }
 
-/// What a pool asks for and has, for the log and for other duties.
+/// Demand and capacity of a pool, for the log and for maintenance.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Balance {
-    /// Cores that its tasks ask for, but for lasting ones.
-    pub asked: u64,
-    /// Cores in use by lasting tasks.
-    pub lasting: u64,
-    /// Machines in it that stay.
-    pub has: usize,
-    /// Machines that are to come.
-    pub on_their_way: usize,
+    /// Cores that its finite tasks ask for.
+    pub demand: u64,
+    /// Cores in use by long-running tasks.
+    pub long_running: u64,
+    /// Machines that are in it and aren't leaving.
+    pub present: usize,
+    /// Machines that are moving to it.
+    pub arriving: usize,
     /// Machines that it needs.
-    pub needs: usize,
+    pub needed: usize,
     /// Minions without any task.
     pub idle: usize,
 }
 
 impl Balance {
-    /// Machines that it can do without.
+    /// Machines beyond those that it needs.
     pub fn surplus(&self) -> usize {
-        (self.has + self.on_their_way).saturating_sub(self.needs)
+        (self.present + self.arriving).saturating_sub(self.needed)
     }
 }
 
-/// What one round of planning goes by, and what it has decided.
+/// Input and result of one round of planning.
 struct Round<'a> {
     machines: &'a BTreeMap<String, Machine>,
     loads: &'a BTreeMap<String, Load>,
     spare: Option<&'a str>,
     now: Time,
-    /// Machines that each pool can do without.
+    /// Machines of each pool beyond those that it needs.
     surplus: BTreeMap<&'a str, usize>,
     moves: Vec<Move>,
 }
 
 impl Round<'_> {
-    /// Whether the machine's pool can do without one more.
+    /// Whether the machine's pool has another machine to spare.
     fn can_spare(&self, machine: &str) -> bool {
         let pool = self.machines[machine].pool.as_str();
         self.spare == Some(pool) || self.surplus.get(pool).is_some_and(|left| *left > 0)
     }
 }
 
-/// A pool that needs more machines than it has.
-struct Lack<'a> {
+/// A pool with fewer machines than it needs.
+struct Shortfall<'a> {
     pool: &'a str,
-    have: usize,
-    need: usize,
+    present: usize,
+    needed: usize,
 }
 
-impl Lack<'_> {
-    /// How much it has of what it needs, in thousandths.
-    fn share(&self) -> usize {
-        self.have * 1000 / self.need.max(1)
+impl Shortfall<'_> {
+    /// The share of the needed machines that are present, in thousandths.
+    fn satisfied_permille(&self) -> usize {
+        self.present * 1000 / self.needed.max(1)
     }
 }
 
@@ -177,13 +180,12 @@
 #[derive(Debug, Default)]
 pub struct Planner {
     settings: Settings,
-    /// Moves that are decided and not ordered.
+    /// Moves that are decided but not yet ordered, by machine.
     pending: BTreeMap<String, Move>,
-    /// Machines on their way, with their pool and when they were ordered to it.
+    /// Machines on their way, with their new pool and the time of the order.
     arriving: BTreeMap<String, (String, Time)>,
-    /// When each machine came to its pool, and why.
-    came: BTreeMap<String, (Time, Reason)>,
-    /// Whose turn it is, and whose is next.
+    /// When each machine was last ordered to another pool, and why.
+    last_orders: BTreeMap<String, (Time, Reason)>,
     turns: Turns,
 }
 
@@ -193,75 +195,75 @@
         Self { settings, ..Self::default() }
     }
 
-    /// The turns seen so far, to be kept for the next holder of the duty.
+    /// The turns observed so far, to be stored for the next fleet controller.
     pub fn history(&self) -> &History {
         self.turns.history()
     }
 
-    /// Goes on from the turns that a former holder saw.
-    pub fn restore(&mut self, history: History) {
+    /// Continues from the turns that an earlier fleet controller observed.
+    pub fn restore_history(&mut self, history: History) {
         self.turns.restore(history);
     }
 
-    /// Goes on from a turn that a former holder saw begin.
+    /// Continues a turn whose beginning an earlier fleet controller observed.
     pub fn resume_turn(&mut self, began: Time) {
         self.turns.resume(began);
     }
 
-    /// Moves that are decided and not ordered.
+    /// Moves that are decided but not yet ordered.
     pub fn pending(&self) -> impl Iterator<Item = &Move> {
         self.pending.values()
     }
 
     /// Whether moves are under way.
-    pub fn is_busy(&self) -> bool {
+    pub fn has_moves_under_way(&self) -> bool {
         !self.pending.is_empty() || !self.arriving.is_empty()
     }
 
-    /// Whether a machine's move is decided and not ordered.
+    /// Whether a machine's move is decided but not yet ordered.
     pub fn is_pending(&self, machine: &str) -> bool {
         self.pending.contains_key(machine)
     }
 
     /// Whether a machine is about to move, or on its way.
-    pub fn is_underway(&self, machine: &str) -> bool {
+    pub fn is_moving(&self, machine: &str) -> bool {
         self.is_pending(machine) || self.arriving.contains_key(machine)
     }
 
-    /// Notes that a move was ordered.
-    pub fn ordered(&mut self, machine: &str, now: Time) {
+    /// Records that a move was ordered.
+    pub fn record_order(&mut self, machine: &str, now: Time) {
         if let Some(done) = self.pending.remove(machine) {
             self.arriving.insert(machine.into(), (done.to, now));
-            self.came.insert(machine.into(), (now, done.reason));
+            self.last_orders.insert(machine.into(), (now, done.reason));
         }
     }
 
-    /// Gives a move up.
-    pub fn abandon(&mut self, machine: &str) {
+    /// Cancels a move that has not been ordered.
+    pub fn cancel_move(&mut self, machine: &str) {
         self.pending.remove(machine);
     }
 
-    /// Moves that have waited too long, to be given up.
-    pub fn overdue(&self, now: Time) -> Vec<Move> {
-        let late = |plan: &&Move| now.since(plan.since) > self.settings.patience;
-        self.pending.values().filter(late).cloned().collect()
+    /// Moves that have waited too long to be ordered and should be cancelled.
+    pub fn overdue_moves(&self, now: Time) -> Vec<Move> {
+        let is_overdue = |plan: &&Move| now.since(plan.decided_at) > self.settings.order_timeout;
+        self.pending.values().filter(is_overdue).cloned().collect()
     }
 
-    /// What each pool asks for, has and needs.
+    /// The balance of each pool that has a load.
     pub fn balances(
         &self,
         machines: &BTreeMap<String, Machine>,
         loads: &BTreeMap<String, Load>,
     ) -> BTreeMap<String, Balance> {
         let balance = |(pool, load): (&String, &Load)| {
-            let on_their_way = self.arriving.values().filter(|(to, _)| to == pool).count()
+            let arriving = self.arriving.values().filter(|(to, _)| to == pool).count()
                 + self.pending.values().filter(|plan| plan.to == *pool).count();
             let balance = Balance {
-                asked: self.passing(load) / 1000,
-                lasting: load.lasting / 1000,
-                has: self.strength(pool, machines) - on_their_way,
-                on_their_way,
-                needs: self.need(load),
+                demand: self.finite_demand(load) / 1000,
+                long_running: load.long_running / 1000,
+                present: self.machine_count(pool, machines) - arriving,
+                arriving,
+                needed: self.machines_needed(load),
                 idle: load.free.iter().filter(|(_, cpu)| *cpu == 0).count(),
             };
             (pool.clone(), balance)
@@ -269,7 +271,7 @@
         loads.iter().map(balance).collect()
     }
 
-    /// Decides on further moves.  `spare` is the pool whose machines are off.
+    /// Decides on further moves.  `spare` is the pool of machines that are switched off.
     pub fn plan(
         &mut self,
         machines: &BTreeMap<String, Machine>,
@@ -277,23 +279,24 @@
         spare: Option<&str>,
         now: Time,
     ) -> Vec<Move> {
-        self.forget_arrived(machines, now);
-        let demands = loads.iter().map(|(pool, load)| (pool.as_str(), self.passing(load)));
+        self.remove_arrived(machines, now);
+        let demands = loads.iter().map(|(pool, load)| (pool.as_str(), self.finite_demand(load)));
         let machine = loads.values().map(|load| load.minion_cpu).max().unwrap_or(0);
         self.turns.observe(&demands.collect(), machine * machines.len() as u64, now);
         let mut surplus: BTreeMap<&str, usize> = BTreeMap::new();
-        let mut lacks = Vec::new();
+        let mut shortfalls = Vec::new();
         for (pool, load) in loads {
-            let (have, need) = (self.strength(pool, machines), self.need(load));
-            if need > have {
-                lacks.push(Lack { pool, have, need });
+            let (present, needed) =
+                (self.machine_count(pool, machines), self.machines_needed(load));
+            if needed > present {
+                shortfalls.push(Shortfall { pool, present, needed });
             } else {
-                surplus.insert(pool, have - need);
+                surplus.insert(pool, present - needed);
             }
         }
         let mut round = Round { machines, loads, spare, now, surplus, moves: Vec::new() };
-        self.fill(&mut round, lacks, Reason::Shortage);
-        self.prepare(&mut round);
+        self.fill_shortfalls(&mut round, shortfalls, Reason::Shortage);
+        self.plan_ahead(&mut round);
         let moves = round.moves;
         for plan in &moves {
             self.pending.insert(plan.machine.clone(), plan.clone());
@@ -301,81 +304,95 @@
         moves
     }
 
-    /// Sends machines that idle where the next demand is expected.  Machines that are off stay so:
-    /// they cost nothing until the demand is there.
-    fn prepare(&self, round: &mut Round<'_>) {
+    /// Moves idle machines to where the next demand is expected.  Machines that are off stay off,
+    /// since they cost nothing until the demand rises.
+    fn plan_ahead(&self, round: &mut Round<'_>) {
         let pools: Vec<&str> = round.loads.keys().map(String::as_str).collect();
         round.spare = None;
-        let mut lacks = Vec::new();
-        for (pool, cores) in self.turns.expected(&pools, round.now) {
+        let mut shortfalls = Vec::new();
+        for (pool, cores) in self.turns.expected_demand(&pools, round.now) {
             let Some((pool, load)) = round.loads.get_key_value(&pool) else { continue };
             let chosen = round.moves.iter().filter(|plan| plan.to == *pool).count();
-            let have = self.strength(pool, round.machines) + chosen;
-            let need = (cores + load.lasting).div_ceil(load.minion_cpu.max(1000)) as usize;
+            let present = self.machine_count(pool, round.machines) + chosen;
+            let needed = (cores + load.long_running).div_ceil(load.minion_cpu.max(1000)) as usize;
             if let Some(left) = round.surplus.get_mut(pool.as_str()) {
-                *left = (*left).min(have.saturating_sub(need));
+                *left = (*left).min(present.saturating_sub(needed));
             }
-            lacks.push(Lack { pool, have, need });
+            shortfalls.push(Shortfall { pool, present, needed });
         }
-        self.fill(round, lacks, Reason::Ahead);
+        self.fill_shortfalls(round, shortfalls, Reason::Ahead);
     }
 
-    /// Chooses machines to go to pools that lack some, one after the other to the pool that has least
+    /// Chooses machines for pools with a shortfall, each for the pool that has the smallest share
     /// of what it needs.
     ///
-    /// Given to the one that lacks most, all went to a pool with a large remainder from an outage, and
-    /// the callers of another one, whose turn had begun, waited for five seconds with two machines.
-    fn fill<'a>(&self, round: &mut Round<'a>, lacks: Vec<Lack<'a>>, reason: Reason) {
-        let mut lacks: Vec<(Lack<'_>, usize)> = lacks
+    /// If the largest shortfall came first, a pool with a large backlog from an outage would get
+    /// all machines: callers of another pool, whose turn had begun, waited five seconds with two
+    /// machines.
+    fn fill_shortfalls<'a>(
+        &self,
+        round: &mut Round<'a>,
+        shortfalls: Vec<Shortfall<'a>>,
+        reason: Reason,
+    ) {
+        let mut shortfalls: Vec<(Shortfall<'_>, usize)> = shortfalls
             .into_iter()
-            .map(|lack| {
-                let pending = self.pending.values().filter(|plan| plan.to == lack.pool).count();
-                let chosen = round.moves.iter().filter(|plan| plan.to == lack.pool).count();
-                let most = self.settings.at_once.max(self.strength(lack.pool, round.machines) / 3);
-                (lack, most.saturating_sub(pending + chosen))
+            .map(|shortfall| {
+                let pending =
+                    self.pending.values().filter(|plan| plan.to == shortfall.pool).count();
+                let chosen = round.moves.iter().filter(|plan| plan.to == shortfall.pool).count();
+                let max = self
+                    .settings
+                    .max_moves_per_pool
+                    .max(self.machine_count(shortfall.pool, round.machines) / 3);
+                (shortfall, max.saturating_sub(pending + chosen))
             })
             .collect();
-        // Sorted once: what a machine's move costs doesn't depend on where it goes, and a pool that can
-        // do without no more machines never can again in this round.
+        // Sorted once: the cost of a move doesn't depend on its destination, and a pool that has no
+        // more machines to spare won't have any again in this round.
         let mut candidates = self.candidates(round, reason);
         candidates.sort_unstable();
         let mut candidates = candidates.into_iter();
         loop {
-            lacks.retain(|(lack, room)| *room > 0 && lack.need > lack.have);
-            let Some((lack, room)) = lacks.iter_mut().min_by_key(|(lack, _)| lack.share()) else {
+            shortfalls
+                .retain(|(shortfall, room)| *room > 0 && shortfall.needed > shortfall.present);
+            let Some((shortfall, room)) =
+                shortfalls.iter_mut().min_by_key(|(shortfall, _)| shortfall.satisfied_permille())
+            else {
                 return;
             };
             let Some((_, machine)) = candidates.find(|(_, name)| round.can_spare(name)) else {
                 return;
             };
-            (lack.have, *room) = (lack.have + 1, *room - 1);
-            let seen = &round.machines[machine];
-            if let Some(left) = round.surplus.get_mut(seen.pool.as_str()) {
+            (shortfall.present, *room) = (shortfall.present + 1, *room - 1);
+            let source = &round.machines[machine];
+            if let Some(left) = round.surplus.get_mut(source.pool.as_str()) {
                 *left = left.saturating_sub(1);
             }
             round.moves.push(Move {
                 machine: machine.into(),
-                minion: seen.minion.clone(),
-                from: seen.pool.clone(),
-                to: lack.pool.into(),
+                minion: source.minion.clone(),
+                from: source.pool.clone(),
+                to: shortfall.pool.into(),
                 reason,
-                since: round.now,
+                decided_at: round.now,
             });
         }
     }
 
-    /// Machines that could be moved, with what they cost: first those without any work.
+    /// Machines that could be moved, with the cost of their moves; idle ones cost least.
     fn candidates<'a>(&self, round: &Round<'a>, reason: Reason) -> Vec<(u64, &'a str)> {
         let Round { machines, loads, spare, now, moves, .. } = round;
-        let taken: BTreeSet<&str> = moves.iter().map(|plan| plan.machine.as_str()).collect();
-        let settled = |name: &str| match self.came.get(name) {
-            // What came ahead of a demand that shows elsewhere has nothing to do here.
+        let chosen: BTreeSet<&str> = moves.iter().map(|plan| plan.machine.as_str()).collect();
+        let settled = |name: &str| match self.last_orders.get(name) {
+            // A machine that was moved ahead of demand isn't needed here if the demand rises
+            // elsewhere.
             Some((_, Reason::Ahead)) if reason == Reason::Shortage => true,
-            Some((came, _)) => now.since(*came) >= self.settings.stay,
+            Some((ordered_at, _)) => now.since(*ordered_at) >= self.settings.min_stay,
             None => true,
         };
         let free = |name: &str| {
-            !taken.contains(name)
+            !chosen.contains(name)
                 && !self.pending.contains_key(name)
                 && !self.arriving.contains_key(name)
                 && settled(name)
@@ -386,7 +403,8 @@
             .collect();
         let cost = |machine: &Machine| {
             if *spare == Some(machine.pool.as_str()) {
-                // Costs its time in a pool besides the move, so after machines that idle.
+                // Its time in a pool costs something besides the move, so it ranks after idle
+                // machines.
                 return Some(1);
             }
             in_use.get(machine.minion.as_deref()?).map(|cpu| 2 * cpu)
@@ -398,8 +416,8 @@
             .collect()
     }
 
-    /// Machines that a pool has or will have.
-    fn strength(&self, pool: &str, machines: &BTreeMap<String, Machine>) -> usize {
+    /// The number of machines that a pool has or will have.
+    fn machine_count(&self, pool: &str, machines: &BTreeMap<String, Machine>) -> usize {
         let leaves = |name: &str| self.pending.contains_key(name);
         let here = machines
             .iter()
@@ -415,27 +433,27 @@
         here + arriving + pending
     }
 
-    /// Thousandths of cores that a pool's tasks ask for, but for lasting ones.
-    fn passing(&self, load: &Load) -> u64 {
-        let horizon = HORIZON.as_millis() as u64;
+    /// Millicores that a pool's finite tasks ask for.
+    fn finite_demand(&self, load: &Load) -> u64 {
+        let horizon = BACKLOG_HORIZON.as_millis() as u64;
         load.working + load.waiting / horizon * 1000 + load.waiting % horizon * 1000 / horizon
     }
 
-    /// Machines that a pool needs.
-    fn need(&self, load: &Load) -> usize {
-        let cores = self.passing(load) + load.lasting;
+    /// The number of machines that a pool needs.
+    fn machines_needed(&self, load: &Load) -> usize {
+        let cores = self.finite_demand(load) + load.long_running;
         let machine = load.minion_cpu.max(1000);
-        let least = self.settings.least.max(load.least + SPREAD_RESERVE);
-        (cores.div_ceil(machine) as usize).max(least)
+        let min = self.settings.min_machines.max(load.min_minions + SPREAD_RESERVE_MACHINES);
+        (cores.div_ceil(machine) as usize).max(min)
     }
 
-    fn forget_arrived(&mut self, machines: &BTreeMap<String, Machine>, now: Time) {
-        let patience = self.settings.patience * 2;
+    fn remove_arrived(&mut self, machines: &BTreeMap<String, Machine>, now: Time) {
+        let timeout = self.settings.order_timeout * 2;
         self.arriving.retain(|name, (to, since)| {
             let there = machines.get(name).is_some_and(|machine| {
                 machine.pool == *to && machine.up && machine.minion.is_some()
             });
-            !there && now.since(*since) < patience
+            !there && now.since(*since) < timeout
         });
         self.pending.retain(|name, _| machines.get(name).is_some_and(|machine| machine.up));
     }
--- a/crates/engine/src/quota/account.rs
+++ b/crates/engine/src/quota/account.rs
@@ -1,4 +1,4 @@
-//! What a cell's owner knows and decides of one workspace.
+//! What a cell's owner knows and decides about one workspace's quota.
 
 use crate::job::Resources;
 use crate::quota::split::{Change, Claim, Limit, Share, Split, Target};
@@ -6,235 +6,246 @@
 use smallvec::SmallVec;
 use std::time::Duration;
 
-/// How long a share that isn't needed any more is kept, for work that comes back.
-const KEEP: Duration = Duration::from_millis(1000);
+/// How long an unneeded share is kept, in case demand returns.
+const IDLE_SHARE_RETENTION: Duration = Duration::from_millis(1000);
 
-/// How long the first limit of a workspace that had none is waited for to be split by what runs.
-const FIRST_COUNT: Duration = Duration::from_millis(2000);
+/// How long starts wait after a workspace gets its first limit, until the cells have written shares
+/// for what is already running.
+const FIRST_LIMIT_DELAY: Duration = Duration::from_millis(2000);
 
-/// Of what is free, the part taken in advance when a share is raised anyway.
-const AHEAD: u64 = 4;
+/// Divisor of the free resources: the part that is taken in advance when a share is raised.
+const ADVANCE_DIVISOR: u64 = 4;
 
-/// Time between two changes that only tell others that are short that it is their turn.
-const GIVE_PLACE: Duration = Duration::from_millis(200);
+/// Least time between two changes that only yield to cells that are short.
+const MIN_YIELD_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Least part of a limit that is worth a transaction to give back while nobody asks for it.
-const WORTH_RETURNING: u64 = 8;
+/// Divisor of the limit: the least part that is worth a transaction to return while no other cell
+/// asks for it.
+const MIN_RETURN_DIVISOR: u64 = 8;
 
-/// The same while others ask for it.
-const WORTH_GIVING: u64 = 32;
+/// Divisor of the limit: the least part that is worth a transaction to return while other cells ask
+/// for it.
+const MIN_YIELD_DIVISOR: u64 = 32;
 
-/// A change of a split that may still be carried out.
+/// A change of a split with an unknown outcome: it may still be committed.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
-    /// The version on whose condition it was sent.
+    /// The row version that it requires.
     version: u64,
-    /// This cell's share as it was written.
+    /// This cell's share in the change.
     share: Share,
-    /// The share that a former owner had before.
-    former: Resources,
+    /// The size of the former owner's share that the change replaces; zero if there is none.
+    former_size: Resources,
 }
 
-/// Who keeps an account.
+/// The owner of an account.
 #[derive(Clone, Debug, Default)]
 pub struct Holder {
-    /// The cell.
+    /// The name of its cell.
     pub cell: Box<str>,
-    /// Its owner's fencing token.
+    /// Its fencing token.
     pub token: u64,
 }
 
-/// What a cell's owner knows of one workspace.
+/// The state of one workspace's quota as known to a cell's owner.
 #[derive(Clone, Debug)]
 pub struct Account {
     /// The workspace.
     pub workspace: Box<str>,
     holder: Holder,
-    /// The limit in force here, and the configuration that it is of; none of nothing is allowed but one task at a
-    /// time.
+    /// The limit in force here, and the configuration that contains it.  The initial limit of zero
+    /// allows only one task at a time.
     limit: Limit,
     configuration: u64,
-    /// The configuration by which the limit last fell.
-    fell: u64,
-    /// Nothing is started before.
-    held_until: Time,
-    /// The split as last read, with its row's version, and when; none before the first read.
+    /// The configuration that last lowered the limit.
+    lowered_by: u64,
+    /// No task is started before this time.
+    starts_held_until: Time,
+    /// The split as last read, its row's version, and when that was last known to be current;
+    /// `None` before the first read.
     split: Split,
     version: u64,
-    read: Option<Time>,
+    confirmed_at: Option<Time>,
     pending: SmallVec<[Pending; 1]>,
-    /// What a former owner may have running where this one doesn't see it yet; none once all minions told.
-    former: Option<Resources>,
-    /// What this owner has running and what it took over.
-    own: Resources,
-    adopted: Resources,
-    /// What the last plan could not start for want of a share, and the smallest task of it.
-    wants: Resources,
-    smallest: Option<Resources>,
-    /// The same of the plan before.
-    smallest_before: Option<Resources>,
+    /// What a former owner's runs may use without being known here yet; `None` once all minions
+    /// have reported.
+    former_usage: Option<Resources>,
+    /// What the runs that this owner started use, and those that it adopted.
+    own_usage: Resources,
+    adopted_usage: Resources,
+    /// What the last plan could not start because the share was too small, and the smallest such
+    /// task.
+    wanted: Resources,
+    smallest_wanted: Option<Resources>,
+    /// The smallest such task of the plan before.
+    previous_smallest_wanted: Option<Resources>,
     /// Whether a task was started since this cell's share was last written.
-    started: bool,
-    /// When this cell's share was last to be written.
-    wrote: Time,
-    /// The most in use of late, and since when.
+    started_since_write: bool,
+    /// When a change of this cell's share was last issued.
+    last_write: Time,
+    /// The recent peak usage, and since when it applies.
     peak: Resources,
     peak_since: Time,
 }
 
 impl Account {
-    /// An account of a workspace of which nothing is known.
+    /// An account of a workspace about which nothing is known.
     ///
-    /// `settled` says that no former owner of the cell can have anything running that this one doesn't see.
+    /// `settled` states that no former owner of the cell can have runs that are unknown here.
     pub fn new(workspace: &str, holder: Holder, settled: bool, now: Time) -> Self {
         Self {
             workspace: workspace.into(),
             holder,
             limit: Limit::default(),
             configuration: 0,
-            fell: 0,
-            held_until: Time(0),
+            lowered_by: 0,
+            starts_held_until: Time(0),
             split: Split::default(),
             version: 0,
-            read: None,
+            confirmed_at: None,
             pending: SmallVec::new(),
-            former: (!settled).then(Resources::default),
-            own: Resources::default(),
-            adopted: Resources::default(),
-            wants: Resources::default(),
-            smallest: None,
-            smallest_before: None,
-            started: false,
-            wrote: Time(0),
+            former_usage: (!settled).then(Resources::default),
+            own_usage: Resources::default(),
+            adopted_usage: Resources::default(),
+            wanted: Resources::default(),
+            smallest_wanted: None,
+            previous_smallest_wanted: None,
+            started_since_write: false,
+            last_write: Time(0),
             peak: Resources::default(),
             peak_since: now,
         }
     }
 
-    /// Takes the limit of a configuration.
+    /// Applies the limit of a configuration; an older configuration is ignored.
     pub fn configure(&mut self, limit: Limit, configuration: u64, now: Time) {
         if configuration < self.configuration {
             return;
         }
         if !limit.0.holds(&self.limit.0) {
-            self.fell = configuration;
-            // Nothing was counted until now; the other cells write what they have running.
+            self.lowered_by = configuration;
+            // No usage was counted until now, so the other cells must first write shares for it.
             let was_unlimited = self.configuration > 0 && self.limit.is_unlimited();
-            self.held_until = if was_unlimited { now + FIRST_COUNT } else { self.held_until };
+            self.starts_held_until =
+                if was_unlimited { now + FIRST_LIMIT_DELAY } else { self.starts_held_until };
         }
         self.limit = limit;
         self.configuration = configuration;
     }
 
-    /// The limit that counts: of the configuration in force here and the one that the split was last written by,
-    /// the newer one's.
+    /// The effective limit: that of the configuration in force here or the one with which the split
+    /// was last written, whichever is newer.
     pub fn limit(&self) -> Limit {
         if self.split.configuration > self.configuration { self.split.limit } else { self.limit }
     }
 
-    /// Takes in the row; none where there is none.  Answers may overtake each other, so an older one is left.
-    pub fn read(&mut self, version: u64, split: Option<Split>, now: Time) {
+    /// Applies the row as read; `None` if there is no row.  Answers can arrive out of order, so an
+    /// older version is ignored.
+    pub fn apply_row(&mut self, version: u64, split: Option<Split>, now: Time) {
         if version < self.version {
             return;
         }
-        self.read = Some(now);
+        self.confirmed_at = Some(now);
         let before = std::mem::replace(&mut self.version, version);
         self.split = split.unwrap_or_default();
         if version == before {
             return;
         }
-        let mine = self.mine();
-        let is_done = |pending: &&Pending| pending.version == before && mine == Some(pending.share);
-        if let Some(former) = self.pending.iter().find(is_done).map(|pending| pending.former) {
-            self.take_over(former);
+        let own_share = self.own_share();
+        let is_done =
+            |pending: &&Pending| pending.version == before && own_share == Some(pending.share);
+        if let Some(former) = self.pending.iter().find(is_done).map(|pending| pending.former_size) {
+            self.adopt_former_share(former);
         }
         self.pending.retain(|pending| pending.version >= version);
     }
 
-    /// Notes that the row was certain to be as it is known at `now`.
+    /// Records that the known row was certainly current at `now`.
     pub fn confirm(&mut self, now: Time) {
-        self.read = Some(now);
+        self.confirmed_at = Some(now);
     }
 
-    /// Notes that a change of this owner's was carried out and gave the row this version.
-    pub fn written(&mut self, change: &Change, version: u64, now: Time) {
+    /// Records that a change by this owner was committed and gave the row this version.
+    pub fn record_write(&mut self, change: &Change, version: u64, now: Time) {
         if version > self.version {
-            self.read(version, Some(change.split.clone()), now);
+            self.apply_row(version, Some(change.split.clone()), now);
         }
     }
 
-    /// Notes that a change was certainly not carried out.
-    pub fn refused(&mut self, change: &Change) {
+    /// Records that a change was certainly not committed.
+    pub fn record_refusal(&mut self, change: &Change) {
         self.pending.retain(|pending| pending.version != change.version);
     }
 
-    fn take_over(&mut self, former: Resources) {
-        if let Some(known) = &mut self.former {
+    fn adopt_former_share(&mut self, former: Resources) {
+        if let Some(known) = &mut self.former_usage {
             *known = known.max(&former);
         }
     }
 
-    /// Notes that all that a former owner started is seen or over.
+    /// Records that all runs of former owners are known here or have ended.
     pub fn settle(&mut self) {
-        self.former = None;
+        self.former_usage = None;
     }
 
-    /// Forgets what runs and what is wanted, before both are counted anew.
-    pub fn begin(&mut self) {
-        self.own = Resources::default();
-        self.adopted = Resources::default();
-        self.wants = Resources::default();
-        self.smallest_before = self.smallest.take();
+    /// Resets usage and wanted resources before both are counted again.
+    pub fn reset_counts(&mut self) {
+        self.own_usage = Resources::default();
+        self.adopted_usage = Resources::default();
+        self.wanted = Resources::default();
+        self.previous_smallest_wanted = self.smallest_wanted.take();
     }
 
-    /// Counts a run; `own` if this owner ordered it.
-    pub fn count(&mut self, need: &Resources, own: bool) {
-        let sum = if own { &mut self.own } else { &mut self.adopted };
+    /// Counts a run; `own` if this owner started it.
+    pub fn count_run(&mut self, need: &Resources, own: bool) {
+        let sum = if own { &mut self.own_usage } else { &mut self.adopted_usage };
         *sum = sum.plus(need);
     }
 
-    /// Counts a run that is ordered now.
-    pub fn start(&mut self, need: &Resources) {
-        self.count(need, true);
-        self.started = true;
+    /// Counts a run that is being started.
+    pub fn count_start(&mut self, need: &Resources) {
+        self.count_run(need, true);
+        self.started_since_write = true;
     }
 
-    /// All that may be running in this cell.
+    /// The resources that runs in this cell may be using.
     ///
-    /// Until all minions have told, a former owner's runs are taken to fill its whole share; those seen already are
-    /// among them.
+    /// Until all minions have reported, a former owner's runs are assumed to use its whole share,
+    /// which includes the runs that are known already.
     pub fn in_use(&self) -> Resources {
-        match &self.former {
-            Some(former) => self.own.plus(&former.max(&self.adopted)),
-            None => self.own.plus(&self.adopted),
+        match &self.former_usage {
+            Some(former) => self.own_usage.plus(&former.max(&self.adopted_usage)),
+            None => self.own_usage.plus(&self.adopted_usage),
         }
     }
 
-    /// This cell's share, if its present owner has written it.
-    fn mine(&self) -> Option<Share> {
+    /// This cell's share, if its current owner has written it.
+    fn own_share(&self) -> Option<Share> {
         let share = self.split.shares.get(&self.holder.cell)?;
         (share.token == self.holder.token).then_some(*share)
     }
 
-    /// The size of this cell's share that certainly holds: a change that may still be carried out can lower it.
-    fn size(&self) -> Resources {
-        let size = self.mine().map(|share| share.size).unwrap_or_default();
+    /// The size of this cell's share that is certainly granted: a change that may still be
+    /// committed can lower it.
+    fn confirmed_size(&self) -> Resources {
+        let size = self.own_share().map(|share| share.size).unwrap_or_default();
         let pending = self.pending.iter().filter(|pending| pending.version == self.version);
         pending.fold(size, |size, pending| size.min(&pending.share.size))
     }
 
-    /// What this cell may have running while others ask for more than they have; none while nobody does.
+    /// The resources that this cell may use while other cells are short; `None` while none is.
     ///
-    /// Each that is short gets an equal part of the limit, and at least what its next task takes, in the order in
-    /// which they last started something.  Those for which not enough is left start nothing, so that a large task
-    /// isn't kept waiting by smaller ones for ever, nor all of them by parts that are too small for any.
+    /// Each short cell gets an equal part of the limit, and at least what its next task needs.
+    /// Cells that have started no task for longest come first.  Cells for which not enough is left
+    /// start nothing, so that smaller tasks don't starve a large one, and parts too small for any
+    /// task don't block all.
     fn target(&self) -> Option<Target> {
         let cell = &self.holder.cell;
         let mut claims = self.split.other_claims(cell);
         if claims.is_empty() {
             return None;
         }
-        claims.push(self.claim());
+        claims.push(self.own_claim());
         claims.sort_by_key(|claim| (claim.since, claim.cell));
         let limit = self.limit().0;
         let fair = limit.divided_by(claims.len() as u64);
@@ -242,7 +253,7 @@
         for (place, claim) in claims.iter().enumerate() {
             let is_mine = *claim.cell == **cell;
             if !limit.holds(&claim.least) {
-                // It needs the whole limit to itself, and gets it when it is the first.
+                // Its task needs the whole limit and gets it when the claim is first.
                 match (place, is_mine) {
                     (0, true) => return Some(Target { size: claim.least, is_first: true }),
                     (0, false) | (_, true) => return Some(Target::default()),
@@ -260,87 +271,89 @@
         None
     }
 
-    /// This cell's own claim; one that is not short comes last.
-    fn claim(&self) -> Claim<'_> {
+    /// This cell's own claim; it comes last if the cell is not short.
+    fn own_claim(&self) -> Claim<'_> {
         let cell = &self.holder.cell;
         let Share { size, since, wanted, least, .. } = self.split.share(cell);
         let in_use = self.in_use();
-        // While a plan is made, what waits is known from the one before.
-        let smallest = self.smallest.or(self.smallest_before);
+        // While a plan is being made, the waiting tasks are those of the previous plan.
+        let smallest = self.smallest_wanted.or(self.previous_smallest_wanted);
         match smallest {
             _ if !size.holds(&wanted) => {
                 let least = smallest.map_or(least, |smallest| in_use.plus(&smallest));
-                Claim { since, cell, wanted: wanted.max(&in_use.plus(&self.wants)), least }
+                Claim { since, cell, wanted: wanted.max(&in_use.plus(&self.wanted)), least }
             }
             Some(smallest) => Claim {
                 since: if since > 0 { since } else { self.version },
                 cell,
-                wanted: in_use.plus(&self.wants),
+                wanted: in_use.plus(&self.wanted),
                 least: in_use.plus(&smallest),
             },
             None => Claim { since: u64::MAX, cell, wanted: size, least: Resources::default() },
         }
     }
 
-    /// Whether the shares are more than the limit, as after the limit fell.
-    fn is_exceeded(&self) -> bool {
-        let others = self.split.others(&self.holder.cell);
-        let mine = self.split.share(&self.holder.cell).size;
-        !self.limit().0.holds(&others.plus(&mine))
+    /// Whether the sum of all shares exceeds the limit, as after the limit was lowered.
+    fn is_limit_exceeded(&self) -> bool {
+        let others = self.split.others_total(&self.holder.cell);
+        let own_share = self.split.share(&self.holder.cell).size;
+        !self.limit().0.holds(&others.plus(&own_share))
     }
 
-    /// Whether the split was written since the limit last fell.
+    /// Whether the split was written since the limit was last lowered.
     ///
-    /// Until then an owner that hasn't heard of it may raise its share by the former limit.  Once it is written by
-    /// the new configuration nobody can.
-    fn is_current(&self) -> bool {
-        self.split.configuration >= self.fell
+    /// Until then an owner that doesn't know the new limit may raise its share up to the former
+    /// one.  After a write with the new configuration none can.
+    fn is_split_current(&self) -> bool {
+        self.split.configuration >= self.lowered_by
     }
 
-    /// Whether so many tasks may be started together now.
+    /// Whether `count` tasks may be started together now.
     pub fn may_start(&self, need: &Resources, count: u64, now: Time) -> bool {
         if self.limit().is_unlimited() {
             return true;
         }
-        if !self.is_current() || now < self.held_until {
+        if !self.is_split_current() || now < self.starts_held_until {
             return false;
         }
         if count == 1 && self.may_start_alone(need) {
             return true;
         }
-        let size = self.size();
+        let size = self.confirmed_size();
         let size = self.target().map_or(size, |target| size.min(&target.size));
-        !self.is_exceeded() && size.holds(&self.in_use().plus(&need.times(count)))
+        !self.is_limit_exceeded() && size.holds(&self.in_use().plus(&need.times(count)))
     }
 
-    /// Whether a task that is larger than the whole limit may run because nothing else of its workspace does.
+    /// Whether a task that exceeds the whole limit may run because nothing else of its workspace
+    /// runs.
     fn may_start_alone(&self, need: &Resources) -> bool {
-        let is_alone = self.split.others(&self.holder.cell).is_zero() && self.in_use().is_zero();
-        is_alone && self.is_larger(need) && self.size().holds(need)
+        let is_alone =
+            self.split.others_total(&self.holder.cell).is_zero() && self.in_use().is_zero();
+        is_alone && self.exceeds_limit(need) && self.confirmed_size().holds(need)
     }
 
     /// Whether a task needs more than the whole limit.
-    pub fn is_larger(&self, need: &Resources) -> bool {
+    pub fn exceeds_limit(&self, need: &Resources) -> bool {
         !self.limit().0.holds(need)
     }
 
-    /// Notes that tasks can't be started for want of a share.
-    pub fn want(&mut self, need: &Resources, count: u64) {
-        self.wants = self.wants.plus(&need.times(count));
-        let smallest = self.smallest.map_or(*need, |smallest| smallest.min(need));
-        self.smallest = Some(smallest);
+    /// Records tasks that can't be started because the share is too small.
+    pub fn record_wanted(&mut self, need: &Resources, count: u64) {
+        self.wanted = self.wanted.plus(&need.times(count));
+        let smallest = self.smallest_wanted.map_or(*need, |smallest| smallest.min(need));
+        self.smallest_wanted = Some(smallest);
     }
 
-    /// How the split should change now; none if it is right as far as known.
+    /// The change of the split that is due now, if any.
     ///
-    /// `room` is what the cell's minions have free: more isn't asked for.
-    pub fn change(&mut self, room: &Resources, now: Time) -> Option<Change> {
-        self.note_peak(now);
-        if self.limit().is_unlimited() || self.read.is_none() {
+    /// `room` is what is free on the cell's minions; no more than that is requested.
+    pub fn next_change(&mut self, room: &Resources, now: Time) -> Option<Change> {
+        self.update_peak(now);
+        if self.limit().is_unlimited() || self.confirmed_at.is_none() {
             return None;
         }
         let known = self.split.share(&self.holder.cell);
-        // A successor has taken the cell over, and this owner hasn't heard of it.
+        // Another owner has taken the cell over, which this one hasn't noticed.
         if known.token > self.holder.token {
             return None;
         }
@@ -353,28 +366,30 @@
             (self.configuration.max(split.configuration), self.limit());
         split.shares.insert(self.holder.cell.clone(), next);
         let change = Change { workspace: self.workspace.clone(), version: self.version, split };
-        let former = if self.mine().is_none() { known.size } else { Resources::default() };
-        self.pending.push(Pending { version: self.version, share: next, former });
-        (self.started, self.wrote) = (false, now);
+        let former_size =
+            if self.own_share().is_none() { known.size } else { Resources::default() };
+        self.pending.push(Pending { version: self.version, share: next, former_size });
+        (self.started_since_write, self.last_write) = (false, now);
         Some(change)
     }
 
     fn next_share(&self, known: &Share, room: &Resources, now: Time) -> Share {
         let size = self.next_size(known.size, room, now);
         let in_use = self.in_use();
-        let demand = in_use.plus(&self.wants.min(room));
+        let demand = in_use.plus(&self.wanted.min(room));
         let share = Share { token: self.holder.token, size, ..Share::default() };
-        let Some(smallest) = self.smallest else { return share };
-        // Its place is kept until something is started, also once the size is enough: without it the size would go
-        // to the next one before that.
-        let since = if known.since > 0 && !self.started { known.since } else { self.version };
+        let Some(smallest) = self.smallest_wanted else { return share };
+        // The cell keeps its position until it starts a task, even if the size is sufficient:
+        // otherwise the next cell would get the size before the start.
+        let since =
+            if known.since > 0 && !self.started_since_write { known.since } else { self.version };
         let wanted = if size.holds(&demand) { Resources::default() } else { demand };
         Share { wanted, least: in_use.plus(&smallest), since, ..share }
     }
 
-    fn note_peak(&mut self, now: Time) {
+    fn update_peak(&mut self, now: Time) {
         let in_use = self.in_use();
-        if now.since(self.peak_since) > KEEP || !self.peak.holds(&in_use) {
+        if now.since(self.peak_since) > IDLE_SHARE_RETENTION || !self.peak.holds(&in_use) {
             self.peak = in_use;
             self.peak_since = now;
         }
@@ -383,106 +398,113 @@
     /// The size that this cell's share should have.
     fn next_size(&self, known: Resources, room: &Resources, now: Time) -> Resources {
         let limit = self.limit().0;
-        let others = self.split.others(&self.holder.cell);
+        let others = self.split.others_total(&self.holder.cell);
         let in_use = self.in_use();
-        // What a former owner may have running keeps its share until it is seen.
-        let least = match self.mine() {
-            None if self.former.is_some() => self.own.plus(&known.max(&self.adopted)),
+        // Runs that a former owner may have keep its share in use until they are known.
+        let least = match self.own_share() {
+            None if self.former_usage.is_some() => {
+                self.own_usage.plus(&known.max(&self.adopted_usage))
+            }
             _ => in_use,
         };
         let free = limit.minus(&others);
-        let demand = least.plus(&self.wants.min(room));
+        let demand = least.plus(&self.wanted.min(room));
         let target = self.target();
-        if target.is_some() || self.is_exceeded() {
+        if target.is_some() || self.is_limit_exceeded() {
             let bound = target.map_or(free, |target| target.size.min(&free));
-            let starts = self.smallest.is_none_or(|need| bound.holds(&least.plus(&need)));
-            // Parts in which no task fits would keep each other from growing.
+            let starts = self.smallest_wanted.is_none_or(|need| bound.holds(&least.plus(&need)));
+            // Parts too small for any task would prevent each other from growing.
             let keeps = starts || target.is_none_or(|target| target.is_first);
             let shared = if keeps { least.max(&demand.min(&bound)) } else { least };
-            return self.alone(&others, &least).unwrap_or(shared);
+            return self.exclusive_size(&others, &least).unwrap_or(shared);
         }
-        if self.smallest.is_some() && !known.holds(&demand) {
-            let ahead = free.minus(&demand).divided_by(AHEAD);
+        if self.smallest_wanted.is_some() && !known.holds(&demand) {
+            let ahead = free.minus(&demand).divided_by(ADVANCE_DIVISOR);
             let raised = least.max(&demand.plus(&ahead).min(&free)).max(&known);
-            return self.alone(&others, &least).unwrap_or(raised);
+            return self.exclusive_size(&others, &least).unwrap_or(raised);
         }
-        self.returned(known, least, now)
+        self.size_after_return(known, least, now)
     }
 
-    /// The size for a task that is larger than the whole limit, when its turn has come and nothing else runs.
-    fn alone(&self, others: &Resources, least: &Resources) -> Option<Resources> {
-        let smallest = self.smallest.filter(|need| self.is_larger(need))?;
+    /// The size for a task that exceeds the whole limit, if its claim is first and nothing else
+    /// runs.
+    fn exclusive_size(&self, others: &Resources, least: &Resources) -> Option<Resources> {
+        let smallest = self.smallest_wanted.filter(|need| self.exceeds_limit(need))?;
         let is_first = self.target().is_none_or(|target| target.size.holds(&smallest));
         (is_first && others.is_zero() && least.is_zero()).then_some(smallest)
     }
 
-    /// What to keep of a share for which nobody else asks.
-    fn returned(&self, known: Resources, least: Resources, now: Time) -> Resources {
+    /// The size of a share after returning what isn't needed, while no other cell is short.
+    fn size_after_return(&self, known: Resources, least: Resources, now: Time) -> Resources {
         let cells = self.split.shares.len().max(1) as u64;
         let base = self.limit().0.divided_by(2 * cells);
         let kept = known.min(&least.max(&self.peak).max(&base));
-        let idle = now.since(self.peak_since) >= KEEP / 2;
-        let is_worth = self.is_much(&known.minus(&kept), WORTH_RETURNING);
+        let idle = now.since(self.peak_since) >= IDLE_SHARE_RETENTION / 2;
+        let is_worth = self.exceeds_limit_part(&known.minus(&kept), MIN_RETURN_DIVISOR);
         if idle && is_worth { kept } else { known.max(&least) }
     }
 
     fn is_worth_writing(&self, known: &Share, next: &Share, now: Time) -> bool {
-        // A change without an answer counts as it is worse for this cell until another one settles what became of it.
+        // An unanswered change counts with its worse outcome for this cell until a later change
+        // settles it.
         let is_unsettled = self.pending.iter().any(|pending| pending.version == self.version);
-        if is_unsettled || !self.is_current() && !self.split.shares.is_empty() {
+        if is_unsettled || !self.is_split_current() && !self.split.shares.is_empty() {
             return true;
         }
-        if self.mine().is_none() {
+        if self.own_share().is_none() {
             return !next.size.is_zero() || !next.wanted.is_zero() || !known.size.is_zero();
         }
         let asks_anew = next.wanted.is_zero() != known.wanted.is_zero()
             || !known.wanted.times(2).holds(&next.wanted)
             || !known.least.times(2).holds(&next.least)
-            || self.is_larger(&known.least) != self.is_larger(&next.least);
+            || self.exceeds_limit(&known.least) != self.exceeds_limit(&next.least);
         let is_useful = if known.size.holds(&next.size) {
             let given = known.size.minus(&next.size);
             let is_asked = !self.split.other_claims(&self.holder.cell).is_empty();
-            let is_time = is_asked && now.since(self.wrote) >= GIVE_PLACE;
-            self.is_much(&given, WORTH_GIVING) || is_time && !given.is_zero()
+            let is_time = is_asked && now.since(self.last_write) >= MIN_YIELD_INTERVAL;
+            self.exceeds_limit_part(&given, MIN_YIELD_DIVISOR) || is_time && !given.is_zero()
         } else {
-            let needed = self.in_use().plus(&self.smallest.unwrap_or_default());
+            let needed = self.in_use().plus(&self.smallest_wanted.unwrap_or_default());
             next.size.holds(&needed)
         };
-        is_useful || asks_anew || self.must_give_place(known, now)
+        is_useful || asks_anew || self.must_yield(known, now)
     }
 
-    /// Whether others that are short have to learn that this cell has started something meanwhile.
-    fn must_give_place(&self, known: &Share, now: Time) -> bool {
-        let has_place = known.is_short() && self.started && now.since(self.wrote) >= GIVE_PLACE;
+    /// Whether the share must be written because this cell has started a task and short cells now
+    /// precede it.
+    fn must_yield(&self, known: &Share, now: Time) -> bool {
+        let has_place = known.is_short()
+            && self.started_since_write
+            && now.since(self.last_write) >= MIN_YIELD_INTERVAL;
         has_place && !self.split.other_claims(&self.holder.cell).is_empty()
     }
 
-    /// Whether an amount is more than a part of the limit in any resource.
-    fn is_much(&self, amount: &Resources, part: u64) -> bool {
-        let least = self.limit().0.divided_by(part);
-        amount.cpu > least.cpu || amount.memory_mb > least.memory_mb || amount.gpu > least.gpu
+    /// Whether an amount exceeds the limit divided by `divisor` in any resource.
+    fn exceeds_limit_part(&self, amount: &Resources, divisor: u64) -> bool {
+        let min = self.limit().0.divided_by(divisor);
+        amount.cpu > min.cpu || amount.memory_mb > min.memory_mb || amount.gpu > min.gpu
     }
 
-    /// What is known, for logs and operators.
+    /// A summary for logs and operators.
     pub fn summary(&self, now: Time) -> Summary {
         Summary {
             limit: self.limit(),
-            share: self.size(),
+            share: self.confirmed_size(),
             used: self.in_use(),
-            age: self.read.map(|read| now.since(read)),
+            age: self.confirmed_at.map(|read| now.since(read)),
         }
     }
 }
 
-/// An account at a moment.
+/// A snapshot of an account.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Summary {
     /// The workspace's limit.
     pub limit: Limit,
     /// This cell's share of it.
     pub share: Resources,
-    /// What may be running in this cell.
+    /// What runs in this cell may be using.
     pub used: Resources,
-    /// How old the knowledge of the split is; none if it was never read.
+    /// The age of the known split; `None` if it was never read.
     pub age: Option<Duration>,
 }
--- a/crates/engine/tests/all/pools.rs
+++ b/crates/engine/tests/all/pools.rs
@@ -1,4 +1,4 @@
-//! Machines follow the demand.
+//! Moves of machines between pools.
 
 use celerythread_engine::pools::{Load, Machine, Move, Planner, Settings};
 use celerythread_engine::time::Time;
@@ -38,16 +38,16 @@
 
 /// One queue asks for 240 cores of 144 while the other asks for nothing.
 #[test]
-fn a_burst_gets_the_machines_that_idle_before_spare_ones() {
+fn a_burst_gets_idle_machines_before_spare_ones() {
     let mut planner = Planner::new(Settings::default());
     let moves = planner.plan(&machines(), &loads(240, 0), Some("spare"), Time(0));
     assert!(moves.iter().all(|plan| plan.to == "a"), "{moves:?}");
     let idle = moves.iter().filter(|plan| plan.from == "b").count();
-    assert_eq!(idle, 6, "all that pool a misses comes from pool b");
+    assert_eq!(idle, 6, "all machines that pool a lacks come from pool b");
 }
 
 #[test]
-fn spare_machines_help_when_none_idles() {
+fn spare_machines_move_when_none_is_idle() {
     let mut planner = Planner::new(Settings::default());
     let moves = planner.plan(&machines(), &loads(200, 200), Some("spare"), Time(0));
     assert_eq!(moves.iter().filter(|plan| plan.from == "spare").count(), 2);
@@ -55,18 +55,19 @@
 }
 
 #[test]
-fn what_is_under_way_counts() {
+fn pending_and_arriving_machines_count() {
     let mut planner = Planner::new(Settings::default());
     let first = planner.plan(&machines(), &loads(240, 0), Some("spare"), Time(0));
     assert!(!first.is_empty());
     assert!(planner.plan(&machines(), &loads(240, 0), Some("spare"), Time(100)).is_empty());
     for plan in &first {
-        planner.ordered(&plan.machine, Time(200));
+        planner.record_order(&plan.machine, Time(200));
     }
     assert!(planner.plan(&machines(), &loads(240, 0), Some("spare"), Time(300)).is_empty());
 }
 
-/// A minion with a lasting task isn't among the free ones, and one due for maintenance is pinned.
+/// A minion with a long-running task isn't among the free ones, and one due for maintenance is
+/// pinned.
 #[test]
 fn machines_that_must_stay_are_not_moved() {
     let mut planner = Planner::new(Settings::default());
@@ -80,14 +81,14 @@
     assert_eq!(moves, Vec::<Move>::new());
 }
 
-/// Two queues that burst in turn must not make machines change back and forth before they have
-/// worked.
+/// Two queues with alternating bursts must not make machines move back and forth before they have
+/// run any tasks.
 #[test]
 fn a_machine_stays_for_a_while() {
     let mut planner = Planner::new(Settings::default());
     let mut machines = machines();
     for plan in planner.plan(&machines, &loads(240, 0), None, Time(0)) {
-        planner.ordered(&plan.machine, Time(0));
+        planner.record_order(&plan.machine, Time(0));
         machines.get_mut(&plan.machine).unwrap().pool = "a".into();
     }
     let back = |planner: &mut Planner, at| {
@@ -101,27 +102,28 @@
 }
 
 #[test]
-fn a_move_that_takes_too_long_is_given_up() {
+fn a_move_that_takes_too_long_is_overdue() {
     let mut planner = Planner::new(Settings::default());
     let first = planner.plan(&machines(), &loads(240, 0), None, Time(0));
-    assert!(planner.overdue(Time(1000)).is_empty());
-    let patience = Settings::default().patience + Duration::from_millis(1);
-    assert_eq!(planner.overdue(Time(0) + patience).len(), first.len());
+    assert!(planner.overdue_moves(Time(1000)).is_empty());
+    let timeout = Settings::default().order_timeout + Duration::from_millis(1);
+    assert_eq!(planner.overdue_moves(Time(0) + timeout).len(), first.len());
 }
 
-/// A service runs a task on each of five machines, no two together.  With its other machines lent
-/// out, a task whose machine goes down has nowhere to go, although cores are free.
+/// A service runs at most one task on each of five machines.  If its other machines moved away, a
+/// task whose machine goes down could not be placed, although cores are free.
 #[test]
 fn a_pool_keeps_the_machines_over_which_lasting_tasks_are_spread() {
     let mut planner = Planner::new(Settings::default());
     let mut loads = loads(400, 0);
-    loads.get_mut("b").unwrap().least = 5;
+    loads.get_mut("b").unwrap().min_minions = 5;
     let moves = planner.plan(&machines(), &loads, None, Time(0));
     assert_eq!(moves.len(), 3, "nine less five and one in reserve");
 }
 
-/// An outage leaves one pool with eighty machines' work.  Another queue's turn begins, and its callers
-/// wait with one machine for five seconds: all that idles goes to the pool that lacks most.
+/// An outage leaves one pool with a backlog for eighty machines.  When another queue's turn begins,
+/// its callers would wait for five seconds with one machine if all idle machines went to the
+/// largest shortfall.
 #[test]
 fn a_pool_with_a_large_remainder_does_not_take_all() {
     let mut machines = machines();
@@ -136,5 +138,5 @@
     let moves = Planner::new(Settings::default()).plan(&machines, &loads, None, Time(0));
     let to = |pool: &str| moves.iter().filter(|plan| plan.to == pool).count();
     assert!(to("b") >= 1, "one of ten before nine of eighty-two: {moves:?}");
-    assert!(to("a") >= 5, "and the larger remainder gets its part: {moves:?}");
+    assert!(to("a") >= 5, "the larger shortfall gets its part: {moves:?}");
 }
--- a/crates/engine/tests/all/quota.rs
+++ b/crates/engine/tests/all/quota.rs
@@ -1,4 +1,4 @@
-//! Limits of workspaces: how they are split between cells, and what runs.
+//! Limits of workspaces: their split between cells, and what may run within them.
 
 mod model;
 
@@ -7,43 +7,44 @@
 use celerythread_engine::job::{Accepted, Definition, Id, Origin, Resources, Step};
 use celerythread_engine::quota::{Account, Holder, Limit, Share, Split};
 use celerythread_engine::time::Time;
-use model::{Play, Trouble};
+use model::{DisabledGuards, Simulation};
 use std::time::Duration;
 
-/// Draws of the model in a run of all tests.
-const DRAWS: u64 = 1000;
+/// Default number of random simulations.
+const DEFAULT_DRAWS: u64 = 1000;
 
-/// Set to play so many draws by hand.
+/// Environment variable that overrides the number of random simulations.
 const DRAWS_VARIABLE: &str = "CELERYTHREAD_DRAWS";
 
 fn draws() -> u64 {
     let given = std::env::var(DRAWS_VARIABLE).ok();
-    given.and_then(|text| text.parse().ok()).unwrap_or(DRAWS)
+    given.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_DRAWS)
 }
 
-/// Guards against a workspace running beyond its limit when owners die, stand still or are cut off, and when
-/// transactions are lost, late or unanswered; and against tasks that wait for ever once that is over.
+/// Guards against a workspace exceeding its limit when owners crash, stall or are cut off, and when
+/// transactions are lost, late or unanswered; and against tasks that wait forever after such
+/// faults.
 #[test]
-fn a_limit_holds_under_any_trouble() {
-    let mut broken = Vec::new();
+fn a_limit_holds_under_all_drawn_faults() {
+    let mut failures = Vec::new();
     for seed in 0..draws() {
-        if let Err(breach) = Play::new(seed).run() {
-            broken.push(format!("seed {seed}: {breach}"));
+        if let Err(failure) = Simulation::new(seed).run() {
+            failures.push(format!("seed {seed}: {failure}"));
         }
     }
-    let first = &broken[..broken.len().min(5)];
-    assert!(broken.is_empty(), "{} of {} draws broken: {first:#?}", broken.len(), draws());
+    let first = &failures[..failures.len().min(5)];
+    assert!(failures.is_empty(), "{} of {} draws broken: {first:#?}", failures.len(), draws());
 }
 
-/// The model finds the breach of an owner that raises its share without a condition.
+/// The simulation must fail when owners raise their shares without a condition.
 #[test]
-fn the_model_sees_a_limit_that_is_broken() {
-    let broken = (0..200).filter(|seed| {
-        let mut play = Play::new(*seed);
-        play.trouble = Trouble { unconditional: true };
-        play.run().is_err()
+fn the_model_detects_a_broken_limit() {
+    let failures = (0..200).filter(|seed| {
+        let mut simulation = Simulation::new(*seed);
+        simulation.disabled_guards = DisabledGuards { unconditional: true };
+        simulation.run().is_err()
     });
-    assert!(broken.count() > 0);
+    assert!(failures.count() > 0);
 }
 
 fn cores(count: u64) -> Resources {
@@ -64,58 +65,59 @@
 
 const ROOM: Resources = Resources { cpu: 1 << 30, memory_mb: 1 << 30, gpu: 0 };
 
-/// Writes a change that is due, as the store would carry it out.
+/// Applies the change that is due as if the store had committed it.
 fn write(account: &mut Account, version: u64, at: u64) -> Option<Split> {
-    let change = account.change(&ROOM, Time(at))?;
-    account.written(&change, version, Time(at));
+    let change = account.next_change(&ROOM, Time(at))?;
+    account.record_write(&change, version, Time(at));
     Some(change.split)
 }
 
-/// Guards against a successor that spends what its predecessor's runs still use.
+/// Guards against a new owner that uses resources which its predecessor's runs still use.
 #[test]
-fn a_successor_counts_its_predecessors_share_until_all_minions_told() {
+fn a_successor_counts_its_predecessors_share_until_all_minions_have_reported() {
     let mut account = account("cell", false);
     let former = Share { token: 3, size: cores(80), ..Share::default() };
     let shares = [("cell".into(), former)].into_iter().collect();
-    account.read(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
-    account.begin();
+    account.apply_row(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
+    account.reset_counts();
     assert!(!account.may_start(&cores(1), 1, Time(0)), "its token isn't written");
-    account.want(&cores(1), 30);
+    account.record_wanted(&cores(1), 30);
     write(&mut account, 6, 10);
-    account.begin();
+    account.reset_counts();
     assert!(account.may_start(&cores(20), 1, Time(10)));
     assert!(!account.may_start(&cores(21), 1, Time(10)));
     account.settle();
-    account.count(&cores(50), false);
+    account.count_run(&cores(50), false);
     assert!(account.may_start(&cores(50), 1, Time(10)));
 }
 
-/// Guards against a share that is used as if it had not been given back, while the answer that gave it back is lost.
+/// Guards against using a part of a share that was returned by a transaction whose answer was lost.
 #[test]
 fn a_share_that_may_have_been_lowered_counts_as_lowered() {
     let mut account = account("cell", true);
-    account.begin();
-    account.want(&cores(10), 8);
+    account.reset_counts();
+    account.record_wanted(&cores(10), 8);
     write(&mut account, 1, 0).unwrap();
     assert!(account.may_start(&cores(80), 1, Time(0)));
-    // Nothing is needed for a while, and the transaction that gives it back isn't answered.
-    account.begin();
+    // Nothing is needed for a while, and the transaction that returns the share isn't answered.
+    account.reset_counts();
     for at in [1500, 2200, 2900, 3600] {
-        account.change(&ROOM, Time(at));
+        account.next_change(&ROOM, Time(at));
     }
-    account.begin();
+    account.reset_counts();
     assert!(!account.may_start(&cores(80), 1, Time(3600)));
 }
 
-/// Guards against new starts after a limit fell below what runs: the shares of all are more than it then.
+/// Guards against starts after a limit was lowered below what runs: the sum of the shares exceeds
+/// it then.
 #[test]
-fn nothing_starts_while_shares_are_more_than_a_fallen_limit() {
+fn nothing_starts_while_shares_exceed_a_lowered_limit() {
     let mut account = account("cell", true);
     let other = Share { token: 3, size: cores(60), ..Share::default() };
     let own = Share { token: 7, size: cores(20), ..Share::default() };
     let shares = [("cell".into(), own), ("other".into(), other)].into_iter().collect();
-    account.read(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
-    account.begin();
+    account.apply_row(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
+    account.reset_counts();
     assert!(account.may_start(&cores(5), 1, Time(0)));
     account.configure(limit(50), 2, Time(10));
     assert!(!account.may_start(&cores(5), 1, Time(10)));
@@ -123,15 +125,16 @@
     assert!(!account.may_start(&cores(5), 1, Time(20)));
 }
 
-/// Guards against starts by shares that an owner which hasn't heard of a lower limit may be raising just then.
+/// Guards against starts while an owner that doesn't know the lower limit yet may still raise its
+/// share.
 #[test]
-fn nothing_starts_before_the_split_is_written_by_the_lower_limit() {
+fn nothing_starts_before_the_split_is_written_with_the_lower_limit() {
     let mut account = account("cell", true);
     let other = Share { token: 3, size: cores(10), ..Share::default() };
     let own = Share { token: 7, size: cores(20), ..Share::default() };
     let shares = [("cell".into(), own), ("other".into(), other)].into_iter().collect();
-    account.read(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
-    account.begin();
+    account.apply_row(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
+    account.reset_counts();
     account.configure(limit(50), 2, Time(10));
     assert!(!account.may_start(&cores(5), 1, Time(10)), "the other may raise its share to 80");
     let split = write(&mut account, 6, 20).expect("the new configuration is written");
@@ -139,36 +142,37 @@
     assert!(account.may_start(&cores(5), 1, Time(20)));
 }
 
-/// Guards against a task that is larger than its workspace's limit waiting for ever; beside another it would break it.
+/// Guards against a task that exceeds its workspace's limit waiting forever, or running beside
+/// another one.
 #[test]
 fn a_task_larger_than_the_limit_runs_alone() {
     let mut account = account("cell", true);
-    account.begin();
-    account.want(&cores(120), 2);
+    account.reset_counts();
+    account.record_wanted(&cores(120), 2);
     write(&mut account, 1, 0).unwrap();
     assert!(account.may_start(&cores(120), 1, Time(0)));
-    account.count(&cores(120), true);
+    account.count_run(&cores(120), true);
     assert!(!account.may_start(&cores(120), 1, Time(0)));
     assert!(!account.may_start(&cores(1), 1, Time(0)));
 }
 
-/// Guards against one cell that keeps the whole limit busy while another one's jobs wait.
+/// Guards against one cell using the whole limit continuously while another one's jobs wait.
 #[test]
-fn a_busy_cell_gives_way_to_one_that_asks() {
+fn a_busy_cell_yields_to_one_that_is_short() {
     let mut account = account("cell", true);
     let asking = Share { token: 3, wanted: cores(40), least: cores(5), ..Share::default() };
     let own = Share { token: 7, size: cores(100), ..Share::default() };
     let shares = [("cell".into(), own), ("other".into(), asking)].into_iter().collect();
-    account.read(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
-    account.begin();
-    account.count(&cores(90), true);
+    account.apply_row(5, Some(Split { configuration: 1, limit: limit(100), shares }), Time(0));
+    account.reset_counts();
+    account.count_run(&cores(90), true);
     assert!(!account.may_start(&cores(1), 1, Time(0)));
     let split = write(&mut account, 6, 0).unwrap();
     assert_eq!(split.shares["cell"].size, cores(90));
-    // As its tasks end, their part goes to the other cell down to a half for each.
-    account.begin();
-    account.count(&cores(30), true);
-    account.want(&cores(1), 60);
+    // As its tasks end, the cell yields their resources until each cell has half of the limit.
+    account.reset_counts();
+    account.count_run(&cores(30), true);
+    account.record_wanted(&cores(1), 60);
     let split = write(&mut account, 7, 50).unwrap();
     assert_eq!(split.shares["cell"].size, cores(50));
 }
@@ -190,7 +194,7 @@
     world
 }
 
-/// Writes all changes that are due; true if there were some.
+/// Writes all changes that are due; returns whether there were any.
 fn write_all(world: &mut Harness, version: u64) -> bool {
     world.advance_ms(50);
     let changes = world.cell.split_changes(world.now);
@@ -202,7 +206,8 @@
     Origin::Workspace(TEAM.into())
 }
 
-/// Guards against tasks of a workspace beyond its limit, and against others that wait behind them.
+/// Guards against starting a workspace's tasks beyond its limit, and against others' tasks waiting
+/// behind them.
 #[test]
 fn a_workspace_runs_no_more_than_its_limit() {
     let mut world = limited(2, 5);
@@ -220,9 +225,10 @@
     assert_eq!(world.cell.take_events().iter().filter(|note| held(note)).count(), 1);
 }
 
-/// Guards against a gang wider than its workspace's limit taking the whole of it and still not starting.
+/// Guards against a gang wider than its workspace's limit reserving all of it without ever
+/// starting.
 #[test]
-fn a_gang_wider_than_the_limit_holds_up_nobody() {
+fn a_gang_wider_than_the_limit_blocks_no_other_job() {
     let mut world = limited(2, 5);
     submit(&mut world, 1, team(), vec![Step { gang: true, ..step(8) }]);
     submit(&mut world, 2, team(), vec![step(4)]);
@@ -233,7 +239,8 @@
     assert_eq!(starts(&world.plan()).len(), 4);
 }
 
-/// Guards against jobs of an older release, which kept no workspace, running beyond anybody's limit, or never.
+/// Guards against jobs of an older release, which stored no workspace, running without a limit, or
+/// never.
 #[test]
 fn jobs_of_an_unknown_workspace_run_one_task_at_a_time() {
     let mut world = limited(2, 5);
@@ -247,7 +254,8 @@
     assert!(starts(&world.plan()).is_empty());
 }
 
-/// Guards against a limit that is not known to hold while nothing is read: an owner without the splits starts nothing.
+/// Guards against exceeding a limit before the splits are read: until then, no limited task may
+/// start.
 #[test]
 fn nothing_limited_starts_before_the_splits_are_read() {
     let mut world = Harness::new(1);
@@ -257,7 +265,7 @@
     assert!(!write_all(&mut world, 1));
 }
 
-/// Rows of a release that kept no workspace are read, and are nobody's by name.
+/// Rows of a release that stored no workspace decode with an unknown origin.
 #[test]
 fn a_job_without_an_origin_is_read() {
     let accepted = Accepted {
@@ -271,9 +279,9 @@
     assert_eq!(Accepted::decode(&bytes).unwrap(), accepted);
 }
 
-/// Guards against anybody learning of, or cancelling, another workspace's job.
+/// Guards against one workspace reading or cancelling another one's job.
 #[test]
-fn a_job_is_seen_by_its_workspace_only() {
+fn a_job_is_visible_only_to_its_workspace() {
     let mut world = Harness::new(1);
     submit(&mut world, 1, team(), vec![step(1)]);
     let (own, other) = (team(), Origin::Workspace("other".into()));
--- a/crates/scheduler/src/fleet.rs
+++ b/crates/scheduler/src/fleet.rs
@@ -149,7 +149,7 @@
     /// Reverts [`Controller::record_order`] for an order that was refused before anything was done.
     pub(crate) fn revert_order(&mut self, machine: &str) {
         self.order_leases.remove(machine);
-        self.waves.put_off(machine);
+        self.waves.record_refusal(machine);
     }
 
     /// Forgets orders whose lease is over.
@@ -170,7 +170,7 @@
     let state = State {
         waves: maintenance_plan::Planner::new(settings),
         pools: pool_plan::Planner::new(pool_plan::Settings {
-            at_once: (node.settings.orders_per_s / LOAD_POLLS_PER_S).max(1.0) as usize,
+            max_moves_per_pool: (node.settings.orders_per_s / LOAD_POLLS_PER_S).max(1.0) as usize,
             ..pool_plan::Settings::default()
         }),
         ..State::default()
--- a/crates/scheduler/src/fleet/list.rs
+++ b/crates/scheduler/src/fleet/list.rs
@@ -39,7 +39,7 @@
 fn is_due(controller: &Controller) -> bool {
     let is_emptying = !controller.node().view.read().emptying.is_empty();
     let state = controller.state.lock();
-    let busy = is_emptying || state.waves.is_busy() || state.pools.is_busy();
+    let busy = is_emptying || state.waves.has_open_waves() || state.pools.has_moves_under_way();
     let limit = if busy { BUSY_REFRESH_INTERVAL } else { IDLE_REFRESH_INTERVAL };
     state.list.read_at.is_none_or(|read_at| clock::now().since(read_at) >= limit)
 }
--- a/crates/scheduler/src/fleet/maintenance.rs
+++ b/crates/scheduler/src/fleet/maintenance.rs
@@ -11,7 +11,7 @@
 use celerythread_adapter::store::{self, MAX_ENTRIES, Name, Transaction};
 use celerythread_adapter::wave;
 use celerythread_engine::job::{decode, encode};
-use celerythread_engine::maintenance::{Extent, Machine, Occupation, Step, Wave};
+use celerythread_engine::maintenance::{Action, Machine, Occupation, Progress, Wave};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
@@ -30,11 +30,11 @@
     for row in &waves.rows {
         let number = row.key.strip_prefix(rows::WAVE_PREFIX).and_then(|key| key.parse().ok());
         if let (Some(number), Ok(wave)) = (number, decode::<Wave>(&row.value)) {
-            state.waves.add(number, wave);
+            state.waves.add_wave(number, wave);
         }
     }
     for (number, machine) in begun.rows.iter().filter_map(|row| rows::begun_machine(&row.key)) {
-        state.waves.begun(number, machine);
+        state.waves.record_start(number, machine);
     }
     true
 }
@@ -44,7 +44,7 @@
     let mut limiter = LogLimiter::default();
     while !controller.owner.is_stopped() {
         add_new_waves(controller).await;
-        if controller.state.lock().waves.is_busy() {
+        if controller.state.lock().waves.has_open_waves() {
             advance_waves(controller).await;
             save_starts(controller).await;
             log_progress(controller, &mut limiter);
@@ -70,7 +70,7 @@
             seen_ms: clock::wall_ms(),
             ..Wave::default()
         };
-        controller.state.lock().waves.add(wave.number, fresh);
+        controller.state.lock().waves.add_wave(wave.number, fresh);
         save_wave(controller, wave.number).await;
         report_wave(node, wave.number, wave::State::Running).await;
     }
@@ -86,9 +86,9 @@
     let (mut targets, mut starts, mut complete) = (Vec::new(), Vec::new(), Vec::new());
     for step in plan_steps(&mut controller.state.lock(), &emptying_minions) {
         match step {
-            Step::Empty { machine, minion } => targets.push((machine, minion)),
-            Step::Begin { machine, wave } => starts.push((machine, wave)),
-            Step::Complete { wave } => complete.push(wave),
+            Action::Empty { machine, minion } => targets.push((machine, minion)),
+            Action::Begin { machine, wave } => starts.push((machine, wave)),
+            Action::Complete { wave } => complete.push(wave),
         }
     }
     // A machine that is off need not be emptied, but a later holder must know of its order too.
@@ -109,13 +109,13 @@
     futures::join!(order_all(orders), request_emptying(controller, targets));
     for wave in complete {
         if report_wave(node, wave, wave::State::Completed).await {
-            controller.state.lock().waves.completed(wave);
+            controller.state.lock().waves.record_completion(wave);
             save_wave(controller, wave).await;
         }
     }
 }
 
-fn plan_steps(state: &mut State, emptying: &BTreeSet<String>) -> Vec<Step> {
+fn plan_steps(state: &mut State, emptying: &BTreeSet<String>) -> Vec<Action> {
     let machines = machine_views(state);
     let empty = state.empty_minions();
     state.waves.plan(&machines, emptying, &empty, clock::now(), clock::wall_ms())
@@ -132,7 +132,7 @@
         let (name, mut machine_view) = machine_view(machine);
         machine_view.occupation = workload.occupation(machine);
         let waits = state.has_recent_order(&name) || state.dropping_rows.contains(&name);
-        machine_view.up &= !waits && !state.pools.is_underway(&name);
+        machine_view.up &= !waits && !state.pools.is_moving(&name);
         (name, machine_view)
     };
     state.list.machines.iter().map(view_of).collect()
@@ -172,7 +172,7 @@
             return Occupation::Idle;
         };
         match self.cpu_in_use.get(minion) {
-            None => Occupation::Lasting,
+            None => Occupation::LongRunning,
             Some(0) => match self.surplus.get_mut(&machine.pool).filter(|left| **left > 0) {
                 Some(left) => {
                     *left -= 1;
@@ -205,7 +205,7 @@
     };
     let unwritten = emptying::request(controller, machines.into_iter().map(target).collect()).await;
     let mut state = controller.state.lock();
-    unwritten.iter().for_each(|machine| state.waves.not_asked(machine));
+    unwritten.iter().for_each(|machine| state.waves.cancel_emptying(machine));
     unwritten
 }
 
@@ -216,7 +216,7 @@
         return;
     }
     controller.record_order(machine);
-    controller.state.lock().waves.ordered(machine, clock::now());
+    controller.state.lock().waves.record_order(machine, clock::now());
     let by = controller.authority();
     let answer = controller.client.upkeep(machine, wave, &by, CALL_TIMEOUT).await;
     let (ordered, outcome) = OrderOutcome::from_answer(answer);
@@ -228,7 +228,7 @@
     match ordered {
         OrderOutcome::Done => {
             node.metrics.count(Counter::Maintenances);
-            state.waves.begun(wave, machine);
+            state.waves.record_start(wave, machine);
             state.unsaved_starts.insert((wave, machine.into()));
         }
         OrderOutcome::Deferred => state.revert_order(machine),
@@ -286,7 +286,7 @@
 }
 
 /// Logs each open wave whose progress has changed.
-fn log_progress(controller: &Controller, limiter: &mut LogLimiter<u64, Extent>) {
+fn log_progress(controller: &Controller, limiter: &mut LogLimiter<u64, Progress>) {
     let now = clock::now();
     if !limiter.begin_round_if_due(now) {
         return;
@@ -294,8 +294,8 @@
     let state = controller.state.lock();
     let machines: BTreeMap<String, Machine> =
         state.list.machines.iter().map(machine_view).collect();
-    for number in state.waves.open() {
-        let extent = state.waves.extent(number, &machines, now);
+    for number in state.waves.open_waves() {
+        let extent = state.waves.progress(number, &machines, now);
         if !limiter.record_change(number, extent) {
             continue;
         }
--- a/crates/scheduler/src/fleet/pools.rs
+++ b/crates/scheduler/src/fleet/pools.rs
@@ -39,7 +39,7 @@
             let ago = Duration::from_millis(clock::wall_ms().saturating_sub(history.began_ms));
             let mut state = controller.state.lock();
             state.pools.resume_turn(clock::now() - ago);
-            state.pools.restore(history);
+            state.pools.restore_history(history);
         }
         Ok(Some(Err(error))) => node.journal.warn("turns_unreadable", &[("reason", &error)]),
         Ok(None) => {}
@@ -171,7 +171,7 @@
     };
     let unwritten = emptying::request(controller, moves.iter().map(target).collect()).await;
     let mut state = controller.state.lock();
-    unwritten.iter().for_each(|machine| state.pools.abandon(machine));
+    unwritten.iter().for_each(|machine| state.pools.cancel_move(machine));
 }
 
 /// Orders the moves of machines that are empty.
@@ -199,7 +199,7 @@
     let by = controller.authority();
     let answer = controller.client.change_pool(&plan.machine, &plan.to, &by, CALL_TIMEOUT).await;
     let (ordered, outcome) = OrderOutcome::from_answer(answer);
-    let waited = clock::now().since(plan.since);
+    let waited = clock::now().since(plan.decided_at);
     node.journal.info(
         "move_ordered",
         &[
@@ -218,9 +218,9 @@
         // nothing is started on the old minion, which may stay listed for some seconds.
         OrderOutcome::Done => {
             node.metrics.count(Counter::Moves);
-            state.pools.ordered(&plan.machine, clock::now());
+            state.pools.record_order(&plan.machine, clock::now());
         }
-        OrderOutcome::Refused | OrderOutcome::Unknown => state.pools.abandon(&plan.machine),
+        OrderOutcome::Refused | OrderOutcome::Unknown => state.pools.cancel_move(&plan.machine),
         // Ordered again with the next step.
         OrderOutcome::Deferred => {}
     }
@@ -229,11 +229,11 @@
 /// Cancels moves whose machines have not become empty in time.
 async fn cancel_overdue_moves(controller: &Controller) {
     let node = controller.node();
-    let overdue = controller.state.lock().pools.overdue(clock::now());
+    let overdue = controller.state.lock().pools.overdue_moves(clock::now());
     let mut rows = Vec::new();
     for plan in overdue {
         let mut state = controller.state.lock();
-        state.pools.abandon(&plan.machine);
+        state.pools.cancel_move(&plan.machine);
         node.journal.info("move_given_up", &[("machine", &plan.machine), ("to", &plan.to)]);
         // A machine that may have been ordered keeps its row for the lease.
         if !state.has_recent_order(&plan.machine) {
@@ -257,11 +257,11 @@
             "pool_balance",
             &[
                 ("pool", &pool),
-                ("asked", &balance.asked),
-                ("lasting", &balance.lasting),
-                ("has", &balance.has),
-                ("on_their_way", &balance.on_their_way),
-                ("needs", &balance.needs),
+                ("asked", &balance.demand),
+                ("lasting", &balance.long_running),
+                ("has", &balance.present),
+                ("on_their_way", &balance.arriving),
+                ("needs", &balance.needed),
                 ("idle", &balance.idle),
             ],
         );
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -152,7 +152,7 @@
         return Duration::ZERO;
     }
     let entries = node.view.read().entries.len();
-    ownership::reread_pause(entries, rand::random())
+    ownership::reread_delay(entries, rand::random())
 }
 
 /// Applies what operators write: the configuration and maintenance waves.
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -11,7 +11,7 @@
 use crate::rows;
 use celerythread_adapter::store::{Error, Row, Transaction};
 use celerythread_engine::job::{decode, encode};
-use celerythread_engine::ownership::{self, Holding, Verdict};
+use celerythread_engine::ownership::{self, Decision, Holding};
 use control::ControlSink;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -188,7 +188,7 @@
         let view = node.view.read();
         let holding = view.holdings.get(cell).cloned();
         let owned = view.cell_counts();
-        let verdict = ownership::judge(
+        let verdict = ownership::decide(
             cell,
             &node.entry_id,
             holding.as_ref(),
@@ -200,17 +200,17 @@
         (verdict, holding, view.cell_rows.get(cell).cloned())
     };
     match verdict {
-        Verdict::Own => {
+        Decision::Own => {
             if let (Some(holding), Some(row)) = (holding, row) {
                 start_owning(node, cell, &holding, &row);
             }
         }
-        Verdict::Leave => stop_owning(node, cell, holding.as_ref()),
-        Verdict::Take { cell: version, former } if !node.is_stopping() => {
+        Decision::Decline => stop_owning(node, cell, holding.as_ref()),
+        Decision::TakeOver { cell_version: version, former } if !node.is_stopping() => {
             take_over_cell(node, cell, version, former, row).await;
             return true;
         }
-        Verdict::Take { .. } => {}
+        Decision::TakeOver { .. } => {}
     }
     false
 }
@@ -345,7 +345,8 @@
     let silent_entries: Vec<(String, u64)> = {
         let view = node.view.read();
         let now = clock::now();
-        let silent = |entry: &ownership::Entry| now.since(entry.seen) > SILENT_ENTRY_RETENTION;
+        let silent =
+            |entry: &ownership::Entry| now.since(entry.last_renewal) > SILENT_ENTRY_RETENTION;
         let held = view.cell_counts();
         view.entries
             .iter()
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -20,8 +20,8 @@
 use celerythread_engine::cell::Permit;
 use celerythread_engine::outage::Outage;
 use celerythread_engine::ownership::{self, Holding};
-use celerythread_engine::patience::Patience;
 use celerythread_engine::time::Time;
+use celerythread_engine::timeout::Timeout;
 use celerythread_sync::Wake;
 use parking_lot::{Mutex, RwLock};
 use std::collections::{BTreeMap, HashSet};
@@ -65,7 +65,7 @@
 impl View {
     /// Records that a read was answered; called before its rows are applied.
     pub(crate) fn record_read(&mut self, now: Time) {
-        ownership::note_read(&mut self.entries, self.read_at, now);
+        ownership::record_read(&mut self.entries, self.read_at, now);
         self.read_at = now;
     }
 
@@ -147,7 +147,7 @@
     pub(crate) journal: Arc<Journal>,
     pub(crate) metrics: Arc<Metrics>,
     /// Adapts the timeout of store transactions to recent answers.
-    pub(crate) commit_timeout: Mutex<Patience>,
+    pub(crate) commit_timeout: Mutex<Timeout>,
     renewal: Mutex<Renewal>,
     /// Outage of the store.
     outage: Mutex<Outage>,
@@ -218,7 +218,7 @@
         let owns = !self.owners.read().is_empty();
         let view = self.view.read();
         let (entries, cells) = (view.entries.len(), view.holdings.len());
-        ownership::interval(self.settings.renew.0, entries, cells, owns)
+        ownership::renewal_interval(self.settings.renew.0, entries, cells, owns)
     }
 
     /// Returns the number and the term of a renewal that is about to be sent.
@@ -282,7 +282,7 @@
         if !answered {
             self.metrics.count(Counter::StoreFailures);
         }
-        if !self.outage.lock().note(answered, clock::now()) {
+        if !self.outage.lock().record(answered, clock::now()) {
             return;
         }
         match result {
@@ -293,12 +293,12 @@
 
     /// Whether the store may be unavailable.
     pub(crate) fn is_outage_suspected(&self) -> bool {
-        self.outage.lock().is_likely()
+        self.outage.lock().is_suspected()
     }
 
     /// Whether the store is unavailable, as far as this entry knows.
     pub(crate) fn is_outage_ongoing(&self) -> bool {
-        self.outage.lock().is_on(clock::now())
+        self.outage.lock().is_ongoing(clock::now())
     }
 
     /// Commits a transaction and records the outcome.  Waits at most `limit`, and less when recent
@@ -308,7 +308,7 @@
         change: &store::Transaction,
         limit: Duration,
     ) -> Result<u64, store::Error> {
-        let limit = limit.min(self.commit_timeout.lock().limit());
+        let limit = limit.min(self.commit_timeout.lock().current());
         self.commit_with_timeout(change, limit).await
     }
 
@@ -323,8 +323,10 @@
         let took = clock::now().since(began);
         self.metrics.time(crate::metrics::Timing::Commit, took);
         match &result {
-            Ok(_) | Err(store::Error::Conflict { .. }) => self.commit_timeout.lock().answered(took),
-            Err(store::Error::Unanswered { .. }) => self.commit_timeout.lock().unanswered(),
+            Ok(_) | Err(store::Error::Conflict { .. }) => {
+                self.commit_timeout.lock().record_answer(took)
+            }
+            Err(store::Error::Unanswered { .. }) => self.commit_timeout.lock().record_timeout(),
             Err(_) => {}
         }
         self.record_store_result(&result);
--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -271,7 +271,7 @@
             ),
             (
                 "a write is lost only by the measure of a read",
-                "engine::patience::is_lost",
+                "engine::timeout::is_write_lost",
                 "a_write_is_lost_only_by_the_measure_of_a_read",
             ),
             (
@@ -334,7 +334,7 @@
             ),
             (
                 "owners killed, frozen, cut off, replaced while alive; writes lost, late, refused; limits lowered",
-                &["a_limit_holds_under_any_trouble"],
+                &["a_limit_holds_under_all_drawn_faults"],
             ),
             ("owner killed", &["a_limit_holds_over_services_and_killed_owners"]),
             ("owner frozen and woken", &["a_limit_holds_when_a_frozen_owner_wakes"]),
@@ -348,28 +348,28 @@
         guards: &[
             (
                 "shares are written on condition of the split's version",
-                "engine::quota::account::Account::change",
-                "the_model_sees_a_limit_that_is_broken",
+                "engine::quota::account::Account::next_change",
+                "the_model_detects_a_broken_limit",
             ),
             (
                 "a successor counts its predecessor's whole share until all minions told",
                 "engine::quota::account::Account::in_use",
-                "a_successor_counts_its_predecessors_share_until_all_minions_told",
+                "a_successor_counts_its_predecessors_share_until_all_minions_have_reported",
             ),
             (
                 "a share that may have been lowered counts as lowered",
-                "engine::quota::account::Account::size",
+                "engine::quota::account::Account::confirmed_size",
                 "a_share_that_may_have_been_lowered_counts_as_lowered",
             ),
             (
                 "nothing starts while shares are more than a fallen limit",
                 "engine::quota::account::Account::may_start",
-                "nothing_starts_while_shares_are_more_than_a_fallen_limit",
+                "nothing_starts_while_shares_exceed_a_lowered_limit",
             ),
             (
                 "nothing starts before the split is written by a lower limit's configuration",
-                "engine::quota::account::Account::is_current",
-                "nothing_starts_before_the_split_is_written_by_the_lower_limit",
+                "engine::quota::account::Account::is_split_current",
+                "nothing_starts_before_the_split_is_written_with_the_lower_limit",
             ),
             (
                 "what can't be read opens nothing",
@@ -394,12 +394,12 @@
             (
                 "no more machines down than allowed",
                 "engine::maintenance::Planner::decide",
-                "a_wave_is_completed_with_never_more_down_than_allowed",
+                "a_wave_completes_with_never_more_down_than_allowed",
             ),
             (
                 "an order that the list doesn't show yet counts",
-                "engine::maintenance::Planner::down",
-                "an_order_that_the_list_does_not_show_yet_counts",
+                "engine::maintenance::Planner::down_count",
+                "an_order_that_the_list_does_not_show_yet_counts_as_down",
             ),
             (
                 "only an empty machine goes down",
@@ -419,7 +419,7 @@
             (
                 "what idles is in the next pool before its turn",
                 "engine::pools::turns",
-                "machines_are_there_before_a_turn_that_was_seen_before",
+                "machines_are_moved_ahead_of_a_known_turn",
             ),
             ("what is no turn hides none", "engine::pools::turns", "a_single_large_job_is_no_turn"),
             (
@@ -464,7 +464,7 @@
         guards: &[
             (
                 "a living holder keeps its cell",
-                "engine::ownership::judge",
+                "engine::ownership::decide",
                 "a_living_holder_keeps_its_cell",
             ),
             (
@@ -474,27 +474,27 @@
             ),
             (
                 "a strong entry goes before a weak one",
-                "engine::ownership::burden",
+                "engine::ownership::cells_per_core",
                 "a_strong_instance_with_a_cell_goes_before_a_weak_one_without",
             ),
             (
                 "what nobody could read is nobody's silence",
-                "engine::ownership::note_read",
+                "engine::ownership::record_read",
                 "an_outage_of_the_store_is_nobodys_silence",
             ),
             (
                 "a takeover requires the holder to be silent still",
-                "engine::ownership::judge",
+                "engine::ownership::decide",
                 "a_silent_holder_is_replaced_on_condition_that_it_stays_silent",
             ),
             (
                 "holders among many entries are missed soon",
-                "engine::ownership::interval",
+                "engine::ownership::renewal_interval",
                 "a_holder_among_many_entries_is_missed_as_soon_as_among_few",
             ),
             (
                 "who may be cut off with the holder comes later",
-                "engine::ownership::judge",
+                "engine::ownership::decide",
                 "entries_seen_since_the_holder_come_before_those_that_may_be_cut_off_with_it",
             ),
         ],
@@ -515,7 +515,7 @@
             (
                 "a wave takes from working machines what its window asks for",
                 "engine::maintenance::pace",
-                "a_wave_takes_no_more_working_machines_than_its_window_asks_for",
+                "a_wave_takes_no_more_working_machines_than_its_window_requires",
             ),
             (
                 "a wave that falls behind goes as fast as is allowed",
@@ -524,13 +524,13 @@
             ),
             (
                 "lasting tasks begin to leave early",
-                "engine::maintenance::Places::fill",
-                "machines_that_take_long_to_empty_are_not_left_for_the_end",
+                "engine::maintenance::Slots::choose",
+                "machines_that_take_long_to_empty_begin_early",
             ),
             (
                 "an order refused for its rate is given again",
-                "engine::maintenance::Planner::put_off",
-                "an_order_that_is_put_off_is_given_again_at_once",
+                "engine::maintenance::Planner::record_refusal",
+                "a_refused_order_is_repeated_at_once",
             ),
             (
                 "only what was asked to empty goes down",
@@ -560,7 +560,7 @@
             (
                 "machines go ahead of a turn that is due",
                 "engine::pools::turns",
-                "machines_go_ahead_of_a_turn_that_is_due_although_the_last_one_still_asks",
+                "machines_are_moved_ahead_of_a_due_turn_while_the_last_one_has_demand",
             ),
         ],
     },
