--- a/crates/scheduler/src/owner.rs
+++ b/crates/scheduler/src/owner.rs
@@ -1,23 +1,22 @@
 //! The owner of a cell: takes it over, carries out its plans, and persists its progress.
 //!
-//! [`load`] reads the stored rows, [`attend`] polls and commands one minion, [`persist`] writes
+//! [`load`] reads the stored rows, [`supervisor`] polls and commands one minion, [`persist`] writes
 //! progress, [`advice`] asks for tickets, [`quota`] enforces workspaces' limits, and [`notes`] logs
 //! the decisions of plans.  This file holds what they share, the planning loop, and the answers to
 //! other entries' questions.
 
 mod advice;
-pub(crate) mod attend;
 pub(crate) mod load;
 mod notes;
 pub(crate) mod persist;
 mod quota;
+pub(crate) mod supervisor;
 
 use crate::clock;
 use crate::fleet;
 use crate::metrics::Counter;
 use crate::node::Node;
 use crate::rows;
-use attend::Supervisor;
 use celerythread_adapter::configuration::Configuration;
 use celerythread_adapter::minion::Entry;
 use celerythread_engine::cell::{Cell, Incarnation, Order, Queue, Refusal, StartResult};
@@ -32,6 +31,7 @@
 use std::time::Duration;
 use stop_token::future::FutureExt;
 use stop_token::{StopSource, StopToken};
+use supervisor::Supervisor;
 
 /// Longest time between two plans, for changes that only time causes, such as leases that expire.
 const MAX_PLAN_WAIT: Duration = Duration::from_millis(100);
@@ -305,7 +305,7 @@
         if changed || synced.is_none_or(|at| began.since(at) >= MAX_MINION_SYNC_INTERVAL) {
             synced = Some(began);
             owner.sync_minions();
-            if !attend::sync_supervisors(&owner).await {
+            if !supervisor::sync_supervisors(&owner).await {
                 // Retried with the next plan.
                 owner.minions_changed.store(true, Ordering::SeqCst);
             }
