--- a/crates/engine/src/cell/load.rs
+++ b/crates/engine/src/cell/load.rs
@@ -13,7 +13,7 @@
 /// still meet their objective.
 const LATE_WORK_DIVISOR: u64 = 4;
 
-/// [`HORIZON`] in milliseconds.
+/// [`BACKLOG_HORIZON`] in milliseconds.
 const HORIZON_MS: u64 = BACKLOG_HORIZON.as_millis() as u64;
 
 impl Cell {
