--- a/crates/scheduler/src/fleet.rs
+++ b/crates/scheduler/src/fleet.rs
@@ -19,7 +19,7 @@
 use crate::node::Node;
 use crate::owner::Owner;
 use crate::rows;
-use celerythread_adapter::machine::{self, Authority, Refusal};
+use celerythread_adapter::machine::{self, Issuer, Refusal};
 use celerythread_engine::pools::Load;
 use celerythread_engine::time::Time;
 use celerythread_engine::{maintenance as maintenance_plan, pools as pool_plan};
@@ -192,7 +192,8 @@
     /// Reads what a former holder kept; true if it is read.
     async fn load(&self) -> bool {
         let node = self.node();
-        let rows = node.store.all(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_LIMIT).await;
+        let rows =
+            node.store.read_partition(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_LIMIT).await;
         node.store_result(&rows);
         let Ok(rows) = rows else { return false };
         for row in &rows.rows {
@@ -217,8 +218,8 @@
     }
 
     /// In whose name orders are given.
-    pub(crate) fn authority(&self) -> Authority {
-        Authority { holder: self.node().me.clone(), token: self.owner.token }
+    pub(crate) fn authority(&self) -> Issuer {
+        Issuer { holder: self.node().me.clone(), token: self.owner.token }
     }
 }
 
--- a/crates/scheduler/src/fleet/emptying.rs
+++ b/crates/scheduler/src/fleet/emptying.rs
@@ -5,7 +5,7 @@
 use crate::node::Node;
 use crate::peers;
 use crate::rows;
-use celerythread_adapter::store::{MAX_ENTRIES, Transaction};
+use celerythread_adapter::store::{MAX_TRANSACTION_ENTRIES, Transaction};
 use celerythread_wire::job::{Answer, Question};
 use futures::future::join_all;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -55,7 +55,7 @@
         (name, leaver.minion.as_bytes().to_vec())
     };
     let mut written = BTreeSet::new();
-    for chunk in leavers.chunks(MAX_ENTRIES) {
+    for chunk in leavers.chunks(MAX_TRANSACTION_ENTRIES) {
         let writes = chunk.iter().map(row).collect();
         let change = Transaction { writes, ..Transaction::default() };
         if let Err(error) = node.commit(&change, CALL_LIMIT).await {
@@ -87,9 +87,9 @@
 /// were settled than one may hold, it was refused each time, and no row was dropped any more.
 async fn drop_each(node: &Node, machines: &[String]) {
     let row = |machine: &String| rows::control(rows::EMPTYING_PREFIX, machine);
-    for chunk in machines.chunks(MAX_ENTRIES) {
+    for chunk in machines.chunks(MAX_TRANSACTION_ENTRIES) {
         let change =
-            Transaction { drops: chunk.iter().map(row).collect(), ..Transaction::default() };
+            Transaction { deletes: chunk.iter().map(row).collect(), ..Transaction::default() };
         if let Err(error) = node.commit(&change, CALL_LIMIT).await {
             // Looked at again with the next list of machines.
             let left = machines.len();
--- a/crates/scheduler/src/fleet/maintenance.rs
+++ b/crates/scheduler/src/fleet/maintenance.rs
@@ -8,7 +8,7 @@
 use crate::node::Node;
 use crate::rows;
 use celerythread_adapter::machine;
-use celerythread_adapter::store::{self, MAX_ENTRIES, Name, Transaction};
+use celerythread_adapter::store::{self, MAX_TRANSACTION_ENTRIES, Name, Transaction};
 use celerythread_adapter::wave;
 use celerythread_engine::job::{decode, encode};
 use celerythread_engine::maintenance::{Extent, Machine, Occupation, Step, Wave};
@@ -21,9 +21,9 @@
 /// Reads how far waves were under a former holder; true if it is read.
 pub(crate) async fn load(fleet: &Fleet) -> bool {
     let node = fleet.node();
-    let waves = node.store.all(rows::FLEET, "", rows::WAVE_PREFIX, CALL_LIMIT).await;
+    let waves = node.store.read_partition(rows::FLEET, "", rows::WAVE_PREFIX, CALL_LIMIT).await;
     node.store_result(&waves);
-    let begun = node.store.all(rows::FLEET, "", rows::BEGUN_PREFIX, CALL_LIMIT).await;
+    let begun = node.store.read_partition(rows::FLEET, "", rows::BEGUN_PREFIX, CALL_LIMIT).await;
     node.store_result(&begun);
     let (Ok(waves), Ok(begun)) = (waves, begun) else { return false };
     let mut state = fleet.state.lock();
@@ -211,7 +211,7 @@
     fleet.note_order(machine);
     fleet.state.lock().waves.ordered(machine, clock::now());
     let by = fleet.authority();
-    let answer = fleet.client.upkeep(machine, wave, &by, CALL_LIMIT).await;
+    let answer = fleet.client.start_upkeep(machine, wave, &by, CALL_LIMIT).await;
     let (ordered, outcome) = Ordered::read(answer);
     node.journal.note(
         "maintenance_ordered",
@@ -235,7 +235,7 @@
 /// If this is lost, a later holder asks for the same maintenance again, which changes nothing.
 async fn keep_begun(fleet: &Fleet) {
     let unkept: Vec<(u64, String)> = fleet.state.lock().unkept.iter().cloned().collect();
-    for chunk in unkept.chunks(MAX_ENTRIES) {
+    for chunk in unkept.chunks(MAX_TRANSACTION_ENTRIES) {
         let row = |(wave, machine): &(u64, String)| (rows::begun(*wave, machine), Vec::new());
         let writes = chunk.iter().map(row).collect();
         let change = Transaction { writes, ..Transaction::default() };
--- a/crates/scheduler/src/fleet/pools.rs
+++ b/crates/scheduler/src/fleet/pools.rs
@@ -77,7 +77,7 @@
 /// The services that have minions.
 fn services(node: &Node) -> Vec<String> {
     let Some(configuration) = node.configuration() else { return Vec::new() };
-    configuration.serving().map(Into::into).collect()
+    configuration.serving_pools().map(Into::into).collect()
 }
 
 /// Asks the owners of all pools for their demand, and waits a moment for the answers.
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -126,9 +126,9 @@
 async fn read_whole(node: &Arc<Node>, table: &Table, sink: &dyn Sink) -> Option<u64> {
     loop {
         let result = if table.has_parts {
-            node.store.whole(table.name, "", READ_LIMIT).await
+            node.store.read_partitions(table.name, "", READ_LIMIT).await
         } else {
-            node.store.all(table.name, "", "", READ_LIMIT).await
+            node.store.read_partition(table.name, "", "", READ_LIMIT).await
         };
         node.store_result(&result);
         if let Ok(page) = result {
@@ -159,7 +159,7 @@
 
 impl Operators {
     fn take(&self, row: &Row) {
-        if row.key == configuration::KEY && !row.dropped {
+        if row.key == configuration::KEY && !row.deleted {
             in_force::take(&self.0, &row.value, &"store");
         } else if row.key.starts_with(wave::KEY_PREFIX) {
             self.take_wave(row);
@@ -169,7 +169,7 @@
     fn take_wave(&self, row: &Row) {
         let node = &self.0;
         match Wave::decode(&row.value) {
-            _ if row.dropped => {}
+            _ if row.deleted => {}
             Some(wave) => {
                 node.journal.note(
                     "wave_seen",
@@ -209,10 +209,10 @@
     fn take(&self, row: &Row) -> bool {
         let node = &self.0;
         let id: Arc<str> = row.key.as_str().into();
-        let entry = if row.dropped { None } else { Entry::decode(&id, &row.value) };
+        let entry = if row.deleted { None } else { Entry::decode(&id, &row.value) };
         let Some(entry) = entry else {
             // What can't be read names no minion to use, also where an earlier entry did.
-            if !row.dropped {
+            if !row.deleted {
                 node.journal.warn("minion_unreadable", &[("minion", &id)]);
             }
             let known = node.minions.write().remove(&id).is_some();
--- a/crates/scheduler/src/front.rs
+++ b/crates/scheduler/src/front.rs
@@ -85,7 +85,7 @@
             .map_or(DEFAULT_DEADLINE, Duration::from_millis);
         let began = clock::now();
         Self {
-            request: request.header(submission::REQUEST_HEADER).unwrap_or("-").into(),
+            request: request.header(submission::REQUEST_ID_HEADER).unwrap_or("-").into(),
             origin,
             until: began + usable(deadline),
             began,
@@ -154,7 +154,7 @@
         let Some(queue) = configuration.queue(host, path) else {
             return Err(answer(StatusCode::NotFound).into());
         };
-        let values = head.header(credential::HEADER).into_iter().flatten();
+        let values = head.header(credential::AUTHORIZATION_HEADER).into_iter().flatten();
         let origin = match configuration.authorize(queue, values.map(HeaderValue::as_str)) {
             Ok(origin) => origin,
             Err(refusal) => return Err(self.unauthorized(head, queue, &refusal).into()),
@@ -163,7 +163,7 @@
         if strict && node.in_force.age() > node.settings.trust_keys_for.0 {
             return Err(self.unconfirmed(head, queue).into());
         }
-        let rest = path[queue.path.len()..].to_owned();
+        let rest = path[queue.path_prefix.len()..].to_owned();
         Ok(Target { queue: queue.clone(), origin, rest })
     }
 
@@ -174,9 +174,9 @@
         refusal: &Refusal,
     ) -> Response {
         self.node.metrics.count(Counter::KeysRefused);
-        let request = last_value(head, submission::REQUEST_HEADER).unwrap_or("-");
+        let request = last_value(head, submission::REQUEST_ID_HEADER).unwrap_or("-");
         let age_ms = self.node.in_force.age().as_millis();
-        let job = head.url().path()[queue.path.len()..].to_owned();
+        let job = head.url().path()[queue.path_prefix.len()..].to_owned();
         self.node.journal.note(
             "key_refused",
             &[
@@ -195,7 +195,7 @@
 
     /// Refuses a call whose key may have been withdrawn meanwhile.
     fn unconfirmed(&self, head: &http_types::Request, queue: &Queue) -> Response {
-        let request = last_value(head, submission::REQUEST_HEADER).unwrap_or("-");
+        let request = last_value(head, submission::REQUEST_ID_HEADER).unwrap_or("-");
         let age_ms = self.node.in_force.age().as_millis();
         self.node.journal.note(
             "keys_unconfirmed",
--- a/crates/scheduler/src/in_force.rs
+++ b/crates/scheduler/src/in_force.rs
@@ -132,7 +132,7 @@
             ("source", source),
         ],
     );
-    for name in &read.left_out {
+    for name in &read.unreadable {
         node.journal
             .warn("configuration_part_unreadable", &[("version", &version), ("part", name)]);
     }
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -141,8 +141,8 @@
     if former.is_empty() {
         return;
     }
-    let drops = former.iter().map(|id| rows::entry(id)).collect();
-    let change = Transaction { drops, across_parts: true, ..Transaction::default() };
+    let deletes = former.iter().map(|id| rows::entry(id)).collect();
+    let change = Transaction { deletes, across_parts: true, ..Transaction::default() };
     if node.commit(&change, COMMIT_LIMIT).await.is_ok() {
         let mut view = node.view.write();
         for id in &former {
@@ -169,7 +169,7 @@
 /// All cells there should be: one for each service that is not the spare pool, and the maintenance.
 fn cells(node: &Node) -> Vec<String> {
     let Some(configuration) = node.configuration() else { return Vec::new() };
-    let mut cells: Vec<String> = configuration.serving().map(Into::into).collect();
+    let mut cells: Vec<String> = configuration.serving_pools().map(Into::into).collect();
     if node.machines.is_some() {
         cells.push(rows::FLEET_CELL.into());
     }
@@ -355,7 +355,7 @@
         let name = rows::entry(&id);
         let change = Transaction {
             conditions: vec![(name.clone(), version)],
-            drops: vec![name],
+            deletes: vec![name],
             ..Transaction::default()
         };
         // Dropped by somebody else or renewed meanwhile: either way the feed tells.
--- a/crates/scheduler/src/membership/control.rs
+++ b/crates/scheduler/src/membership/control.rs
@@ -22,7 +22,7 @@
         } else if let Some(cell) = key.strip_prefix(rows::CELL_PREFIX) {
             self.take_cell(view, cell, row);
         } else if let Some(machine) = key.strip_prefix(rows::EMPTYING_PREFIX) {
-            if row.dropped {
+            if row.deleted {
                 view.emptying.remove(machine);
             } else {
                 let minion = String::from_utf8_lossy(&row.value).into_owned();
@@ -33,7 +33,7 @@
 
     /// Takes in a cell's row, unless a newer one is known.
     pub(crate) fn take_cell(&self, view: &mut View, cell: &str, row: &Row) {
-        if row.dropped {
+        if row.deleted {
             view.holdings.remove(cell);
             view.cell_rows.remove(cell);
             return;
@@ -55,7 +55,7 @@
 }
 
 fn take_entry(view: &mut View, id: &str, row: &Row, now: celerythread_engine::time::Time) {
-    if row.dropped {
+    if row.deleted {
         view.entries.remove(id);
         view.entry_rows.remove(id);
         return;
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -16,7 +16,7 @@
 use crate::settings::Settings;
 use celerythread_adapter::configuration::Configuration;
 use celerythread_adapter::wave::Wave;
-use celerythread_adapter::{Caller, Service, advice, machine, minion, store};
+use celerythread_adapter::{HttpClient, Service, advice, machine, minion, store};
 use celerythread_engine::cell::Permit;
 use celerythread_engine::outage::Outage;
 use celerythread_engine::ownership::{self, Holding};
@@ -167,7 +167,7 @@
 
 impl Node {
     pub(crate) fn new(settings: Settings, peers: Peers, stop: StopToken) -> Self {
-        let caller = Arc::new(Caller::default());
+        let caller = Arc::new(HttpClient::default());
         let service = |address| Service::new(caller.clone(), address);
         let machines = settings.machines.map(|address| machine::Client::new(service(address)));
         let advice = settings
--- a/crates/scheduler/src/owner/advise.rs
+++ b/crates/scheduler/src/owner/advise.rs
@@ -22,16 +22,16 @@
     let answer = match &node.advice {
         Some(client) => {
             let client = client.lock().await;
-            Some(client.ask(&query, advice_limit(&owner, asked)).await)
+            Some(client.request_tickets(&query, advice_limit(&owner, asked)).await)
         }
         None => None,
     };
     let now = clock::now();
     let outcome = match answer {
         Some(Ok(tickets)) => {
-            let outcome = format!("{} of {asked} may run it", tickets.good.len());
-            let until = now + tickets.valid;
-            owner.with(|cell| cell.advised(&query, tickets.good, until));
+            let outcome = format!("{} of {asked} may run it", tickets.by_minion.len());
+            let until = now + tickets.validity;
+            owner.with(|cell| cell.advised(&query, tickets.by_minion, until));
             outcome
         }
         Some(Err(failure)) => {
--- a/crates/scheduler/src/owner/attend.rs
+++ b/crates/scheduler/src/owner/attend.rs
@@ -299,7 +299,7 @@
             take_report(owner, id, &report, sent);
             Ok(())
         }
-        Ok(Reply::OtherLife) => {
+        Ok(Reply::OtherIncarnation) => {
             bury(owner, attendant);
             Ok(())
         }
@@ -421,7 +421,7 @@
                         owner.with(|cell| cell.stop_confirmed(&to.id, &task, run, now));
                         look_at_once(&owner, &attendant).await;
                     }
-                    Ok(Reply::OtherLife) => bury(&owner, &attendant),
+                    Ok(Reply::OtherIncarnation) => bury(&owner, &attendant),
                     // Ordered again by a later plan.
                     Ok(Reply::Refused(_)) | Err(_) => {}
                 }
@@ -473,7 +473,7 @@
             owner.node.metrics.count(Counter::StartsRefused);
             StartResult::Refused(reason)
         }
-        Ok(Reply::OtherLife) => {
+        Ok(Reply::OtherIncarnation) => {
             bury(owner, attendant);
             StartResult::Refused(Refusal::Unhealthy)
         }
--- a/crates/scheduler/src/owner/keep.rs
+++ b/crates/scheduler/src/owner/keep.rs
@@ -145,14 +145,14 @@
 async fn drop_expired(owner: &Owner) {
     let expired = owner.with(|cell| cell.expire(clock::now())).unwrap_or_default();
     for chunk in expired.chunks(MAX_ROWS / 3) {
-        let drops = chunk
+        let deletes = chunk
             .iter()
             .flat_map(|id| {
                 let service = &owner.service;
                 [rows::job(service, id), rows::cancel(service, id), rows::progress(service, id)]
             })
             .collect();
-        let change = Transaction { drops, across_parts: true, ..Transaction::default() };
+        let change = Transaction { deletes, across_parts: true, ..Transaction::default() };
         if !write(owner, change).await {
             // The rows stay until the next owner finds them expired.
             owner.node.journal.warn("rows_left", &[("jobs", &chunk.len())]);
--- a/crates/scheduler/src/owner/load.rs
+++ b/crates/scheduler/src/owner/load.rs
@@ -121,8 +121,8 @@
     read_emptying(owner).await?;
     let roster = store.get(rows::JOBS, service, rows::ROSTER_KEY, CALL_LIMIT).await?;
     // The jobs first: what is accepted later is in the feed, and has no progress yet.
-    let jobs = store.whole(rows::JOBS, &rows::shards(service), CALL_LIMIT).await?;
-    let progress = store.all(rows::PROGRESS, service, "", CALL_LIMIT).await?;
+    let jobs = store.read_partitions(rows::JOBS, &rows::shards(service), CALL_LIMIT).await?;
+    let progress = store.read_partition(rows::PROGRESS, service, "", CALL_LIMIT).await?;
     let settings = Settings {
         name: service.into(),
         token: owner.token,
@@ -156,7 +156,8 @@
 /// started there.
 async fn read_emptying(owner: &Owner) -> Result<(), Error> {
     let node = &owner.node;
-    let page = node.store.all(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_LIMIT).await?;
+    let page =
+        node.store.read_partition(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_LIMIT).await?;
     let mut view = node.view.write();
     for row in page.rows {
         if let Some(machine) = row.key.strip_prefix(rows::EMPTYING_PREFIX) {
@@ -274,7 +275,7 @@
     fn change(&self, rows: Vec<Row>) {
         let owner = &self.0;
         let shards = rows::shards(&owner.service);
-        for row in rows.iter().filter(|row| row.part.starts_with(&shards) && !row.dropped) {
+        for row in rows.iter().filter(|row| row.part.starts_with(&shards) && !row.deleted) {
             if let Some(id) = job_id(row, rows::JOB_PREFIX) {
                 owner.accept(id, &row.value);
             } else if let Some(id) = job_id(row, rows::CANCEL_PREFIX) {
--- a/crates/scheduler/src/owner/quota.rs
+++ b/crates/scheduler/src/owner/quota.rs
@@ -70,7 +70,7 @@
 /// A split as it is kept; none, with a line, if it can't be read.  Nothing of its workspace is started then, since
 /// what others use isn't known.
 fn read(owner: &Owner, row: &Row) -> Option<(Box<str>, u64, Split)> {
-    if row.dropped || row.version == 0 {
+    if row.deleted || row.version == 0 {
         return Some((row.key.as_str().into(), row.version, Split::default()));
     }
     match decode(&row.value) {
--- a/crates/scheduler/src/status.rs
+++ b/crates/scheduler/src/status.rs
@@ -4,7 +4,7 @@
 
 use crate::rows;
 use celerythread_adapter::store::{self, Error, Row};
-use celerythread_adapter::{Caller, Service};
+use celerythread_adapter::{HttpClient, Service};
 use celerythread_engine::job::decode;
 use celerythread_engine::maintenance;
 use celerythread_engine::pools::History;
@@ -116,13 +116,13 @@
 /// # Errors
 /// When the store doesn't answer.
 pub async fn read(address: SocketAddr) -> Result<Status, Error> {
-    let store = store::Client::new(Service::new(Arc::new(Caller::default()), address));
-    let page = store.whole(rows::CONTROL, "", READ_LIMIT).await?;
+    let store = store::Client::new(Service::new(Arc::new(HttpClient::default()), address));
+    let page = store.read_partitions(rows::CONTROL, "", READ_LIMIT).await?;
     let mut status = Status { version: page.version, ..Status::default() };
-    let fleet = store.all(rows::FLEET, "", "", READ_LIMIT).await?;
+    let fleet = store.read_partition(rows::FLEET, "", "", READ_LIMIT).await?;
     // In the order of their keys machines whose maintenance has begun come before their waves.
     page.rows.iter().chain(fleet.rows.iter().rev()).for_each(|row| status.take(row));
-    let splits = store.all(rows::SPLITS, "", "", READ_LIMIT).await?;
+    let splits = store.read_partition(rows::SPLITS, "", "", READ_LIMIT).await?;
     splits.rows.iter().for_each(|row| status.take_split(row));
     let ids: Vec<String> = status.entries.iter().map(|entry| entry.id.clone()).collect();
     for cell in &mut status.cells {
