--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -61,7 +61,7 @@
             (
                 "an answer that can't be read doesn't say that nothing runs",
                 "adapter::minion::Client::send",
-                "an_unreadable_answer_does_not_say_that_nothing_runs",
+                "an_unreadable_answer_is_not_an_empty_report",
             ),
             (
                 "an owner that may extend no lease starts nothing",
@@ -213,7 +213,10 @@
             ),
             (
                 "entries of another writer",
-                &["entries_of_another_writer_name_no_minions", "decoders_take_any_bytes"],
+                &[
+                    "entries_of_another_writer_name_no_minions",
+                    "decoders_do_not_panic_on_any_bytes",
+                ],
             ),
             ("the store turns one entry away", NOT),
         ],
@@ -232,17 +235,17 @@
             (
                 "an element that can't be read doesn't hide the others",
                 "adapter::lenient",
-                "a_feed_goes_on_beside_a_row_that_cannot_be_read",
+                "a_feed_continues_past_unreadable_rows",
             ),
             (
                 "a row whose bytes can't be read is there",
                 "adapter::store::RowBody::decode",
-                "a_spoiled_row_is_still_there",
+                "a_row_with_an_unreadable_value_is_returned",
             ),
             (
                 "an id that no header can hold names no minion",
                 "adapter::minion::Entry::decode",
-                "an_id_that_no_header_can_hold_names_no_minion",
+                "an_entry_with_an_id_unfit_for_a_header_is_rejected",
             ),
             (
                 "the end of a late run lets its task start again",
@@ -374,7 +377,7 @@
             (
                 "what can't be read opens nothing",
                 "adapter::configuration::Configuration::decode",
-                "what_cannot_be_read_opens_nothing_and_hides_nothing",
+                "unreadable_elements_are_skipped_and_grant_no_access",
             ),
         ],
     },
