--- a/crates/scheduler/src/fleet.rs
+++ b/crates/scheduler/src/fleet.rs
@@ -22,7 +22,7 @@
 use crate::node::Node;
 use crate::owner::Owner;
 use crate::rows;
-use celerythread_adapter::machine::{self, Authority, Refusal};
+use celerythread_adapter::machine::{self, Issuer, Refusal};
 use celerythread_engine::pools::Load;
 use celerythread_engine::time::Time;
 use celerythread_engine::{maintenance as maintenance_plan, pools as pool_plan};
@@ -203,7 +203,8 @@
     /// Reads the state that a former holder stored; true on success.
     async fn restore(&self) -> bool {
         let node = self.node();
-        let rows = node.store.all(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_TIMEOUT).await;
+        let rows =
+            node.store.read_partition(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_TIMEOUT).await;
         node.record_store_result(&rows);
         let Ok(rows) = rows else { return false };
         for row in &rows.rows {
@@ -228,8 +229,8 @@
     }
 
     /// The holder and fencing token that orders carry.
-    pub(crate) fn authority(&self) -> Authority {
-        Authority { holder: self.node().entry_id.clone(), token: self.owner.token }
+    pub(crate) fn authority(&self) -> Issuer {
+        Issuer { holder: self.node().entry_id.clone(), token: self.owner.token }
     }
 }
 
--- a/crates/scheduler/src/fleet/emptying.rs
+++ b/crates/scheduler/src/fleet/emptying.rs
@@ -5,7 +5,7 @@
 use crate::node::Node;
 use crate::peers;
 use crate::rows;
-use celerythread_adapter::store::{MAX_ENTRIES, Transaction};
+use celerythread_adapter::store::{MAX_TRANSACTION_ENTRIES, Transaction};
 use celerythread_wire::job::{Answer, Question};
 use futures::future::join_all;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -58,7 +58,7 @@
         (name, target.minion.as_bytes().to_vec())
     };
     let mut written = BTreeSet::new();
-    for chunk in targets.chunks(MAX_ENTRIES) {
+    for chunk in targets.chunks(MAX_TRANSACTION_ENTRIES) {
         let writes = chunk.iter().map(row).collect();
         let change = Transaction { writes, ..Transaction::default() };
         if let Err(error) = node.commit(&change, CALL_TIMEOUT).await {
@@ -91,9 +91,9 @@
 /// single transaction they were refused each time, and no row was dropped any more.
 async fn drop_in_chunks(node: &Node, machines: &[String]) {
     let row = |machine: &String| rows::control(rows::EMPTYING_PREFIX, machine);
-    for chunk in machines.chunks(MAX_ENTRIES) {
+    for chunk in machines.chunks(MAX_TRANSACTION_ENTRIES) {
         let change =
-            Transaction { drops: chunk.iter().map(row).collect(), ..Transaction::default() };
+            Transaction { deletes: chunk.iter().map(row).collect(), ..Transaction::default() };
         if let Err(error) = node.commit(&change, CALL_TIMEOUT).await {
             // Retried with the next list of machines.
             let left = machines.len();
--- a/crates/scheduler/src/fleet/maintenance.rs
+++ b/crates/scheduler/src/fleet/maintenance.rs
@@ -8,7 +8,7 @@
 use crate::node::Node;
 use crate::rows;
 use celerythread_adapter::machine;
-use celerythread_adapter::store::{self, MAX_ENTRIES, Name, Transaction};
+use celerythread_adapter::store::{self, MAX_TRANSACTION_ENTRIES, Name, Transaction};
 use celerythread_adapter::wave;
 use celerythread_engine::job::{decode, encode};
 use celerythread_engine::maintenance::{Action, Machine, Occupation, Progress, Wave};
@@ -21,9 +21,9 @@
 /// Reads the progress of waves that a former holder stored; true on success.
 pub(crate) async fn restore(controller: &Controller) -> bool {
     let node = controller.node();
-    let waves = node.store.all(rows::FLEET, "", rows::WAVE_PREFIX, CALL_TIMEOUT).await;
+    let waves = node.store.read_partition(rows::FLEET, "", rows::WAVE_PREFIX, CALL_TIMEOUT).await;
     node.record_store_result(&waves);
-    let begun = node.store.all(rows::FLEET, "", rows::BEGUN_PREFIX, CALL_TIMEOUT).await;
+    let begun = node.store.read_partition(rows::FLEET, "", rows::BEGUN_PREFIX, CALL_TIMEOUT).await;
     node.record_store_result(&begun);
     let (Ok(waves), Ok(begun)) = (waves, begun) else { return false };
     let mut state = controller.state.lock();
@@ -218,7 +218,7 @@
     controller.record_order(machine);
     controller.state.lock().waves.record_order(machine, clock::now());
     let by = controller.authority();
-    let answer = controller.client.upkeep(machine, wave, &by, CALL_TIMEOUT).await;
+    let answer = controller.client.start_upkeep(machine, wave, &by, CALL_TIMEOUT).await;
     let (ordered, outcome) = OrderOutcome::from_answer(answer);
     node.journal.info(
         "maintenance_ordered",
@@ -243,7 +243,7 @@
 async fn save_starts(controller: &Controller) {
     let unsaved_starts: Vec<(u64, String)> =
         controller.state.lock().unsaved_starts.iter().cloned().collect();
-    for chunk in unsaved_starts.chunks(MAX_ENTRIES) {
+    for chunk in unsaved_starts.chunks(MAX_TRANSACTION_ENTRIES) {
         let row = |(wave, machine): &(u64, String)| (rows::begun(*wave, machine), Vec::new());
         let writes = chunk.iter().map(row).collect();
         let change = Transaction { writes, ..Transaction::default() };
--- a/crates/scheduler/src/fleet/pools.rs
+++ b/crates/scheduler/src/fleet/pools.rs
@@ -81,7 +81,7 @@
 /// The services that have minions.
 fn services(node: &Node) -> Vec<String> {
     let Some(configuration) = node.configuration() else { return Vec::new() };
-    configuration.serving().map(Into::into).collect()
+    configuration.serving_pools().map(Into::into).collect()
 }
 
 /// Requests the demand of all pools from their owners, and waits up to [`LOAD_ANSWER_TIMEOUT`].
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -126,9 +126,9 @@
 async fn read_table(node: &Arc<Node>, table: &Table, sink: &dyn Sink) -> Option<u64> {
     loop {
         let result = if table.has_partitions {
-            node.store.whole(table.name, "", READ_TIMEOUT).await
+            node.store.read_partitions(table.name, "", READ_TIMEOUT).await
         } else {
-            node.store.all(table.name, "", "", READ_TIMEOUT).await
+            node.store.read_partition(table.name, "", "", READ_TIMEOUT).await
         };
         node.record_store_result(&result);
         if let Ok(page) = result {
@@ -160,7 +160,7 @@
 
 impl OperatorSink {
     fn apply_row(&self, row: &Row) {
-        if row.key == configuration::KEY && !row.dropped {
+        if row.key == configuration::KEY && !row.deleted {
             in_force::apply(&self.0, &row.value, &"store");
         } else if row.key.starts_with(wave::KEY_PREFIX) {
             self.apply_wave(row);
@@ -170,7 +170,7 @@
     fn apply_wave(&self, row: &Row) {
         let node = &self.0;
         match Wave::decode(&row.value) {
-            _ if row.dropped => {}
+            _ if row.deleted => {}
             Some(wave) => {
                 node.journal.info(
                     "wave_seen",
@@ -211,10 +211,10 @@
     fn apply_row(&self, row: &Row) -> bool {
         let node = &self.0;
         let id: Arc<str> = row.key.as_str().into();
-        let entry = if row.dropped { None } else { Entry::decode(&id, &row.value) };
+        let entry = if row.deleted { None } else { Entry::decode(&id, &row.value) };
         let Some(entry) = entry else {
             // A minion with an unreadable row is not used, even if an earlier row was readable.
-            if !row.dropped {
+            if !row.deleted {
                 node.journal.warn("minion_unreadable", &[("minion", &id)]);
             }
             let known = node.minions.write().remove(&id).is_some();
--- a/crates/scheduler/src/front.rs
+++ b/crates/scheduler/src/front.rs
@@ -85,7 +85,7 @@
             .map_or(DEFAULT_DEADLINE, Duration::from_millis);
         let began = clock::now();
         Self {
-            request_id: request.header(submission::REQUEST_HEADER).unwrap_or("-").into(),
+            request_id: request.header(submission::REQUEST_ID_HEADER).unwrap_or("-").into(),
             origin,
             deadline: began + usable_time(deadline),
             began,
@@ -155,7 +155,7 @@
         let Some(queue) = configuration.queue(host, path) else {
             return Err(status_response(StatusCode::NotFound).into());
         };
-        let values = head.header(credential::HEADER).into_iter().flatten();
+        let values = head.header(credential::AUTHORIZATION_HEADER).into_iter().flatten();
         let origin = match configuration.authorize(queue, values.map(HeaderValue::as_str)) {
             Ok(origin) => origin,
             Err(refusal) => return Err(self.refuse_unauthorized(head, queue, &refusal).into()),
@@ -164,7 +164,7 @@
         if strict && node.in_force.age() > node.settings.trust_keys_for.0 {
             return Err(self.refuse_unconfirmed(head, queue).into());
         }
-        let subpath = path[queue.path.len()..].to_owned();
+        let subpath = path[queue.path_prefix.len()..].to_owned();
         Ok(Target { queue: queue.clone(), origin, subpath })
     }
 
@@ -176,9 +176,9 @@
         refusal: &Refusal,
     ) -> Response {
         self.node.metrics.count(Counter::KeysRefused);
-        let request = last_value(head, submission::REQUEST_HEADER).unwrap_or("-");
+        let request = last_value(head, submission::REQUEST_ID_HEADER).unwrap_or("-");
         let age_ms = self.node.in_force.age().as_millis();
-        let job = head.url().path()[queue.path.len()..].to_owned();
+        let job = head.url().path()[queue.path_prefix.len()..].to_owned();
         self.node.journal.info(
             "key_refused",
             &[
@@ -198,7 +198,7 @@
     /// Refuses a request whose key may have been withdrawn since the configuration was last
     /// confirmed.
     fn refuse_unconfirmed(&self, head: &http_types::Request, queue: &Queue) -> Response {
-        let request = last_value(head, submission::REQUEST_HEADER).unwrap_or("-");
+        let request = last_value(head, submission::REQUEST_ID_HEADER).unwrap_or("-");
         let age_ms = self.node.in_force.age().as_millis();
         self.node.journal.info(
             "keys_unconfirmed",
--- a/crates/scheduler/src/in_force.rs
+++ b/crates/scheduler/src/in_force.rs
@@ -139,7 +139,7 @@
             ("source", source),
         ],
     );
-    for name in &read.left_out {
+    for name in &read.unreadable {
         node.journal
             .warn("configuration_part_unreadable", &[("version", &version), ("part", name)]);
     }
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -141,8 +141,8 @@
     if former.is_empty() {
         return;
     }
-    let drops = former.iter().map(|id| rows::entry(id)).collect();
-    let change = Transaction { drops, across_parts: true, ..Transaction::default() };
+    let deletes = former.iter().map(|id| rows::entry(id)).collect();
+    let change = Transaction { deletes, across_parts: true, ..Transaction::default() };
     if node.commit(&change, COMMIT_TIMEOUT).await.is_ok() {
         let mut view = node.view.write();
         for id in &former {
@@ -170,7 +170,7 @@
 /// and all that are held.
 fn expected_cells(node: &Node) -> Vec<String> {
     let Some(configuration) = node.configuration() else { return Vec::new() };
-    let mut cells: Vec<String> = configuration.serving().map(Into::into).collect();
+    let mut cells: Vec<String> = configuration.serving_pools().map(Into::into).collect();
     if node.machines.is_some() {
         cells.push(rows::FLEET_CELL.into());
     }
@@ -358,7 +358,7 @@
         let name = rows::entry(&id);
         let change = Transaction {
             conditions: vec![(name.clone(), version)],
-            drops: vec![name],
+            deletes: vec![name],
             ..Transaction::default()
         };
         // If another entry dropped the row, or it was renewed meanwhile, the feed shows it.
--- a/crates/scheduler/src/owner/load.rs
+++ b/crates/scheduler/src/owner/load.rs
@@ -119,8 +119,9 @@
     read_emptying(owner).await?;
     let roster = store.get(rows::JOBS, service, rows::ROSTER_KEY, CALL_TIMEOUT).await?;
     // Jobs are read first: those accepted later are in the feed, and have no progress yet.
-    let jobs = store.whole(rows::JOBS, &rows::shard_prefix(service), CALL_TIMEOUT).await?;
-    let progress = store.all(rows::PROGRESS, service, "", CALL_TIMEOUT).await?;
+    let jobs =
+        store.read_partitions(rows::JOBS, &rows::shard_prefix(service), CALL_TIMEOUT).await?;
+    let progress = store.read_partition(rows::PROGRESS, service, "", CALL_TIMEOUT).await?;
     let settings = Settings {
         name: service.into(),
         token: owner.token,
@@ -154,7 +155,8 @@
 /// there.
 async fn read_emptying(owner: &Owner) -> Result<(), Error> {
     let node = &owner.node;
-    let page = node.store.all(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_TIMEOUT).await?;
+    let page =
+        node.store.read_partition(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_TIMEOUT).await?;
     let mut view = node.view.write();
     for row in page.rows {
         if let Some(machine) = row.key.strip_prefix(rows::EMPTYING_PREFIX) {
@@ -272,7 +274,7 @@
     fn apply_changes(&self, rows: Vec<Row>) {
         let owner = &self.0;
         let shards = rows::shard_prefix(&owner.service);
-        for row in rows.iter().filter(|row| row.part.starts_with(&shards) && !row.dropped) {
+        for row in rows.iter().filter(|row| row.part.starts_with(&shards) && !row.deleted) {
             if let Some(id) = job_id(row, rows::JOB_PREFIX) {
                 owner.add_job(id, &row.value);
             } else if let Some(id) = job_id(row, rows::CANCEL_PREFIX) {
--- a/crates/scheduler/src/owner/quota.rs
+++ b/crates/scheduler/src/owner/quota.rs
@@ -69,7 +69,7 @@
 /// Decodes a stored split; none, with a log line, if it can't be read.  Nothing of its workspace is
 /// started then, because the use by other cells is unknown.
 fn decode_split(owner: &Owner, row: &Row) -> Option<(Box<str>, u64, Split)> {
-    if row.dropped || row.version == 0 {
+    if row.deleted || row.version == 0 {
         return Some((row.key.as_str().into(), row.version, Split::default()));
     }
     match decode(&row.value) {
--- a/crates/scheduler/src/owner/supervisor.rs
+++ b/crates/scheduler/src/owner/supervisor.rs
@@ -305,7 +305,7 @@
             apply_report(owner, id, &report, sent);
             Ok(())
         }
-        Ok(Reply::OtherLife) => {
+        Ok(Reply::OtherIncarnation) => {
             mark_terminated(owner, supervisor);
             Ok(())
         }
@@ -428,7 +428,7 @@
                         owner.with(|cell| cell.confirm_stop(&to.id, &task, run, now));
                         poll_now(&owner, &supervisor).await;
                     }
-                    Ok(Reply::OtherLife) => mark_terminated(&owner, &supervisor),
+                    Ok(Reply::OtherIncarnation) => mark_terminated(&owner, &supervisor),
                     // Ordered again by a later plan.
                     Ok(Reply::Refused(_)) | Err(_) => {}
                 }
@@ -481,7 +481,7 @@
             owner.node.metrics.count(Counter::StartsRefused);
             StartResult::Refused(reason)
         }
-        Ok(Reply::OtherLife) => {
+        Ok(Reply::OtherIncarnation) => {
             mark_terminated(owner, supervisor);
             StartResult::Refused(Refusal::Unhealthy)
         }
--- a/crates/scheduler/src/status.rs
+++ b/crates/scheduler/src/status.rs
@@ -5,7 +5,7 @@
 
 use crate::rows;
 use celerythread_adapter::store::{self, Error, Row};
-use celerythread_adapter::{Caller, Service};
+use celerythread_adapter::{HttpClient, Service};
 use celerythread_engine::job::decode;
 use celerythread_engine::maintenance;
 use celerythread_engine::pools::History;
@@ -117,14 +117,14 @@
 /// # Errors
 /// When a read from the store fails or is not answered in time.
 pub async fn read(address: SocketAddr) -> Result<Status, Error> {
-    let store = store::Client::new(Service::new(Arc::new(Caller::default()), address));
-    let page = store.whole(rows::CONTROL, "", READ_TIMEOUT).await?;
+    let store = store::Client::new(Service::new(Arc::new(HttpClient::default()), address));
+    let page = store.read_partitions(rows::CONTROL, "", READ_TIMEOUT).await?;
     let mut status = Status { version: page.version, ..Status::default() };
-    let fleet = store.all(rows::FLEET, "", "", READ_TIMEOUT).await?;
+    let fleet = store.read_partition(rows::FLEET, "", "", READ_TIMEOUT).await?;
     // Reversed, because the keys of begun machines sort before those of the waves they are counted
     // in.
     page.rows.iter().chain(fleet.rows.iter().rev()).for_each(|row| status.add_row(row));
-    let splits = store.all(rows::SPLITS, "", "", READ_TIMEOUT).await?;
+    let splits = store.read_partition(rows::SPLITS, "", "", READ_TIMEOUT).await?;
     splits.rows.iter().for_each(|row| status.add_split(row));
     let ids: Vec<String> = status.entries.iter().map(|entry| entry.id.clone()).collect();
     for cell in &mut status.cells {
