--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -7,10 +7,10 @@
 use celerythread_model::request::Class;
 use celerythread_model::table::{Row, Space};
 use celerythread_model::unit::{Accelerators, Bytes, Epoch, Millicores, Revision, Slots};
-use celerythread_policy::availability::Standing;
+use celerythread_policy::availability::Availability;
 use celerythread_policy::ownership::{self, Candidate};
-use celerythread_policy::placement::{Need, Room, place};
-use celerythread_policy::slots::{Holder, Ledger, Spec, Verdict};
+use celerythread_policy::placement::{CandidateWorker, Need, place};
+use celerythread_policy::slots::{DispatchResult, Holder, Ledger, Spec};
 use celerythread_policy::time::Moment;
 use celerythread_policy::view::View;
 use celerythread_policy::wave::{self, Target};
@@ -53,25 +53,25 @@
             epoch: Epoch(1),
             active: true,
         };
-        ledger.own(id(format!("m{n}")), spec, None);
+        ledger.upsert_minion(id(format!("m{n}")), spec, None);
     }
     let service = id("s0".into());
     time(2000, || {
         let permit = ledger.grant(&service, Holder::Own, None, Moment(0)).expect("a free slot");
-        ledger.finish(permit.grant, Verdict::Answered, Duration::from_millis(9), Moment(9));
+        ledger.finish(permit.grant, DispatchResult::Answered, Duration::from_millis(9), Moment(9));
     })
 }
 
 fn place_job(workers: usize) -> Duration {
     let total = size(16_000, 64, 2);
-    let rooms: Vec<Room> = (0..workers)
-        .map(|n| Room {
+    let rooms: Vec<CandidateWorker> = (0..workers)
+        .map(|n| CandidateWorker {
             worker: id(format!("w{n}")),
             zone: id(format!("z{}", n % 7)),
             rack: id(format!("r{}", n / 4)),
             total,
             free: size((n as u32 * 37) % 16_000, (n as u64 * 11) % 64, n as u32 % 3),
-            resting: n % 50 == 0,
+            ejected: n % 50 == 0,
             patient: Default::default(),
         })
         .collect();
@@ -100,13 +100,13 @@
         .collect()
 }
 
-fn standings(minions: usize) -> BTreeMap<id::Service, Standing> {
+fn standings(minions: usize) -> BTreeMap<id::Service, Availability> {
     (0..31)
         .map(|n| {
             let serving = (minions / 31) as u32 + 1;
             let floor = serving * 8 / 10;
             let by_rack = BTreeMap::from([(id(format!("r{n}")), 2)]);
-            let standing = Standing { serving, floor, by_rack, ..Standing::default() };
+            let standing = Availability { serving, floor, by_rack, ..Availability::default() };
             (id(format!("s{n}")), standing)
         })
         .collect()
@@ -115,7 +115,7 @@
 fn plan_wave(minions: usize) -> Duration {
     let (targets, standings) = (targets(minions), standings(minions));
     time(20, || {
-        black_box(wave::next(&targets, &standings, Ratio(0.5), &[]));
+        black_box(wave::next_targets(&targets, &standings, Ratio(0.5), &[]));
         let each = Duration::from_secs(120);
         black_box(wave::forecast(&targets, &standings, Ratio(0.5), each));
     })
--- a/benches/measures/jobs.rs
+++ b/benches/measures/jobs.rs
@@ -5,7 +5,7 @@
 use celerythread_model::job::Size;
 use celerythread_model::request::Class;
 use celerythread_model::unit::{Accelerators, Bytes, Millicores};
-use celerythread_policy::placement::{Need, Patient, Placement, Room, place};
+use celerythread_policy::placement::{CandidateWorker, Need, PatientTask, Placement, place};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
@@ -67,14 +67,14 @@
 fn run_jobs(workers: usize, policy: JobPolicy, seed: u64) -> JobResult {
     let mut random = StdRng::seed_from_u64(seed);
     let total = size(16_000, 64);
-    let mut rooms: Vec<Room> = (0..workers)
-        .map(|n| Room {
+    let mut rooms: Vec<CandidateWorker> = (0..workers)
+        .map(|n| CandidateWorker {
             worker: id(format!("w{n}")),
             zone: id(format!("z{}", n % 7)),
             rack: id(format!("r{}", n / 4)),
             total,
             free: total,
-            resting: false,
+            ejected: false,
             patient: Default::default(),
         })
         .collect();
@@ -116,7 +116,11 @@
     result
 }
 
-fn end_jobs(running: &mut Vec<(usize, Job)>, rooms: &mut [Room], result: &mut JobResult) {
+fn end_jobs(
+    running: &mut Vec<(usize, Job)>,
+    rooms: &mut [CandidateWorker],
+    result: &mut JobResult,
+) {
     running.retain_mut(|(worker, job)| {
         let worked = job.left.min(ROUND_TENTHS);
         job.left -= worked;
@@ -141,7 +145,7 @@
     urgent: &mut VecDeque<Job>,
     patient: &mut VecDeque<Job>,
     running: &mut Vec<(usize, Job)>,
-    rooms: &mut [Room],
+    rooms: &mut [CandidateWorker],
     starts: &mut Vec<f64>,
 ) {
     let mut waiting = VecDeque::new();
@@ -154,7 +158,7 @@
         let need = Need { size: job.size, class, avoid: None };
         let worker = match place(&need, rooms, None) {
             Placement::Start(worker) => worker_index(&worker),
-            Placement::PutAside(worker, aside) => {
+            Placement::Preempt(worker, aside) => {
                 let index = worker_index(&worker);
                 for name in aside {
                     put_aside(&name, index, patient, running, rooms);
@@ -179,7 +183,7 @@
     worker: usize,
     patient: &mut VecDeque<Job>,
     running: &mut Vec<(usize, Job)>,
-    rooms: &mut [Room],
+    rooms: &mut [CandidateWorker],
 ) {
     if let Some(at) = running.iter().position(|(_, job)| job.name == *name) {
         let (_, job) = running.swap_remove(at);
@@ -193,7 +197,7 @@
     policy: JobPolicy,
     patient: &mut VecDeque<Job>,
     running: &mut Vec<(usize, Job)>,
-    rooms: &mut [Room],
+    rooms: &mut [CandidateWorker],
 ) {
     let kept = match policy {
         JobPolicy::StaticHeadroom => size(3200, 0),
@@ -212,7 +216,7 @@
             Placement::Start(worker) => {
                 let index = worker_index(&worker);
                 rooms[index].free -= job.size;
-                let entry = Patient { job: job.name.clone(), size: job.size };
+                let entry = PatientTask { job: job.name.clone(), size: job.size };
                 rooms[index].patient.insert(0, entry);
                 running.push((index, job));
             }
--- a/benches/measures/waves.rs
+++ b/benches/measures/waves.rs
@@ -3,7 +3,7 @@
 use crate::{SEEDS, id, spread};
 use celerythread_model::config::Ratio;
 use celerythread_model::id;
-use celerythread_policy::availability::Standing;
+use celerythread_policy::availability::Availability;
 use celerythread_policy::wave::{self, Target};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -92,11 +92,11 @@
     deployment: &Deployment,
     all: &[Machine],
     now: u64,
-) -> BTreeMap<id::Service, Standing> {
-    let mut standings: Vec<Standing> = deployment
+) -> BTreeMap<id::Service, Availability> {
+    let mut standings: Vec<Availability> = deployment
         .pools
         .iter()
-        .map(|(_, floor)| Standing { floor: *floor, ..Standing::default() })
+        .map(|(_, floor)| Availability { floor: *floor, ..Availability::default() })
         .collect();
     for machine in all {
         let standing = &mut standings[machine.pool];
@@ -162,7 +162,7 @@
     policy: WavePolicy,
     all: &[Machine],
     remaining: &[usize],
-    standings: &BTreeMap<id::Service, Standing>,
+    standings: &BTreeMap<id::Service, Availability>,
     now: u64,
 ) -> Vec<usize> {
     let here = |n: &&usize| all[**n].back_at.is_none() && all[**n].failed_until <= now;
@@ -172,7 +172,7 @@
                 remaining.iter().filter(here).map(|n| all[*n].target.clone()).collect();
             let out = all.iter().filter(|machine| machine.back_at.is_some());
             let begun: Vec<id::Rack> = out.map(|machine| machine.target.rack.clone()).collect();
-            let next = wave::next(&targets, standings, Ratio(weight), &begun);
+            let next = wave::next_targets(&targets, standings, Ratio(weight), &begun);
             let find = |name: &id::Minion| all.iter().position(|m| m.target.minion == *name);
             next.iter().filter_map(find).collect()
         }
--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -9,8 +9,8 @@
 use celerythread_model::id;
 use celerythread_model::request::Class;
 use celerythread_model::unit::{Epoch, Slots};
-use celerythread_policy::queue::{Bounds, Queue, Waiting};
-use celerythread_policy::slots::{Grant, Holder, Ledger, Spec, Verdict};
+use celerythread_policy::queue::{Bounds, Queue, QueuedRequest};
+use celerythread_policy::slots::{DispatchResult, Grant, Holder, Ledger, Spec};
 use celerythread_policy::time::Moment;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -231,7 +231,7 @@
                     epoch: Epoch(1),
                     active: true,
                 };
-                ledger.own(format!("m{minion}").parse().expect("a valid id"), spec, None);
+                ledger.upsert_minion(format!("m{minion}").parse().expect("a valid id"), spec, None);
             }
             ledger
         });
@@ -289,7 +289,7 @@
 
     fn pump(&mut self, now: u64, owner: usize, world: &mut World) {
         while !self.queues[owner].is_empty()
-            && self.ledgers[owner].room(&service(), Moment(now)).free > 0
+            && self.ledgers[owner].capacity(&service(), Moment(now)).free > 0
         {
             let share = BOUNDS.patient_share;
             let Some(request) = self.queues[owner].pop(Moment(now), share) else { return };
@@ -316,7 +316,7 @@
             return;
         }
         let deadline = Moment(world.requests[request].deadline());
-        let waiting = Waiting { item: request, class, deadline };
+        let waiting = QueuedRequest { item: request, class, deadline };
         let jitter = self.random.random();
         let queue = self.shortest(entry);
         if queue != entry {
@@ -332,7 +332,7 @@
     fn end(&mut self, now: u64, event: Event, world: &mut World) {
         let Event::End { request, entry, grant, .. } = event else { return };
         let took = Duration::from_millis(world.requests[request].service_ms);
-        self.ledgers[entry].finish(Grant(grant), Verdict::Answered, took, Moment(now));
+        self.ledgers[entry].finish(Grant(grant), DispatchResult::Answered, took, Moment(now));
         let asker = world.requests[request].entry;
         if asker != entry {
             // The borrower knows of the end of what it borrowed.
@@ -346,7 +346,7 @@
 
     fn beat(&mut self, now: u64) {
         for entry in 0..ENTRIES {
-            let free = self.ledgers[entry].room(&service(), Moment(now)).free;
+            let free = self.ledgers[entry].capacity(&service(), Moment(now)).free;
             let waiting = self.queues[entry].len() as u32;
             for asker in 0..ENTRIES {
                 self.shown[asker][entry] = free.saturating_sub(waiting);
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -186,8 +186,8 @@
     };
     let settlement = claim::settle(outcome, answer);
     let stage = match settlement {
-        Settlement::Keep(answer) => Some(Stage::Done { answer }),
-        Settlement::Mark => Some(Stage::Unknown),
+        Settlement::Store(answer) => Some(Stage::Done { answer }),
+        Settlement::MarkUnknown => Some(Stage::Unknown),
         Settlement::Release => None,
     };
     let claim = stage.map(|stage| Claim { stage, ..held.claim.clone() });
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -280,7 +280,7 @@
         timeline,
         metrics,
         ready: AtomicBool::new(false),
-        pauses: Mutex::new(pause::Watch::new(pause)),
+        pauses: Mutex::new(pause::Detector::new(pause)),
         stopping: AtomicBool::new(false),
         flying: AtomicUsize::new(0),
         wake: Wake::default(),
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -14,7 +14,7 @@
 use celerythread_model::request::{Class, Idempotence, Outcome};
 use celerythread_policy::phase::{self, Phase};
 use celerythread_policy::retry::Budget;
-use celerythread_policy::slots::Verdict;
+use celerythread_policy::slots::DispatchResult;
 use celerythread_policy::time::Moment;
 use futures::TryStreamExt;
 use http_types::{Body, Method, Response};
@@ -116,10 +116,10 @@
             Err(miss) => miss,
         };
         node.count(Counter::DispatchFailures);
-        let verdict = phase::judge(miss.phase, task.idempotence);
-        outcome = Some(phase::join(outcome, miss.outcome.unwrap_or(verdict.outcome)));
+        let verdict = phase::decide(miss.phase, task.idempotence);
+        outcome = Some(phase::combine(outcome, miss.outcome.unwrap_or(verdict.outcome)));
         let in_time = task.deadline > node.clock.now();
-        let may_resend = verdict.resend && in_time && attempts < MAX_ATTEMPTS;
+        let may_resend = verdict.may_resend && in_time && attempts < MAX_ATTEMPTS;
         if !may_resend || !spend(node, budgets, task) {
             let outcome = outcome.unwrap_or(Outcome::Unknown);
             let code = failure_code(miss.code, outcome);
@@ -135,11 +135,11 @@
     let ratio = task.service.retry_ratio;
     let budget = budgets.entry(task.service.service.clone()).or_insert_with(|| Budget::new(ratio));
     budget.set_ratio(ratio);
-    budget.earn();
+    budget.deposit();
 }
 
 fn spend(node: &Node, budgets: &Budgets, task: &Task) -> bool {
-    let spent = budgets.lock().get_mut(&task.service.service).is_some_and(Budget::spend);
+    let spent = budgets.lock().get_mut(&task.service.service).is_some_and(Budget::try_withdraw);
     if !spent {
         node.count(Counter::ResendsDenied);
     }
@@ -149,7 +149,7 @@
 fn give_up_waiting(denied: Denied, earlier: Option<Outcome>) -> Failed {
     Failed {
         code: denied.code,
-        outcome: phase::join(earlier, Outcome::NotRun),
+        outcome: phase::combine(earlier, Outcome::NotRun),
         retry_after: denied.retry_after,
         detail: "no slot of the service became free in time".into(),
     }
@@ -176,7 +176,7 @@
 
 fn miss(slot: Slot, code: Code, phase: Phase, fault: &Fault) -> Miss {
     let minion = slot.minion.clone();
-    slot.finish(Verdict::Failed);
+    slot.finish(DispatchResult::Failed);
     Miss { code, phase, outcome: None, detail: format!("{minion}: {fault}"), minion }
 }
 
@@ -223,7 +223,7 @@
 /// A minion that answers 503 is leaving or full; idempotent work goes elsewhere.
 fn unavailable(slot: Slot) -> Miss {
     let minion = slot.minion.clone();
-    slot.finish(Verdict::Leaving);
+    slot.finish(DispatchResult::Leaving);
     Miss {
         code: Code::NoMinion,
         phase: Phase::AnswerBegun,
@@ -273,7 +273,7 @@
                 } else {
                     node.connections.forget(slot.address);
                 }
-                slot.finish(Verdict::Answered);
+                slot.finish(DispatchResult::Answered);
                 let body = Received::Whole(received);
                 return Ok(Delivered { head: answer.head, body });
             }
@@ -316,12 +316,12 @@
                 Ok(Some(piece)) => {
                     if sender.send(Ok(piece)).await.is_err() {
                         // The caller has gone; the rest of the answer is of no use.
-                        return slot.finish(Verdict::Answered);
+                        return slot.finish(DispatchResult::Answered);
                     }
                 }
-                Ok(None) => return slot.finish(Verdict::Answered),
+                Ok(None) => return slot.finish(DispatchResult::Answered),
                 Err(fault) => {
-                    slot.finish(Verdict::Failed);
+                    slot.finish(DispatchResult::Failed);
                     let _ = sender.send(Err(std::io::Error::other(fault.to_string()))).await;
                     return;
                 }
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -14,7 +14,7 @@
 use crate::node::Node;
 use celerythread_model::table::Space;
 use celerythread_platform::message::Transaction;
-use celerythread_policy::lease::Held;
+use celerythread_policy::lease::HeldLease;
 use std::sync::Arc;
 
 /// What a duty's holder remembers between two steps.
@@ -34,7 +34,7 @@
     }
 
     /// Does what is due.
-    pub(crate) async fn step(&mut self, node: &Arc<Node>, held: Held) {
+    pub(crate) async fn step(&mut self, node: &Arc<Node>, held: HeldLease) {
         match self {
             Driver::Fleet(fleet) => fleet.step(node, held).await,
             Driver::Jobs(jobs) => jobs.step(node, held).await,
@@ -44,6 +44,6 @@
 
 /// A transaction that only commits while the duty's lease is still held: a holder that was
 /// paused past its term finds the lease's row changed and its writes refused.
-pub(crate) fn fenced(duty: Duty, held: Held) -> Transaction {
+pub(crate) fn fenced(duty: Duty, held: HeldLease) -> Transaction {
     Transaction::new().check(Space::Lease, duty.key(), held.revision)
 }
--- a/crates/entry/src/drive/fleet.rs
+++ b/crates/entry/src/drive/fleet.rs
@@ -15,9 +15,9 @@
 use celerythread_model::table::Space;
 use celerythread_model::unit::Epoch;
 use celerythread_platform::message::{Instance, Role, Transaction};
-use celerythread_policy::availability::Standing;
-use celerythread_policy::lease::Held;
-use celerythread_policy::movement::{self, Facts, Step};
+use celerythread_policy::availability::Availability;
+use celerythread_policy::lease::HeldLease;
+use celerythread_policy::movement::{self, Action, Facts};
 use celerythread_policy::sizing::{self, Pool, Sizer};
 use celerythread_policy::view::View;
 use std::collections::{BTreeMap, BTreeSet};
@@ -38,7 +38,7 @@
 impl Fleet {
     /// One round.  Nothing new is begun while the platform does not answer: both its list and
     /// the table must have been read in this very round.
-    pub(crate) async fn step(&mut self, node: &Arc<Node>, held: Held) {
+    pub(crate) async fn step(&mut self, node: &Arc<Node>, held: HeldLease) {
         if crate::follow::once(node).await.is_err() || !self.roster.refresh(node).await {
             return;
         }
@@ -51,7 +51,7 @@
     }
 
     /// Removes registrations of entries whose instance is gone for certain.
-    async fn clear_entries(&mut self, node: &Arc<Node>, held: Held) {
+    async fn clear_entries(&mut self, node: &Arc<Node>, held: HeldLease) {
         let entries: Vec<id::Entry> = node.view.read().entries().keys().cloned().collect();
         let now = node.clock.now();
         for entry in entries {
@@ -68,7 +68,7 @@
     }
 
     /// Writes rows for new minions, drains leaving ones, and removes those that are gone.
-    async fn sync_minions(&mut self, node: &Arc<Node>, held: Held) {
+    async fn sync_minions(&mut self, node: &Arc<Node>, held: HeldLease) {
         let listed: Vec<Instance> = self.roster.of(Role::Minion).cloned().collect();
         for instance in listed {
             let Ok(name) = instance.name.parse::<id::Minion>() else { continue };
@@ -95,7 +95,7 @@
     }
 
     /// Carries each minion that is out one step on.
-    async fn carry_errands(&mut self, node: &Arc<Node>, held: Held) {
+    async fn carry_errands(&mut self, node: &Arc<Node>, held: HeldLease) {
         let out: Vec<Minion> = {
             let view = node.view.read();
             let out = view.minions().values().filter(|minion| minion.state != State::Active);
@@ -103,12 +103,12 @@
         };
         for minion in out {
             match self.next_step(node, &minion) {
-                Step::Wait => {}
-                Step::Reboot(boot) => {
+                Action::Wait => {}
+                Action::Reboot(boot) => {
                     // A lost answer shows in the list, and asking twice is harmless.
                     let _ = node.platform.roster.reboot(minion.minion.as_str(), boot).await;
                 }
-                Step::Write(row) => {
+                Action::Write(row) => {
                     let back = row.state == State::Active;
                     if self.replace(node, held, &minion, &row, None).await && back {
                         let (minion, pool, epoch) = (row.minion, row.pool, row.epoch);
@@ -119,7 +119,7 @@
         }
     }
 
-    fn next_step(&self, node: &Node, minion: &Minion) -> Step {
+    fn next_step(&self, node: &Node, minion: &Minion) -> Action {
         let view = node.view.read();
         let ownership = view.owners().get(&minion.minion);
         let owner = ownership.and_then(|row| row.owner.as_ref());
@@ -138,7 +138,7 @@
     pub(crate) async fn replace(
         &self,
         node: &Arc<Node>,
-        held: Held,
+        held: HeldLease,
         old: &Minion,
         new: &Minion,
         wave: Option<(&Wave, Wave)>,
@@ -157,7 +157,7 @@
     }
 
     /// How each service stands against its floor.
-    pub(crate) fn standings(&self, node: &Node) -> BTreeMap<id::Service, Standing> {
+    pub(crate) fn standings(&self, node: &Node) -> BTreeMap<id::Service, Availability> {
         let ejected = ejected(node);
         let view = node.view.read();
         let healthy = |name: &id::Minion| {
@@ -169,13 +169,13 @@
             .map(|service| {
                 let disruption = view.disruption(&service.service);
                 let minions = view.pool(&service.service);
-                let standing = Standing::count(service, minions, &disruption, healthy);
+                let standing = Availability::count(service, minions, &disruption, healthy);
                 (service.service.clone(), standing)
             })
             .collect()
     }
 
-    async fn decide_move(&mut self, node: &Arc<Node>, held: Held) {
+    async fn decide_move(&mut self, node: &Arc<Node>, held: HeldLease) {
         let pools = self.pools(node);
         let decided = self.sizer.decide(&pools, node.clock.now(), sizing::Settings::default());
         let Some(decision) = decided else { return };
@@ -265,7 +265,7 @@
     }
 }
 
-async fn add(node: &Arc<Node>, held: Held, name: id::Minion, instance: &Instance) {
+async fn add(node: &Arc<Node>, held: HeldLease, name: id::Minion, instance: &Instance) {
     let Some(address) = instance.address else { return };
     let Some(pool) = pool_for(node, instance) else { return };
     let row = Minion {
@@ -300,7 +300,7 @@
 }
 
 /// Removes a minion that is gone for certain, with all that is noted of it.
-async fn remove(node: &Arc<Node>, held: Held, name: &id::Minion) {
+async fn remove(node: &Arc<Node>, held: HeldLease, name: &id::Minion) {
     let transaction = {
         let view = node.view.read();
         let Some(minion) = view.minions().get(name) else { return };
--- a/crates/entry/src/drive/jobs.rs
+++ b/crates/entry/src/drive/jobs.rs
@@ -19,8 +19,10 @@
 use celerythread_platform::message::{Order, Role, Task};
 use celerythread_policy::health::{Health, State};
 use celerythread_policy::learning::Estimates;
-use celerythread_policy::lease::Held;
-use celerythread_policy::placement::{self, Allowance, Misses, Need, Patient, Placement, Room};
+use celerythread_policy::lease::HeldLease;
+use celerythread_policy::placement::{
+    self, Allowance, CandidateWorker, Misses, Need, PatientTask, Placement,
+};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
@@ -51,7 +53,7 @@
 
 impl Jobs {
     /// One round.  Nothing new is started while the platform does not answer.
-    pub(crate) async fn step(&mut self, node: &Arc<Node>, held: Held) {
+    pub(crate) async fn step(&mut self, node: &Arc<Node>, held: HeldLease) {
         if !self.board.follow(node).await || !self.roster.refresh(node).await {
             return;
         }
@@ -74,7 +76,7 @@
                 && job.attempts == task.attempt
             {
                 let (kind, declared) = (&job.spec.kind, &job.spec.size);
-                self.estimates.learn_use(kind, declared, task.cpu, task.memory);
+                self.estimates.record_usage(kind, declared, task.cpu, task.memory);
             }
         }
     }
@@ -84,7 +86,7 @@
     /// The row goes first: an order whose row was refused is never given, and one whose row
     /// was written is given again by the next holder, with the same attempt, which the worker
     /// carries out once.
-    async fn commit(&mut self, node: &Arc<Node>, held: Held, changes: Vec<Change>) {
+    async fn commit(&mut self, node: &Arc<Node>, held: HeldLease, changes: Vec<Change>) {
         let mut changes = changes;
         while !changes.is_empty() {
             let rest = changes.split_off(changes.len().min(BATCH));
@@ -143,7 +145,7 @@
         }
     }
 
-    fn place(&mut self, node: &Node, held: Held, tasks: &[Task]) -> Vec<Change> {
+    fn place(&mut self, node: &Node, held: HeldLease, tasks: &[Task]) -> Vec<Change> {
         let document = node.view.read().document().clone();
         let mut rooms = self.rooms(node, tasks);
         let mut used = self.used_by_team();
@@ -176,14 +178,14 @@
                     let then = Some((worker, start_order(&job, need.size)));
                     changes.push(Change { old: revision, job, then });
                 }
-                Placement::PutAside(worker, jobs) => {
+                Placement::Preempt(worker, jobs) => {
                     for name in jobs {
                         changes.extend(self.put_aside(&name, &worker));
                         forget_patient(&mut rooms, &worker, &name);
                     }
                 }
                 // A job that waits for its team's quota says nothing about the others.
-                Placement::Wait if fits_quota(allowance, &need) => misses.note(&need),
+                Placement::Wait if fits_quota(allowance, &need) => misses.record(&need),
                 Placement::Wait => {}
                 Placement::Impossible(reason) => {
                     let job = Job { stage: Stage::Failed, reason, ..job.clone() };
@@ -203,24 +205,24 @@
     }
 
     /// What each worker has left, by what is learnt of the jobs that run on it.
-    fn rooms(&self, node: &Node, tasks: &[Task]) -> Vec<Room> {
+    fn rooms(&self, node: &Node, tasks: &[Task]) -> Vec<CandidateWorker> {
         let now = node.clock.now();
-        let mut rooms: BTreeMap<id::Worker, Room> = BTreeMap::new();
+        let mut rooms: BTreeMap<id::Worker, CandidateWorker> = BTreeMap::new();
         for instance in self.roster.of(Role::Worker).filter(|instance| !instance.leaving) {
             let Ok(worker) = instance.name.parse::<id::Worker>() else { continue };
-            let resting = self.health.get(&worker).is_some_and(|health| match health.state(now) {
-                State::Trusted => false,
-                State::Resting(_) => true,
+            let ejected = self.health.get(&worker).is_some_and(|health| match health.state(now) {
+                State::Healthy => false,
+                State::Ejected(_) => true,
                 // Tried again gently: one task at a time.
                 State::Probing => tasks.iter().any(|t| t.worker == worker && settle::occupies(t)),
             });
-            let room = Room {
+            let room = CandidateWorker {
                 worker: worker.clone(),
                 zone: instance.zone.clone(),
                 rack: instance.rack.clone(),
                 total: instance.size,
                 free: instance.size,
-                resting,
+                ejected,
                 patient: Default::default(),
             };
             rooms.insert(worker, room);
@@ -232,7 +234,7 @@
             let size = self.estimates.size(&job.spec.kind, &job.spec.size);
             room.free -= size;
             if job.spec.class == Class::Patient {
-                room.patient.push(Patient { job: job.spec.job.clone(), size });
+                room.patient.push(PatientTask { job: job.spec.job.clone(), size });
             }
         }
         rooms.into_values().collect()
@@ -249,7 +251,7 @@
 }
 
 /// A job with a new attempt on a worker.
-fn started(job: &Job, worker: &id::Worker, boot: u64, held: Held) -> Job {
+fn started(job: &Job, worker: &id::Worker, boot: u64, held: HeldLease) -> Job {
     Job {
         stage: Stage::Running,
         worker: Some(worker.clone()),
@@ -276,7 +278,7 @@
     allowance.is_none_or(|allowance| (allowance.used + need.size).fits(&allowance.quota))
 }
 
-fn take_room(rooms: &mut [Room], worker: &id::Worker, size: &Size) {
+fn take_room(rooms: &mut [CandidateWorker], worker: &id::Worker, size: &Size) {
     if let Some(room) = rooms.iter_mut().find(|room| room.worker == *worker) {
         room.free -= *size;
     }
@@ -284,7 +286,7 @@
 
 /// A job that is being put aside cannot be put aside for a second urgent one, and what it frees
 /// is already spoken for.
-fn forget_patient(rooms: &mut [Room], worker: &id::Worker, job: &id::Job) {
+fn forget_patient(rooms: &mut [CandidateWorker], worker: &id::Worker, job: &id::Job) {
     if let Some(room) = rooms.iter_mut().find(|room| room.worker == *worker) {
         room.patient.retain(|patient| patient.job != *job);
     }
--- a/crates/entry/src/drive/jobs/settle.rs
+++ b/crates/entry/src/drive/jobs/settle.rs
@@ -58,7 +58,10 @@
                 ..job.clone()
             }),
             Phase::Done => {
-                self.health.entry(worker.clone()).or_default().succeed(Duration::from_millis(1));
+                self.health
+                    .entry(worker.clone())
+                    .or_default()
+                    .record_success(Duration::from_millis(1));
                 Some(Job { stage: Stage::Done, ..job.clone() })
             }
             Phase::Failed => {
@@ -76,7 +79,7 @@
         let rates: Vec<f64> = others.map(|(_, health)| health.failure_rate()).collect();
         let siblings = rates.iter().sum::<f64>() / rates.len().max(1) as f64;
         let health = self.health.entry(worker.clone()).or_default();
-        health.fail(node.clock.now(), siblings, true);
+        health.record_failure(node.clock.now(), siblings, true);
     }
 
     /// The reports say nothing of the attempt: it was never started, or its worker is gone or
--- a/crates/entry/src/drive/retention.rs
+++ b/crates/entry/src/drive/retention.rs
@@ -7,7 +7,7 @@
 use celerythread_model::unit::Revision;
 use celerythread_platform::message::Transaction;
 use celerythread_policy::claim::Claim;
-use celerythread_policy::lease::Held;
+use celerythread_policy::lease::HeldLease;
 use celerythread_policy::time::Moment;
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 
 impl Retention {
     /// Clears a batch of old claims, if it is time to look.
-    pub(crate) async fn step(&mut self, node: &Arc<Node>, held: Held) {
+    pub(crate) async fn step(&mut self, node: &Arc<Node>, held: HeldLease) {
         let now = node.clock.now();
         if self.looked.is_some_and(|looked| now.since(looked) < INTERVAL) {
             return;
--- a/crates/entry/src/drive/waves.rs
+++ b/crates/entry/src/drive/waves.rs
@@ -8,14 +8,14 @@
 use celerythread_model::fleet::{self, Errand, Minion, Progress, State, Wave};
 use celerythread_model::id;
 use celerythread_model::table::Space;
-use celerythread_policy::lease::Held;
+use celerythread_policy::lease::HeldLease;
 use celerythread_policy::movement;
 use celerythread_policy::view::View;
 use celerythread_policy::wave::{self, Target};
 use std::sync::Arc;
 
 /// Carries every open wave one step on, the earliest deadline first.
-pub(crate) async fn step(fleet: &mut Fleet, node: &Arc<Node>, held: Held) {
+pub(crate) async fn step(fleet: &mut Fleet, node: &Arc<Node>, held: HeldLease) {
     let mut waves: Vec<Wave> = node.view.read().waves().values().cloned().collect();
     waves.retain(is_open);
     waves.sort_by_key(|wave| (wave.deadline.unwrap_or(u64::MAX), wave.declared_at));
@@ -49,7 +49,7 @@
 }
 
 /// Ends a wave of which nothing is left and nothing is out.
-async fn note_returned(node: &Arc<Node>, held: Held, wave: Wave) -> Wave {
+async fn note_returned(node: &Arc<Node>, held: HeldLease, wave: Wave) -> Wave {
     let (left, out) = {
         let view = node.view.read();
         let out = view.minions().values().filter(|m| belongs(m, &wave.wave)).count();
@@ -67,7 +67,7 @@
 }
 
 /// Takes out what may go now, or notes what the wave waits for.
-async fn advance(fleet: &mut Fleet, node: &Arc<Node>, held: Held, wave: &Wave) {
+async fn advance(fleet: &mut Fleet, node: &Arc<Node>, held: HeldLease, wave: &Wave) {
     if let Some(waiting_for) = not_yet(node, wave) {
         set_progress(node, held, wave, Progress::Paused, waiting_for).await;
         return;
@@ -84,9 +84,9 @@
         (targets, begun, view.document().rollout_weight, out.len())
     };
     let standings = fleet.standings(node);
-    let next = wave::next(&targets, &standings, weight, &begun);
+    let next = wave::next_targets(&targets, &standings, weight, &begun);
     if next.is_empty() && out == 0 && !targets.is_empty() {
-        let services = wave::waiting_for(&targets, &standings);
+        let services = wave::blocked_services(&targets, &standings);
         let names: Vec<String> = services.iter().map(ToString::to_string).collect();
         let waiting_for = format!("at the floor: {}", names.join(", "));
         set_progress(node, held, wave, Progress::Paused, waiting_for).await;
@@ -125,7 +125,7 @@
 async fn take_out(
     fleet: &Fleet,
     node: &Arc<Node>,
-    held: Held,
+    held: HeldLease,
     wave: &id::Wave,
     name: &id::Minion,
 ) -> bool {
@@ -153,7 +153,7 @@
 
 async fn set_progress(
     node: &Arc<Node>,
-    held: Held,
+    held: HeldLease,
     wave: &Wave,
     progress: Progress,
     waiting_for: String,
@@ -165,7 +165,7 @@
     write(node, held, &row).await;
 }
 
-async fn write(node: &Arc<Node>, held: Held, wave: &Wave) -> bool {
+async fn write(node: &Arc<Node>, held: HeldLease, wave: &Wave) -> bool {
     let key = fleet::key::<Wave>(&wave.wave);
     let revision = node.view.read().revision(&key);
     let transaction = fenced(Duty::Fleet, held).replace(Space::Fleet, key, revision, wave);
--- a/crates/entry/src/duty.rs
+++ b/crates/entry/src/duty.rs
@@ -7,7 +7,7 @@
 use celerythread_model::table::Space;
 use celerythread_platform::Error;
 use celerythread_platform::message::Transaction;
-use celerythread_policy::lease::{Action, Held, Observer};
+use celerythread_policy::lease::{Action, HeldLease, Observer};
 use std::sync::Arc;
 use std::time::Duration;
 use strum::{Display, VariantArray};
@@ -38,7 +38,7 @@
 /// Tries to carry a duty, and carries it while the lease lasts.
 pub(crate) async fn carry_forever(node: Arc<Node>, duty: Duty) {
     let mut observer = Observer::default();
-    let mut held: Option<Held> = None;
+    let mut held: Option<HeldLease> = None;
     let mut driver = drive::Driver::new(duty);
     let renewal = node.settings.lease_term.0 / RENEWALS;
     let mut looked = None;
@@ -74,8 +74,8 @@
     node: &Arc<Node>,
     duty: Duty,
     observer: &mut Observer,
-    held: Option<Held>,
-) -> Option<Held> {
+    held: Option<HeldLease>,
+) -> Option<HeldLease> {
     if !node.view.read().entries().contains_key(&node.me) {
         return None;
     }
@@ -86,20 +86,20 @@
     let lease: Option<Lease> = row.decode();
     let term = node.settings.lease_term.0;
     let next = match observer.observe(&node.me, lease.as_ref(), row.revision, now, term) {
-        Action::Stand => return None,
-        Action::Renew(next) | Action::Take(next) => next,
+        Action::Wait => return None,
+        Action::Renew(next) | Action::Acquire(next) => next,
     };
     // An absent row is conditional on being absent; a deleted one has a revision of its own.
     let transaction = Transaction::new().replace(Space::Lease, key, row.revision, &next);
     match node.platform.table.commit(transaction).await {
-        Ok(revision) => Some(Held { token: next.token, revision, confirmed: now }),
+        Ok(revision) => Some(HeldLease { token: next.token, revision, confirmed_at: now }),
         // Whether it was written shows at the next look.
         Err(Error::Lost { .. } | Error::Unavailable { .. }) => held,
         Err(_) => None,
     }
 }
 
-fn note_change(node: &Node, duty: Duty, before: Option<Held>, after: Option<Held>) {
+fn note_change(node: &Node, duty: Duty, before: Option<HeldLease>, after: Option<HeldLease>) {
     let (before, after) = (before.map(|held| held.token), after.map(|held| held.token));
     if before == after {
         return;
@@ -112,7 +112,7 @@
     }
 }
 
-async fn give_back(node: &Arc<Node>, duty: Duty, held: Held) {
+async fn give_back(node: &Arc<Node>, duty: Duty, held: HeldLease) {
     let row = Lease { holder: None, token: held.token, beat: 0 };
     let transaction = Transaction::new().replace(Space::Lease, duty.key(), held.revision, &row);
     let _ = node.platform.table.commit(transaction).await;
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -79,9 +79,9 @@
             Some(minion) if ours => {
                 let active = minion.state == State::Active;
                 let spec = crate::owner::spec(&view, minion, active);
-                router.ledger.own(name, spec, None);
+                router.ledger.upsert_minion(name, spec, None);
             }
-            _ => router.ledger.disown(&name),
+            _ => router.ledger.remove_minion(&name),
         }
     }
     router.tick(node.clock.now());
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -102,7 +102,7 @@
 
     fn enter(&self, checked: &Checked, document: &Document) -> Result<Entered<'_>, Problem> {
         let Some(team) = &checked.team else { return Ok(Entered { front: self, team: None }) };
-        if !self.quota.lock().enter(team, document) {
+        if !self.quota.lock().try_acquire(team, document) {
             let detail = format!("team {team} has its quota of requests in flight");
             let problem = Problem::new(Code::QuotaExceeded, detail);
             return Err(problem.retry_after(Duration::from_secs(1)));
@@ -193,7 +193,7 @@
 impl Drop for Entered<'_> {
     fn drop(&mut self) {
         if let Some(team) = &self.team {
-            self.front.quota.lock().leave(team);
+            self.front.quota.lock().release(team);
         }
     }
 }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -59,7 +59,7 @@
     /// Whether the balancer may send callers here.
     pub(crate) ready: AtomicBool,
     /// Notices when this process stood still.
-    pub(crate) pauses: Mutex<pause::Watch>,
+    pub(crate) pauses: Mutex<pause::Detector>,
     /// Whether no new work is taken any more.
     pub(crate) stopping: AtomicBool,
     /// Requests of callers being worked on.
--- a/crates/entry/src/operator/maintenance.rs
+++ b/crates/entry/src/operator/maintenance.rs
@@ -14,7 +14,7 @@
 use celerythread_model::unit::{Revision, Span};
 use celerythread_platform::Error;
 use celerythread_platform::message::Transaction;
-use celerythread_policy::availability::Standing;
+use celerythread_policy::availability::Availability;
 use celerythread_policy::wave::{self, Forecast, Target};
 use http_types::Response;
 use serde::Deserialize;
@@ -100,8 +100,8 @@
     serde_json::json!({
         "wave": wave.wave,
         "instances": wave.remaining.len(),
-        "forecast": Span(forecast.time).to_string(),
-        "binding": forecast.binding,
+        "forecast": Span(forecast.duration).to_string(),
+        "binding": forecast.bottleneck,
         "parallel": forecast.parallel,
     })
 }
@@ -127,20 +127,20 @@
     }
     refuse_overlap(&view, &targets)?;
     let document = view.document();
-    let standings: BTreeMap<id::Service, Standing> = document
+    let standings: BTreeMap<id::Service, Availability> = document
         .services
         .values()
         .map(|service| {
             let disruption = view.disruption(&service.service);
             let minions = view.pool(&service.service);
-            let standing = Standing::count(service, minions, &disruption, |_| true);
+            let standing = Availability::count(service, minions, &disruption, |_| true);
             (service.service.clone(), standing)
         })
         .collect();
     refuse_unknown_window(document, declaration)?;
     let each = document.reboot.0 + DRAIN;
     let forecast = wave::forecast(&targets, &standings, document.rollout_weight, each);
-    if let Some(stuck) = &forecast.stuck {
+    if let Some(stuck) = &forecast.blocked_service {
         let detail = format!("{stuck} has nothing to spare above its floor");
         return Err(Problem::new(Code::WaveTooLate, detail));
     }
@@ -156,7 +156,7 @@
         starts_at: now + declaration.after.unwrap_or_default().0.as_millis() as u64,
         window: declaration.window.clone(),
         deadline: declaration.within.map(|within| now + within.0.as_millis() as u64),
-        forecast: Span(forecast.time),
+        forecast: Span(forecast.duration),
         waiting_for: String::new(),
     };
     Ok((row, forecast))
@@ -172,14 +172,14 @@
 
 fn refuse_late(declaration: &Declaration, forecast: &Forecast) -> Result<(), Problem> {
     let begins = declaration.after.unwrap_or_default().0;
-    let late = |within: &Span| begins + forecast.time > within.0;
+    let late = |within: &Span| begins + forecast.duration > within.0;
     let Some(within) = declaration.within.filter(late) else {
         return Ok(());
     };
-    let binding = forecast.binding.as_ref().map_or("", |service| service.as_str());
+    let binding = forecast.bottleneck.as_ref().map_or("", |service| service.as_str());
     let detail = format!(
         "the forecast is {} and {within} was allowed; {binding} binds, with {} at once",
-        Span(forecast.time),
+        Span(forecast.duration),
         forecast.parallel
     );
     Err(Problem::new(Code::WaveTooLate, detail))
--- a/crates/entry/src/owner.rs
+++ b/crates/entry/src/owner.rs
@@ -135,8 +135,8 @@
         let standing = view.owners().get(name);
         let action = ownership::decide(&node.me, name, standing, should.get(name), &candidates);
         match action {
-            Action::Take(row) => steps.push(Step::Take(row)),
-            Action::HandBack(row) => steps.push(Step::HandBack(row)),
+            Action::Acquire(row) => steps.push(Step::Take(row)),
+            Action::Release(row) => steps.push(Step::HandBack(row)),
             Action::Keep => {}
         }
         if let Some(row) = standing.filter(|row| row.owner.as_ref() == Some(&node.me)) {
@@ -164,7 +164,7 @@
         };
         beat.view >= taken_over && !beat.load.iter().any(|load| load.minion == row.minion)
     };
-    let settled = ownership::settled_formers(row, registered, confirmed);
+    let settled = ownership::prune_former_owners(row, registered, confirmed);
     if settled.former.len() < row.former.len() {
         return Some(Step::Settle(settled));
     }
@@ -233,7 +233,7 @@
             (outstanding, now + longest)
         });
         let mut router = node.router.lock();
-        router.ledger.own(row.minion.clone(), spec, reserved);
+        router.ledger.upsert_minion(row.minion.clone(), spec, reserved);
         router.tick(now);
     }
     node.note(Kind::SlotsTaken { minion: row.minion, takeover });
@@ -249,7 +249,7 @@
             true
         } else if let Some(minion) = view.minions().get(&row.minion) {
             let spec = spec(&view, minion, false);
-            router.ledger.own(row.minion.clone(), spec, None);
+            router.ledger.upsert_minion(row.minion.clone(), spec, None);
             router.ledger.is_idle(&row.minion, now)
         } else {
             true
@@ -259,7 +259,7 @@
         return;
     }
     if write(node, &row).await {
-        node.router.lock().ledger.disown(&row.minion);
+        node.router.lock().ledger.remove_minion(&row.minion);
         node.note(Kind::SlotsGiven { minion: row.minion });
     }
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -7,7 +7,7 @@
 use celerythread_model::event::Kind;
 use celerythread_model::id;
 use celerythread_model::unit::Revision;
-use celerythread_policy::slots::{Grant, Verdict};
+use celerythread_policy::slots::{DispatchResult, Grant};
 use celerythread_policy::time::Moment;
 use celerythread_wire::frame::{Beat, Frame, Load};
 use celerythread_wire::{Channel, Endpoint, Error, Link};
@@ -257,7 +257,7 @@
     let entry = beat.entry.clone();
     let heard = node.peers.write().take_beat(beat, link, now);
     for (grant, since) in heard.over {
-        router::finish_own(node, grant, Verdict::Unused, now.since(since));
+        router::finish_own(node, grant, DispatchResult::Unused, now.since(since));
     }
     if heard.anew {
         node.note(Kind::Peer { peer: entry, reachable: true });
@@ -317,7 +317,7 @@
         .filter(|entry| !view.entries().contains_key(entry))
         .collect();
     for entry in &gone {
-        router.ledger.settle(entry, |_| false);
+        router.ledger.reconcile_peer_grants(entry, |_| false);
     }
     if !gone.is_empty() {
         router.tick(now);
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -15,8 +15,8 @@
 use celerythread_model::code::Code;
 use celerythread_model::id;
 use celerythread_model::request::Class;
-use celerythread_policy::queue::{Bounds, Queue, Refusal, Waiting};
-use celerythread_policy::slots::{Grant, Holder, Ledger, Permit, Verdict};
+use celerythread_policy::queue::{Bounds, Queue, QueuedRequest, Refusal};
+use celerythread_policy::slots::{DispatchResult, Grant, Holder, Ledger, Permit};
 use celerythread_policy::time::Moment;
 use celerythread_wire::Channel;
 use celerythread_wire::frame::{self, Frame};
@@ -110,10 +110,10 @@
     ) -> Result<oneshot::Receiver<Permit>, Refusal> {
         let (reply, receiver) = oneshot::channel();
         let mut bounds = self.bounds(&want.service);
-        let slots = self.ledger.room(&want.service, now).slots as usize;
+        let slots = self.ledger.capacity(&want.service, now).slots as usize;
         bounds.limit *= slots.max(1);
         let item = Waiter { reply, holder, avoid: want.avoid.clone() };
-        let waiting = Waiting { item, class: want.class, deadline: want.deadline };
+        let waiting = QueuedRequest { item, class: want.class, deadline: want.deadline };
         let queue = self.queues.entry(want.service.clone()).or_default();
         queue.push(waiting, now, bounds, rand::random())?;
         self.pump(&want.service, now);
@@ -124,7 +124,7 @@
     pub(crate) fn pump(&mut self, service: &id::Service, now: Moment) {
         let share = self.bounds(service).patient_share;
         let Some(queue) = self.queues.get_mut(service) else { return };
-        while !queue.is_empty() && self.ledger.room(service, now).free > 0 {
+        while !queue.is_empty() && self.ledger.capacity(service, now).free > 0 {
             let Some(waiter) = queue.pop(now, share) else { return };
             if waiter.reply.is_canceled() {
                 continue;
@@ -134,7 +134,7 @@
                 return;
             };
             if let Err(permit) = waiter.reply.send(permit) {
-                self.ledger.finish(permit.grant, Verdict::Unused, Duration::ZERO, now);
+                self.ledger.finish(permit.grant, DispatchResult::Unused, Duration::ZERO, now);
             }
         }
     }
@@ -145,7 +145,7 @@
         let services: Vec<id::Service> = self.queues.keys().cloned().collect();
         for service in services {
             if let Some(queue) = self.queues.get_mut(&service) {
-                queue.expire(now);
+                queue.remove_expired(now);
                 queue.remove(|waiter| waiter.reply.is_canceled());
             }
             self.pump(&service, now);
@@ -157,7 +157,7 @@
         let services = self.ledger.services();
         services
             .map(|service| {
-                let room = self.ledger.room(service, now);
+                let room = self.ledger.capacity(service, now);
                 let waiting = self.waiting(service) as u32;
                 // What waits here has a claim on what is free here.
                 let free = room.free.saturating_sub(waiting);
@@ -187,11 +187,11 @@
 
 impl Slot {
     /// Ends the use of the slot with what became of the dispatch.
-    pub(crate) fn finish(mut self, verdict: Verdict) {
+    pub(crate) fn finish(mut self, verdict: DispatchResult) {
         self.end(verdict);
     }
 
-    fn end(&mut self, verdict: Verdict) {
+    fn end(&mut self, verdict: DispatchResult) {
         if self.over {
             return;
         }
@@ -206,12 +206,12 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.end(Verdict::Unused);
+        self.end(DispatchResult::Unused);
     }
 }
 
 /// Ends an own grant and serves the next in line.
-pub(crate) fn finish_own(node: &Node, grant: Grant, verdict: Verdict, took: Duration) {
+pub(crate) fn finish_own(node: &Node, grant: Grant, verdict: DispatchResult, took: Duration) {
     let now = node.clock.now();
     let changed = {
         let mut router = node.router.lock();
@@ -230,13 +230,19 @@
     }
 }
 
-fn give_back(node: &Arc<Node>, lender: Lender, grant: Grant, verdict: Verdict, took: Duration) {
+fn give_back(
+    node: &Arc<Node>,
+    lender: Lender,
+    grant: Grant,
+    verdict: DispatchResult,
+    took: Duration,
+) {
     let node = node.clone();
     let verdict = match verdict {
-        Verdict::Answered => frame::Verdict::Answered,
-        Verdict::Failed => frame::Verdict::Failed,
-        Verdict::Leaving => frame::Verdict::Leaving,
-        Verdict::Unused => frame::Verdict::Unused,
+        DispatchResult::Answered => frame::Verdict::Answered,
+        DispatchResult::Failed => frame::Verdict::Failed,
+        DispatchResult::Leaving => frame::Verdict::Leaving,
+        DispatchResult::Unused => frame::Verdict::Unused,
     };
     async_std::task::spawn(async move {
         let Lender { entry, service, mut channel } = lender;
@@ -309,7 +315,7 @@
 /// How long the own queue is for the own slots; none without any.
 fn own_queue(node: &Node, want: &Want, now: Moment) -> Option<f64> {
     let router = node.router.lock();
-    let slots = router.ledger.room(&want.service, now).slots;
+    let slots = router.ledger.capacity(&want.service, now).slots;
     (slots > 0).then(|| peers::queue_length(router.waiting(&want.service) as u32, slots))
 }
 
@@ -367,7 +373,7 @@
             return Waited::Granted(slot);
         }
         let now = node.clock.now();
-        if node.router.lock().ledger.room(&want.service, now).slots == 0 {
+        if node.router.lock().ledger.capacity(&want.service, now).slots == 0 {
             return_late_permit(node, &mut receiver);
             return Waited::Moved;
         }
--- a/crates/entry/src/router/lend.rs
+++ b/crates/entry/src/router/lend.rs
@@ -5,7 +5,7 @@
 use crate::node::Node;
 use celerythread_model::code::Code;
 use celerythread_policy::queue::Queue;
-use celerythread_policy::slots::{Holder, Permit, Verdict};
+use celerythread_policy::slots::{DispatchResult, Holder, Permit};
 use celerythread_wire::Channel;
 use celerythread_wire::frame::{self, Frame};
 use std::sync::Arc;
@@ -44,10 +44,10 @@
         && let Ok(Frame::Finish { verdict, took_ms }) = channel.receive().await
     {
         let verdict = match verdict {
-            frame::Verdict::Answered => Verdict::Answered,
-            frame::Verdict::Failed => Verdict::Failed,
-            frame::Verdict::Leaving => Verdict::Leaving,
-            frame::Verdict::Unused => Verdict::Unused,
+            frame::Verdict::Answered => DispatchResult::Answered,
+            frame::Verdict::Failed => DispatchResult::Failed,
+            frame::Verdict::Leaving => DispatchResult::Leaving,
+            frame::Verdict::Unused => DispatchResult::Unused,
         };
         return finish_own(node, grant, verdict, Duration::from_millis(took_ms));
     }
@@ -66,7 +66,7 @@
         if let Some(permit) = router.take(want, holder.clone(), now) {
             return Ok(permit);
         }
-        if router.ledger.room(&want.service, now).slots == 0 {
+        if router.ledger.capacity(&want.service, now).slots == 0 {
             let text = "no slots of the service are handed out here".into();
             return Err(Frame::Refusal { code: Code::NoMinion, text });
         }
--- a/crates/policy/src/availability.rs
+++ b/crates/policy/src/availability.rs
@@ -7,7 +7,7 @@
 
 /// How a service stands against its floor.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Standing {
+pub struct Availability {
     /// Minions that serve.
     pub serving: u32,
     /// Minions that must serve.
@@ -20,7 +20,7 @@
     pub by_rack: BTreeMap<id::Rack, u32>,
 }
 
-impl Standing {
+impl Availability {
     /// Counts a service's minions.  `healthy` tells whether one is in the platform's list, not
     /// leaving and not set aside by its owner.
     pub fn count<'a>(
@@ -29,19 +29,19 @@
         disruption: &Disruption,
         healthy: impl Fn(&id::Minion) -> bool,
     ) -> Self {
-        let mut standing = Standing { floor: service.floor, ..Standing::default() };
+        let mut availability = Availability { floor: service.floor, ..Availability::default() };
         for minion in minions {
             // What the platform takes away is out too, but without an errand it never returns.
             if disruption.out.contains_key(&minion.minion) && minion.errand.is_some() {
-                standing.out += 1;
+                availability.out += 1;
             } else if minion.state == State::Active && healthy(&minion.minion) {
-                standing.serving += 1;
-                *standing.by_rack.entry(minion.rack.clone()).or_default() += 1;
+                availability.serving += 1;
+                *availability.by_rack.entry(minion.rack.clone()).or_default() += 1;
             } else {
-                standing.failed += 1;
+                availability.failed += 1;
             }
         }
-        standing
+        availability
     }
 
     /// Minions that may be taken out now.  Failures have used the budget already, because they
@@ -51,7 +51,7 @@
     }
 
     /// The most serving minions in one rack.
-    pub fn largest_rack(&self) -> u32 {
+    pub fn max_serving_per_rack(&self) -> u32 {
         self.by_rack.values().copied().max().unwrap_or(0)
     }
 }
--- a/crates/policy/src/claim.rs
+++ b/crates/policy/src/claim.rs
@@ -68,20 +68,20 @@
 /// comes free: its request may have run, and nobody can tell, so a repeat is told "unknown"
 /// rather than run a second time.
 pub fn decide(
-    standing: &Claim,
-    ours: &id::Attempt,
+    existing: &Claim,
+    own_attempt: &id::Attempt,
     fingerprint: &str,
-    alive: impl Fn(&id::Entry) -> bool,
+    is_registered: impl Fn(&id::Entry) -> bool,
 ) -> Decision {
-    if standing.fingerprint != fingerprint {
+    if existing.fingerprint != fingerprint {
         return Decision::KeyReused;
     }
-    match &standing.stage {
+    match &existing.stage {
         Stage::Done { answer } => Decision::Replay(answer.clone()),
         Stage::Unknown => Decision::Unknown,
         // Our own claim, read back after its answer was lost.
-        Stage::Running if standing.attempt == *ours => Decision::Run,
-        Stage::Running if alive(&standing.entry) => Decision::StillRunning,
+        Stage::Running if existing.attempt == *own_attempt => Decision::Run,
+        Stage::Running if is_registered(&existing.entry) => Decision::StillRunning,
         Stage::Running => Decision::Unknown,
     }
 }
@@ -90,18 +90,18 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Settlement {
     /// Keep the answer.
-    Keep(Answer),
+    Store(Answer),
     /// Remove the claim: the request was not run and may be tried again.
     Release,
     /// Keep the claim as one that nobody can tell about.
-    Mark,
+    MarkUnknown,
 }
 
 /// Decides by the outcome; `answer` is what the minion said, if it was received whole.
 pub fn settle(outcome: Outcome, answer: Option<Answer>) -> Settlement {
     match (outcome, answer) {
-        (_, Some(answer)) => Settlement::Keep(answer),
+        (_, Some(answer)) => Settlement::Store(answer),
         (Outcome::NotRun, None) => Settlement::Release,
-        (Outcome::Run | Outcome::Unknown, None) => Settlement::Mark,
+        (Outcome::Run | Outcome::Unknown, None) => Settlement::MarkUnknown,
     }
 }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -4,42 +4,42 @@
 use std::time::Duration;
 
 /// Weight of the newest answer in the failure rate.
-const WEIGHT: f64 = 0.15;
+const FAILURE_RATE_EWMA_WEIGHT: f64 = 0.15;
 
 /// Failures in a row before a minion can be set aside.
-const MIN_STREAK: u32 = 4;
+const MIN_CONSECUTIVE_FAILURES: u32 = 4;
 
 /// A minion is suspected when it fails this much more often than its siblings.
-const MARGIN: f64 = 0.4;
+const MIN_EXCESS_FAILURE_RATE: f64 = 0.4;
 
 /// How long each failure in a row makes other minions preferable.
-const SUSPICION: Duration = Duration::from_millis(250);
+const AVOIDANCE_PER_FAILURE: Duration = Duration::from_millis(250);
 
 /// First wait before a minion that was set aside is tried again; doubles up to the last.
-const FIRST_REST: Duration = Duration::from_secs(1);
-const LAST_REST: Duration = Duration::from_secs(30);
+const MIN_EJECTION_TIME: Duration = Duration::from_secs(1);
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(30);
 
 /// Weight of the newest service time in the typical one.
-const TIME_WEIGHT: f64 = 0.1;
+const LATENCY_EWMA_WEIGHT: f64 = 0.1;
 
 /// What is known of one minion.
 #[derive(Clone, Debug)]
 pub struct Health {
     failure_rate: f64,
-    streak: u32,
+    consecutive_failures: u32,
     last_failure: Moment,
-    typical_ms: f64,
+    latency_ms: f64,
     state: State,
-    rest: Duration,
+    ejection_time: Duration,
 }
 
 /// Whether a minion gets work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
     /// It does.
-    Trusted,
+    Healthy,
     /// Not before this moment.
-    Resting(Moment),
+    Ejected(Moment),
     /// It gets one request at a time until one succeeds.
     Probing,
 }
@@ -48,11 +48,11 @@
     fn default() -> Self {
         Self {
             failure_rate: 0.0,
-            streak: 0,
+            consecutive_failures: 0,
             last_failure: Moment(0),
-            typical_ms: 0.0,
-            state: State::Trusted,
-            rest: FIRST_REST,
+            latency_ms: 0.0,
+            state: State::Healthy,
+            ejection_time: MIN_EJECTION_TIME,
         }
     }
 }
@@ -61,16 +61,16 @@
     /// Whether it gets work now.
     pub fn state(&self, now: Moment) -> State {
         match self.state {
-            State::Resting(until) if until <= now => State::Probing,
+            State::Ejected(until) if until <= now => State::Probing,
             state => state,
         }
     }
 
     /// Failures in a row, forgotten after a while: a minion that is left out because it failed
     /// once could otherwise never show that it works again.
-    pub fn suspicion(&self, now: Moment) -> u32 {
-        let lasts = SUSPICION * self.streak;
-        if now.since(self.last_failure) < lasts { self.streak } else { 0 }
+    pub fn recent_failures(&self, now: Moment) -> u32 {
+        let avoidance = AVOIDANCE_PER_FAILURE * self.consecutive_failures;
+        if now.since(self.last_failure) < avoidance { self.consecutive_failures } else { 0 }
     }
 
     /// The smoothed share of failures.
@@ -79,41 +79,47 @@
     }
 
     /// Notes a success that took `took`.  Tells whether the minion is trusted anew.
-    pub fn succeed(&mut self, took: Duration) -> bool {
-        let millis = took.as_millis() as f64;
-        let weight = if self.typical_ms == 0.0 { 1.0 } else { TIME_WEIGHT };
-        self.typical_ms += weight * (millis - self.typical_ms);
-        self.failure_rate -= WEIGHT * self.failure_rate;
-        self.streak = 0;
-        let anew = self.state != State::Trusted;
-        if anew {
-            self.state = State::Trusted;
-            self.rest = FIRST_REST;
+    pub fn record_success(&mut self, latency: Duration) -> bool {
+        let millis = latency.as_millis() as f64;
+        let weight = if self.latency_ms == 0.0 { 1.0 } else { LATENCY_EWMA_WEIGHT };
+        self.latency_ms += weight * (millis - self.latency_ms);
+        self.failure_rate -= FAILURE_RATE_EWMA_WEIGHT * self.failure_rate;
+        self.consecutive_failures = 0;
+        let readmitted = self.state != State::Healthy;
+        if readmitted {
+            self.state = State::Healthy;
+            self.ejection_time = MIN_EJECTION_TIME;
             self.failure_rate = 0.0;
         }
-        anew
+        readmitted
     }
 
     /// Notes a failure.  `siblings` is the others' failure rate: when all fail alike the cause
     /// lies elsewhere, and setting one after the other aside would empty the service.  Tells
     /// whether the minion is set aside by it; `may_eject` is false at the service's floor.
-    pub fn fail(&mut self, now: Moment, siblings: f64, may_eject: bool) -> bool {
-        self.failure_rate += WEIGHT * (1.0 - self.failure_rate);
-        self.streak += 1;
+    pub fn record_failure(
+        &mut self,
+        now: Moment,
+        sibling_failure_rate: f64,
+        may_eject: bool,
+    ) -> bool {
+        self.failure_rate += FAILURE_RATE_EWMA_WEIGHT * (1.0 - self.failure_rate);
+        self.consecutive_failures += 1;
         self.last_failure = now;
         match self.state(now) {
             State::Probing => {
-                self.rest = (self.rest * 2).min(LAST_REST);
-                self.state = State::Resting(now + self.rest);
+                self.ejection_time = (self.ejection_time * 2).min(MAX_EJECTION_TIME);
+                self.state = State::Ejected(now + self.ejection_time);
                 false
             }
-            State::Resting(_) => false,
-            State::Trusted => {
-                let suspect = self.streak >= MIN_STREAK && self.failure_rate > siblings + MARGIN;
-                if suspect && may_eject {
-                    self.state = State::Resting(now + self.rest);
+            State::Ejected(_) => false,
+            State::Healthy => {
+                let is_outlier = self.consecutive_failures >= MIN_CONSECUTIVE_FAILURES
+                    && self.failure_rate > sibling_failure_rate + MIN_EXCESS_FAILURE_RATE;
+                if is_outlier && may_eject {
+                    self.state = State::Ejected(now + self.ejection_time);
                 }
-                suspect && may_eject
+                is_outlier && may_eject
             }
         }
     }
@@ -122,13 +128,13 @@
     ///
     /// A minion that fails everything at once would otherwise be free again at once and draw
     /// all the work; occupied for as long as a success takes, it draws no more than its share.
-    pub fn penalty(&self, took: Duration, sibling_typical: Duration) -> Duration {
-        let own = Duration::from_millis(self.typical_ms as u64);
-        own.max(sibling_typical).saturating_sub(took)
+    pub fn penalty(&self, elapsed: Duration, sibling_latency: Duration) -> Duration {
+        let own = Duration::from_millis(self.latency_ms as u64);
+        own.max(sibling_latency).saturating_sub(elapsed)
     }
 
     /// The smoothed time that a success takes.
-    pub fn typical(&self) -> Duration {
-        Duration::from_millis(self.typical_ms as u64)
+    pub fn latency(&self) -> Duration {
+        Duration::from_millis(self.latency_ms as u64)
     }
 }
--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -17,61 +17,65 @@
     /// Write this row if the revision still stands: it renews the lease.
     Renew(Lease),
     /// Write this row if the revision still stands: it takes the duty.
-    Take(Lease),
+    Acquire(Lease),
     /// Another entry carries it.
-    Stand,
+    Wait,
 }
 
 /// What one entry has seen of one duty.
 #[derive(Clone, Debug, Default)]
 pub struct Observer {
-    seen: Option<(Revision, Moment)>,
+    last_change: Option<(Revision, Moment)>,
 }
 
 impl Observer {
     /// Decides by the row as just read.
     pub fn observe(
         &mut self,
-        me: &id::Entry,
+        entry: &id::Entry,
         row: Option<&Lease>,
         revision: Revision,
         now: Moment,
         term: Duration,
     ) -> Action {
-        let changed = self.seen.is_none_or(|(seen, _)| seen != revision);
+        let changed = self.last_change.is_none_or(|(last, _)| last != revision);
         if changed {
-            self.seen = Some((revision, now));
+            self.last_change = Some((revision, now));
         }
         let Some(lease) = row else {
-            return Action::Take(Lease { holder: Some(me.clone()), token: Token(1), beat: 0 });
+            return Action::Acquire(Lease {
+                holder: Some(entry.clone()),
+                token: Token(1),
+                beat: 0,
+            });
         };
-        if lease.holder.as_ref() == Some(me) {
+        if lease.holder.as_ref() == Some(entry) {
             return Action::Renew(Lease { beat: lease.beat + 1, ..lease.clone() });
         }
-        let unchanged_for = self.seen.map_or(Duration::ZERO, |(_, since)| now.since(since));
+        let unchanged_for = self.last_change.map_or(Duration::ZERO, |(_, since)| now.since(since));
         if lease.holder.is_none() || unchanged_for >= term {
             let token = lease.token.next();
-            return Action::Take(Lease { holder: Some(me.clone()), token, beat: 0 });
+            return Action::Acquire(Lease { holder: Some(entry.clone()), token, beat: 0 });
         }
-        Action::Stand
+        Action::Wait
     }
 }
 
 /// What a holder knows of its own lease.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Held {
+pub struct HeldLease {
     /// The fencing token.
     pub token: Token,
     /// The revision of the lease's row, on which each write under it is conditional.
     pub revision: Revision,
     /// When the holder last knew that it held it.
-    pub confirmed: Moment,
+    pub confirmed_at: Moment,
 }
 
-impl Held {
+impl HeldLease {
     /// Whether the duty may be acted on.  This only saves useless work: safety lies in the
     /// conditional writes.
     pub fn is_fresh(&self, now: Moment, term: Duration) -> bool {
-        now.since(self.confirmed) < term
+        now.since(self.confirmed_at) < term
     }
 }
--- a/crates/policy/src/movement.rs
+++ b/crates/policy/src/movement.rs
@@ -23,7 +23,7 @@
 
 /// The next step.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum Action {
     /// Wait: work may still be on it, or it has not come back yet.
     Wait,
     /// Write this row, conditional on the minion's row, its ownership and the lease.
@@ -54,27 +54,27 @@
 }
 
 /// Decides the next step of a minion that is out.
-pub fn step(facts: Facts<'_>) -> Step {
+pub fn step(facts: Facts<'_>) -> Action {
     let minion = facts.minion;
     match minion.state {
-        State::Active => Step::Wait,
-        State::Draining if facts.leaving || minion.errand.is_none() => Step::Wait,
+        State::Active => Action::Wait,
+        State::Draining if facts.leaving || minion.errand.is_none() => Action::Wait,
         State::Draining if is_idle(facts) => {
-            Step::Write(Minion { state: State::Rebooting, ..minion.clone() })
+            Action::Write(Minion { state: State::Rebooting, ..minion.clone() })
         }
-        State::Draining => Step::Wait,
+        State::Draining => Action::Wait,
         State::Rebooting => match facts.boot {
-            None => Step::Wait,
+            None => Action::Wait,
             // Rebooted: whatever a stale sender may still have had on it is gone.
-            Some(boot) if boot > minion.boot => Step::Write(settled(minion)),
+            Some(boot) if boot > minion.boot => Action::Write(back_in_service(minion)),
             // Asking again is harmless: the platform compares the boot count.
-            Some(_) => Step::Reboot(minion.boot),
+            Some(_) => Action::Reboot(minion.boot),
         },
     }
 }
 
 /// The minion back in service, in the pool that its errand was for.
-fn settled(minion: &Minion) -> Minion {
+fn back_in_service(minion: &Minion) -> Minion {
     let target = minion.errand.as_ref().map(|errand| errand.target.clone());
     Minion {
         pool: target.unwrap_or_else(|| minion.pool.clone()),
--- a/crates/policy/src/ownership.rs
+++ b/crates/policy/src/ownership.rs
@@ -26,9 +26,9 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
     /// Write this row if the old one still stands.
-    Take(Ownership),
+    Acquire(Ownership),
     /// Stop handing out, and write this row once nothing is outstanding.
-    HandBack(Ownership),
+    Release(Ownership),
     /// Nothing.
     Keep,
 }
@@ -52,12 +52,13 @@
         if serving.is_empty() {
             continue;
         }
-        let ceiling = names.len().div_ceil(serving.len());
+        let max_load = names.len().div_ceil(serving.len());
         let mut load: BTreeMap<&id::Entry, usize> = BTreeMap::new();
         for name in names {
-            let below =
-                serving.iter().filter(|c| load.get(&c.entry).copied().unwrap_or(0) < ceiling);
-            let best = below.max_by_key(|c| (weight(service, name, &c.entry), &c.entry));
+            let with_capacity =
+                serving.iter().filter(|c| load.get(&c.entry).copied().unwrap_or(0) < max_load);
+            let best =
+                with_capacity.max_by_key(|c| (rendezvous_hash(service, name, &c.entry), &c.entry));
             if let Some(best) = best {
                 *load.entry(&best.entry).or_default() += 1;
                 chosen.insert(name.clone(), best.entry.clone());
@@ -67,7 +68,7 @@
     chosen
 }
 
-fn weight(service: &id::Service, minion: &id::Minion, entry: &id::Entry) -> u64 {
+fn rendezvous_hash(service: &id::Service, minion: &id::Minion, entry: &id::Entry) -> u64 {
     // DefaultHasher::new() has fixed keys, and all entries of a release choose alike; a
     // difference between releases only costs a hand-over.
     let mut hasher = DefaultHasher::new();
@@ -82,34 +83,34 @@
 /// noted until it is gone for certain, because it may be paused with work in flight: a drain
 /// is not complete before that.
 pub fn decide(
-    me: &id::Entry,
+    entry_id: &id::Entry,
     minion: &id::Minion,
-    standing: Option<&Ownership>,
-    should: Option<&id::Entry>,
+    existing: Option<&Ownership>,
+    assigned: Option<&id::Entry>,
     candidates: &BTreeMap<id::Entry, Candidate>,
 ) -> Action {
-    let fresh = |former| Ownership {
+    let owned = |former| Ownership {
         minion: minion.clone(),
-        owner: Some(me.clone()),
+        owner: Some(entry_id.clone()),
         former,
         idle_at: None,
     };
-    let Some(row) = standing else {
-        return if should == Some(me) {
-            Action::Take(fresh(Default::default()))
+    let Some(row) = existing else {
+        return if assigned == Some(entry_id) {
+            Action::Acquire(owned(Default::default()))
         } else {
             Action::Keep
         };
     };
     match &row.owner {
-        Some(owner) if owner == me => {
-            let wanted_elsewhere = should.is_some_and(|entry| entry != me);
+        Some(owner) if owner == entry_id => {
+            let wanted_elsewhere = assigned.is_some_and(|entry| entry != entry_id);
             if wanted_elsewhere {
-                return Action::HandBack(Ownership { owner: None, ..row.clone() });
+                return Action::Release(Ownership { owner: None, ..row.clone() });
             }
             Action::Keep
         }
-        Some(owner) if should == Some(me) => {
+        Some(owner) if assigned == Some(entry_id) => {
             let lost = match candidates.get(owner) {
                 None => true,
                 Some(candidate) => candidate.silent,
@@ -121,16 +122,16 @@
             if !former.contains(owner) {
                 former.push(owner.clone());
             }
-            Action::Take(fresh(former))
+            Action::Acquire(owned(former))
         }
-        None if should == Some(me) => Action::Take(fresh(row.former.clone())),
+        None if assigned == Some(entry_id) => Action::Acquire(owned(row.former.clone())),
         _ => Action::Keep,
     }
 }
 
 /// The former owners that are gone for certain: no longer registered, or back and confirming
 /// that they hold nothing.
-pub fn settled_formers(
+pub fn prune_former_owners(
     row: &Ownership,
     registered: &BTreeSet<id::Entry>,
     confirmed_idle: impl Fn(&id::Entry) -> bool,
--- a/crates/policy/src/pause.rs
+++ b/crates/policy/src/pause.rs
@@ -10,30 +10,30 @@
 
 /// Watches for gaps between observations that are made at short, regular intervals.
 #[derive(Debug)]
-pub struct Watch {
-    limit: Duration,
-    last: Moment,
-    awake_since: Moment,
+pub struct Detector {
+    threshold: Duration,
+    last_observation: Moment,
+    resumed_at: Moment,
 }
 
-impl Watch {
+impl Detector {
     /// A watch that takes a gap of `limit` or more for a pause.
-    pub fn new(limit: Duration) -> Self {
-        Self { limit, last: Moment::default(), awake_since: Moment::default() }
+    pub fn new(threshold: Duration) -> Self {
+        Self { threshold, last_observation: Moment::default(), resumed_at: Moment::default() }
     }
 
     /// Notes that the process runs; true if it has stood still since the last time.
     pub fn observe(&mut self, now: Moment) -> bool {
-        let paused = now.since(self.last) >= self.limit;
+        let paused = now.since(self.last_observation) >= self.threshold;
         if paused {
-            self.awake_since = now;
+            self.resumed_at = now;
         }
-        self.last = now;
+        self.last_observation = now;
         paused
     }
 
     /// For how long a peer could have been heard and wasn't.
     pub fn silence(&self, heard: Moment, now: Moment) -> Duration {
-        now.since(heard.max(self.awake_since))
+        now.since(heard.max(self.resumed_at))
     }
 }
--- a/crates/policy/src/phase.rs
+++ b/crates/policy/src/phase.rs
@@ -19,11 +19,11 @@
 
 /// What follows from a failure.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Verdict {
+pub struct Decision {
     /// What the caller may be told, if this was the last attempt.
     pub outcome: Outcome,
     /// Whether another attempt may be made.
-    pub resend: bool,
+    pub may_resend: bool,
 }
 
 /// Judges a failure.
@@ -31,17 +31,20 @@
 /// A minion may act on a request of which it has read any byte, whatever the connection said
 /// afterwards; so "not run" is only certain before the first byte was written.  An answer that
 /// had begun shows that the minion took the request, not that it finished.
-pub fn judge(phase: Phase, idempotence: Idempotence) -> Verdict {
+pub fn decide(phase: Phase, idempotence: Idempotence) -> Decision {
     match phase {
-        Phase::Unconnected | Phase::Connected => Verdict { outcome: Outcome::NotRun, resend: true },
-        Phase::PartWritten | Phase::AllWritten | Phase::AnswerBegun => {
-            Verdict { outcome: Outcome::Unknown, resend: idempotence == Idempotence::Idempotent }
+        Phase::Unconnected | Phase::Connected => {
+            Decision { outcome: Outcome::NotRun, may_resend: true }
         }
+        Phase::PartWritten | Phase::AllWritten | Phase::AnswerBegun => Decision {
+            outcome: Outcome::Unknown,
+            may_resend: idempotence == Idempotence::Idempotent,
+        },
     }
 }
 
 /// The outcome after several attempts: only if all of them were not run, none was.
-pub fn join(earlier: Option<Outcome>, later: Outcome) -> Outcome {
+pub fn combine(earlier: Option<Outcome>, later: Outcome) -> Outcome {
     match (earlier, later) {
         (None, later) => later,
         (Some(Outcome::Run), _) | (_, Outcome::Run) => Outcome::Run,
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -7,7 +7,7 @@
 
 /// A patient task that could be put aside.
 #[derive(Clone, Debug)]
-pub struct Patient {
+pub struct PatientTask {
     /// The job.
     pub job: id::Job,
     /// What it holds.
@@ -16,7 +16,7 @@
 
 /// A worker as the decision sees it.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct CandidateWorker {
     /// The worker.
     pub worker: id::Worker,
     /// Its availability zone.
@@ -28,9 +28,9 @@
     /// What is free.
     pub free: Size,
     /// Whether it is set aside.
-    pub resting: bool,
+    pub ejected: bool,
     /// Patient tasks on it, the last started first.
-    pub patient: SmallVec<[Patient; 4]>,
+    pub patient: SmallVec<[PatientTask; 4]>,
 }
 
 /// What a job needs.
@@ -59,7 +59,7 @@
     /// Start it there.
     Start(id::Worker),
     /// Put these patient jobs aside there first.
-    PutAside(id::Worker, SmallVec<[id::Job; 4]>),
+    Preempt(id::Worker, SmallVec<[id::Job; 4]>),
     /// No room now.
     Wait,
     /// It can never run, for this reason.
@@ -77,7 +77,7 @@
 
 impl Misses {
     /// Notes a need that found no room.
-    pub fn note(&mut self, need: &Need) {
+    pub fn record(&mut self, need: &Need) {
         if !self.covers(need) {
             self.missed.push((need.class, need.size));
         }
@@ -95,8 +95,12 @@
 /// up by jobs that need none while others have room.  Urgent work that finds no room puts
 /// patient work aside, the least of it that suffices: the buffer for urgent work is patient
 /// work that can wait, not idle machines.
-pub fn place(need: &Need, rooms: &[Room], allowance: Option<Allowance>) -> Placement {
-    if let Some(reason) = impossible(need, rooms, allowance) {
+pub fn place(
+    need: &Need,
+    candidates: &[CandidateWorker],
+    allowance: Option<Allowance>,
+) -> Placement {
+    if let Some(reason) = impossible_reason(need, candidates, allowance) {
         return Placement::Impossible(reason);
     }
     if let Some(allowance) = allowance
@@ -104,44 +108,53 @@
     {
         return Placement::Wait;
     }
-    let open = || rooms.iter().filter(|room| !room.resting);
-    let best = open().filter(|room| need.size.fits(&room.free)).min_by_key(|room| {
-        let avoided = need.avoid.as_ref() == Some(&room.worker);
-        let wasted = need.size.accelerators.0 == 0 && room.free.accelerators.0 > 0;
-        (avoided, wasted, slack(&room.free.minus(&need.size), &room.total))
-    });
-    if let Some(room) = best {
-        return Placement::Start(room.worker.clone());
+    let usable = || candidates.iter().filter(|candidate| !candidate.ejected);
+    let best =
+        usable().filter(|candidate| need.size.fits(&candidate.free)).min_by_key(|candidate| {
+            let avoided = need.avoid.as_ref() == Some(&candidate.worker);
+            let wasted = need.size.accelerators.0 == 0 && candidate.free.accelerators.0 > 0;
+            (avoided, wasted, slack(&candidate.free.minus(&need.size), &candidate.total))
+        });
+    if let Some(candidate) = best {
+        return Placement::Start(candidate.worker.clone());
     }
     if need.class == Class::Patient {
         return Placement::Wait;
     }
-    let victims = open().filter_map(|room| Some((put_aside(need, room)?, room)));
+    let victims =
+        usable().filter_map(|candidate| Some((jobs_to_preempt(need, candidate)?, candidate)));
     match victims.min_by_key(|(jobs, _)| jobs.len()) {
-        Some((jobs, room)) => Placement::PutAside(room.worker.clone(), jobs),
+        Some((jobs, candidate)) => Placement::Preempt(candidate.worker.clone(), jobs),
         None => Placement::Wait,
     }
 }
 
 /// Why a job can never run, if so.
-fn impossible(need: &Need, rooms: &[Room], allowance: Option<Allowance>) -> Option<String> {
+fn impossible_reason(
+    need: &Need,
+    candidates: &[CandidateWorker],
+    allowance: Option<Allowance>,
+) -> Option<String> {
     if let Some(allowance) = allowance
         && !need.size.fits(&allowance.quota)
     {
         return Some("it needs more than its team's whole quota".into());
     }
-    if rooms.is_empty() || rooms.iter().any(|room| need.size.fits(&room.total)) {
+    if candidates.is_empty() || candidates.iter().any(|candidate| need.size.fits(&candidate.total))
+    {
         return None;
     }
-    let most = |f: fn(&Size) -> u64| rooms.iter().map(|room| f(&room.total)).max().unwrap_or(0);
-    let short = |name: &str, f: fn(&Size) -> u64| {
-        let (needed, largest) = (f(&need.size), most(f));
+    let max_total = |f: fn(&Size) -> u64| {
+        candidates.iter().map(|candidate| f(&candidate.total)).max().unwrap_or(0)
+    };
+    let shortage = |name: &str, f: fn(&Size) -> u64| {
+        let (needed, largest) = (f(&need.size), max_total(f));
         (needed > largest)
             .then(|| format!("it needs {needed} {name} and no worker has over {largest}"))
     };
-    short("thousandths of a core", |size| size.cpu.0.into())
-        .or_else(|| short("bytes of memory", |size| size.memory.0))
-        .or_else(|| short("accelerators", |size| size.accelerators.0.into()))
+    shortage("thousandths of a core", |size| size.cpu.0.into())
+        .or_else(|| shortage("bytes of memory", |size| size.memory.0))
+        .or_else(|| shortage("accelerators", |size| size.accelerators.0.into()))
         .or_else(|| Some("no single worker has all that it needs together".into()))
 }
 
@@ -152,10 +165,10 @@
 }
 
 /// The fewest patient jobs whose room, with what is free, suffices.
-fn put_aside(need: &Need, room: &Room) -> Option<SmallVec<[id::Job; 4]>> {
-    let mut freed = room.free;
+fn jobs_to_preempt(need: &Need, candidate: &CandidateWorker) -> Option<SmallVec<[id::Job; 4]>> {
+    let mut freed = candidate.free;
     let mut jobs = SmallVec::new();
-    for patient in &room.patient {
+    for patient in &candidate.patient {
         if need.size.fits(&freed) {
             break;
         }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -7,17 +7,17 @@
 use std::time::Duration;
 
 /// Weight of the newest interval in the drain rate.
-const RATE_WEIGHT: f64 = 0.1;
+const INTERVAL_EWMA_WEIGHT: f64 = 0.1;
 
 /// Assumed time between two slots becoming free before any was measured.
-const FIRST_INTERVAL_MS: f64 = 20.0;
+const INITIAL_INTERVAL_MS: f64 = 20.0;
 
 /// Longest time that a caller is told to wait before it comes back.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// A request that is to wait.
 #[derive(Debug)]
-pub struct Waiting<T> {
+pub struct QueuedRequest<T> {
     /// What waits.
     pub item: T,
     /// How urgent it is.
@@ -45,10 +45,10 @@
 /// A queue of one service at one entry.
 #[derive(Debug)]
 pub struct Queue<T> {
-    urgent: VecDeque<Waiting<T>>,
-    patient: VecDeque<Waiting<T>>,
+    urgent: VecDeque<QueuedRequest<T>>,
+    patient: VecDeque<QueuedRequest<T>>,
     /// Parts of a turn that patient work has saved up while urgent work went first.
-    credit: f64,
+    patient_credit: f64,
     /// Smoothed milliseconds between two departures while there was work waiting.
     interval_ms: f64,
     last_departure: Option<Moment>,
@@ -59,8 +59,8 @@
         Self {
             urgent: VecDeque::new(),
             patient: VecDeque::new(),
-            credit: 0.0,
-            interval_ms: FIRST_INTERVAL_MS,
+            patient_credit: 0.0,
+            interval_ms: INITIAL_INTERVAL_MS,
             last_departure: None,
         }
     }
@@ -102,7 +102,7 @@
     /// The refusal, with when to come back.
     pub fn push(
         &mut self,
-        waiting: Waiting<T>,
+        waiting: QueuedRequest<T>,
         now: Moment,
         bounds: Bounds,
         jitter: f64,
@@ -135,20 +135,20 @@
     /// Urgent requests go first.  While both classes wait, patient work saves up its share of
     /// each turn and goes when that makes a whole one, so it always moves.
     pub fn pop(&mut self, now: Moment, patient_share: Ratio) -> Option<T> {
-        self.note_departure(now);
+        self.record_departure(now);
         let both = !self.urgent.is_empty() && !self.patient.is_empty();
         if both {
-            self.credit += patient_share.0;
+            self.patient_credit += patient_share.0;
         }
-        let patient_turn = self.urgent.is_empty() || (both && self.credit >= 1.0);
+        let patient_turn = self.urgent.is_empty() || (both && self.patient_credit >= 1.0);
         if patient_turn && both {
-            self.credit -= 1.0;
+            self.patient_credit -= 1.0;
         }
         let queue = if patient_turn { &mut self.patient } else { &mut self.urgent };
         queue.pop_front().map(|waiting| waiting.item)
     }
 
-    fn note_departure(&mut self, now: Moment) {
+    fn record_departure(&mut self, now: Moment) {
         if self.is_empty() {
             // An idle queue says nothing about how fast slots become free.
             self.last_departure = None;
@@ -156,13 +156,13 @@
         }
         if let Some(last) = self.last_departure {
             let interval = now.since(last).as_millis() as f64;
-            self.interval_ms += RATE_WEIGHT * (interval - self.interval_ms);
+            self.interval_ms += INTERVAL_EWMA_WEIGHT * (interval - self.interval_ms);
         }
         self.last_departure = Some(now);
     }
 
     /// Takes out what can no longer be started by its deadline.
-    pub fn expire(&mut self, now: Moment) -> Vec<T> {
+    pub fn remove_expired(&mut self, now: Moment) -> Vec<T> {
         let mut expired = Vec::new();
         for queue in [&mut self.urgent, &mut self.patient] {
             let mut kept = VecDeque::with_capacity(queue.len());
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -7,28 +7,28 @@
 /// Counts per team.
 #[derive(Debug, Default)]
 pub struct Quota {
-    flying: HashMap<id::Team, u32>,
+    in_flight: HashMap<id::Team, u32>,
 }
 
 impl Quota {
     /// Counts a request in, unless its team's quota is used up.  A team that is not configured
     /// has none to use up.
-    pub fn enter(&mut self, team: &id::Team, document: &Document) -> bool {
+    pub fn try_acquire(&mut self, team: &id::Team, document: &Document) -> bool {
         let limit = document.teams.get(team).map_or(u32::MAX, |team| team.requests);
-        let flying = self.flying.entry(team.clone()).or_default();
-        if *flying >= limit {
+        let in_flight = self.in_flight.entry(team.clone()).or_default();
+        if *in_flight >= limit {
             return false;
         }
-        *flying += 1;
+        *in_flight += 1;
         true
     }
 
     /// Counts a request out.
-    pub fn leave(&mut self, team: &id::Team) {
-        if let Some(flying) = self.flying.get_mut(team) {
-            *flying -= 1;
-            if *flying == 0 {
-                self.flying.remove(team);
+    pub fn release(&mut self, team: &id::Team) {
+        if let Some(in_flight) = self.in_flight.get_mut(team) {
+            *in_flight -= 1;
+            if *in_flight == 0 {
+                self.in_flight.remove(team);
             }
         }
     }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -3,22 +3,22 @@
 use celerythread_model::config::Ratio;
 
 /// Retries that are always possible after a quiet time.
-const RESERVE: f64 = 3.0;
+const INITIAL_BALANCE: f64 = 3.0;
 
 /// Most retries that can be saved up.
-const CEILING: f64 = 50.0;
+const MAX_BALANCE: f64 = 50.0;
 
 /// A service's budget at one entry: each request earns a part of a retry.
 #[derive(Clone, Debug)]
 pub struct Budget {
     ratio: f64,
-    saved: f64,
+    balance: f64,
 }
 
 impl Budget {
     /// A budget with its reserve.
     pub fn new(ratio: Ratio) -> Self {
-        Self { ratio: ratio.0, saved: RESERVE }
+        Self { ratio: ratio.0, balance: INITIAL_BALANCE }
     }
 
     /// Sets the share of requests that may be sent again.
@@ -27,16 +27,16 @@
     }
 
     /// A first attempt was made.
-    pub fn earn(&mut self) {
-        self.saved = (self.saved + self.ratio).min(CEILING);
+    pub fn deposit(&mut self) {
+        self.balance = (self.balance + self.ratio).min(MAX_BALANCE);
     }
 
     /// Takes one retry out, if there is one.
-    pub fn spend(&mut self) -> bool {
-        if self.saved < 1.0 {
+    pub fn try_withdraw(&mut self) -> bool {
+        if self.balance < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.balance -= 1.0;
         true
     }
 }
--- a/crates/policy/src/sizing.rs
+++ b/crates/policy/src/sizing.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 /// Share of slots in use from which a pool counts as short.
-const SHORT: f64 = 0.85;
+const SHORTAGE_UTILISATION: f64 = 0.85;
 
 /// Share of slots in use up to which a pool can give, reckoned without the minion it gives.
-const GIVES: f64 = 0.6;
+const MAX_DONOR_UTILISATION: f64 = 0.6;
 
 /// A pool as the decision sees it.
 #[derive(Clone, Debug)]
@@ -38,10 +38,10 @@
         if self.serving < self.floor {
             return 100.0 + f64::from(self.floor - self.serving);
         }
-        if self.serving < self.wanted && self.utilisation > GIVES {
+        if self.serving < self.wanted && self.utilisation > MAX_DONOR_UTILISATION {
             return 10.0 + f64::from(self.wanted - self.serving) + self.utilisation;
         }
-        self.utilisation - SHORT
+        self.utilisation - SHORTAGE_UTILISATION
     }
 
     /// Whether the pool can give a minion, and how gladly.
@@ -50,8 +50,9 @@
         let utilisation = self.utilisation * f64::from(self.serving) / after;
         let above_floor = self.serving > self.floor;
         let above_wanted = self.serving > self.wanted;
-        let may = above_floor && (above_wanted || self.lends) && utilisation <= GIVES;
-        may.then(|| f64::from(u32::from(above_wanted)) + 1.0 - utilisation)
+        let can_give =
+            above_floor && (above_wanted || self.lends) && utilisation <= MAX_DONOR_UTILISATION;
+        can_give.then(|| f64::from(u32::from(above_wanted)) + 1.0 - utilisation)
     }
 }
 
@@ -68,14 +69,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// How long a shortage must last.
-    pub patience: Duration,
+    pub min_shortage_duration: Duration,
     /// How long after a move the next may follow.
-    pub settle: Duration,
+    pub cooldown: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Self { patience: Duration::from_secs(120), settle: Duration::from_secs(300) }
+        Self { min_shortage_duration: Duration::from_secs(120), cooldown: Duration::from_secs(300) }
     }
 }
 
@@ -95,20 +96,20 @@
         for pool in pools.iter().filter(|pool| pool.shortage() > 0.0) {
             self.short_since.entry(pool.service.clone()).or_insert(now);
         }
-        if self.last_move.is_some_and(|last| now.since(last) < settings.settle) {
+        if self.last_move.is_some_and(|last| now.since(last) < settings.cooldown) {
             return None;
         }
-        let lasting = pools.iter().filter(|pool| {
+        let persistent = pools.iter().filter(|pool| {
             let since = self.short_since.get(&pool.service);
-            since.is_some_and(|since| now.since(*since) >= settings.patience)
+            since.is_some_and(|since| now.since(*since) >= settings.min_shortage_duration)
         });
-        let neediest = lasting.max_by(|a, b| a.shortage().total_cmp(&b.shortage()))?;
-        let givers = pools.iter().filter(|pool| pool.service != neediest.service);
-        let giver = givers
+        let neediest = persistent.max_by(|a, b| a.shortage().total_cmp(&b.shortage()))?;
+        let donors = pools.iter().filter(|pool| pool.service != neediest.service);
+        let donor = donors
             .filter_map(|pool| Some((pool.surplus()?, pool)))
             .max_by(|a, b| a.0.total_cmp(&b.0))?
             .1;
         self.last_move = Some(now);
-        Some(Move { from: giver.service.clone(), to: neediest.service.clone() })
+        Some(Move { from: donor.service.clone(), to: neediest.service.clone() })
     }
 }
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -40,7 +40,7 @@
 
 /// What became of a dispatch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum DispatchResult {
     /// The minion answered.
     Answered,
     /// The minion failed it.
@@ -76,13 +76,13 @@
     /// Slots that a former owner may still use, until a moment.
     reserved: Option<(u32, Moment)>,
     /// The minion asked to be left alone until then.
-    leaving_until: Moment,
+    backoff_until: Moment,
     /// The last grant of it, so that equals take turns.
     last_grant: Grant,
 }
 
 /// How long a minion that says it is leaving or full is left alone.
-const LEAVING_REST: Duration = Duration::from_millis(500);
+const LEAVING_BACKOFF: Duration = Duration::from_millis(500);
 
 impl Minion {
     fn occupied(&self, now: Moment) -> u32 {
@@ -93,18 +93,18 @@
 
     /// How occupied it looks to the choice: each failure in a row counts like a slot in use, so
     /// that a first attempt goes to a minion that answers.
-    fn burden(&self, now: Moment) -> u32 {
-        self.occupied(now) + self.health.suspicion(now).min(self.spec.slots.0)
+    fn apparent_load(&self, now: Moment) -> u32 {
+        self.occupied(now) + self.health.recent_failures(now).min(self.spec.slots.0)
     }
 
     fn free(&self, now: Moment) -> u32 {
-        if !self.spec.active || self.leaving_until > now {
+        if !self.spec.active || self.backoff_until > now {
             return 0;
         }
         let limit = match self.health.state(now) {
-            State::Trusted => self.spec.slots.0,
+            State::Healthy => self.spec.slots.0,
             State::Probing => 1,
-            State::Resting(_) => 0,
+            State::Ejected(_) => 0,
         };
         limit.saturating_sub(self.occupied(now))
     }
@@ -112,7 +112,7 @@
 
 /// A service's figures at this entry.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Room {
+pub struct Capacity {
     /// Slots of active minions.
     pub slots: u32,
     /// Of these, free now.
@@ -124,25 +124,30 @@
 pub struct Ledger {
     minions: BTreeMap<id::Minion, Minion>,
     by_service: HashMap<id::Service, Vec<id::Minion>>,
-    where_is: HashMap<Grant, id::Minion>,
-    last: u64,
+    minion_by_grant: HashMap<Grant, id::Minion>,
+    last_number: u64,
 }
 
 impl Ledger {
     /// Takes a minion over, or its changed description in.  `reserved` slots may still be in
     /// use by a former owner until the given moment.
-    pub fn own(&mut self, minion: id::Minion, spec: Spec, reserved: Option<(u32, Moment)>) {
+    pub fn upsert_minion(
+        &mut self,
+        minion: id::Minion,
+        spec: Spec,
+        reserved: Option<(u32, Moment)>,
+    ) {
         let service = spec.service.clone();
         match self.minions.get_mut(&minion) {
             Some(known) => {
                 // A new epoch is a newly booted minion: what it did before says nothing.
                 if known.spec.epoch != spec.epoch {
                     known.health = Health::default();
-                    known.leaving_until = Moment(0);
+                    known.backoff_until = Moment(0);
                 }
                 let old = std::mem::replace(&mut known.spec, spec).service;
                 if old != service {
-                    self.unlist(&old, &minion);
+                    self.remove_from_service(&old, &minion);
                     self.by_service.entry(service).or_default().push(minion);
                 }
             }
@@ -153,7 +158,7 @@
                     grants: BTreeMap::new(),
                     penalties: Vec::new(),
                     reserved,
-                    leaving_until: Moment(0),
+                    backoff_until: Moment(0),
                     last_grant: Grant(0),
                 };
                 self.minions.insert(minion.clone(), entry);
@@ -163,16 +168,16 @@
     }
 
     /// Gives a minion up.  Its grants stay known until they end.
-    pub fn disown(&mut self, minion: &id::Minion) {
+    pub fn remove_minion(&mut self, minion: &id::Minion) {
         if let Some(known) = self.minions.remove(minion) {
-            self.unlist(&known.spec.service, minion);
+            self.remove_from_service(&known.spec.service, minion);
             for grant in known.grants.keys() {
-                self.where_is.remove(grant);
+                self.minion_by_grant.remove(grant);
             }
         }
     }
 
-    fn unlist(&mut self, service: &id::Service, minion: &id::Minion) {
+    fn remove_from_service(&mut self, service: &id::Service, minion: &id::Minion) {
         if let Some(list) = self.by_service.get_mut(service) {
             list.retain(|name| name != minion);
         }
@@ -203,15 +208,15 @@
             .filter_map(|name| Some((name, self.minions.get(name)?)))
             .filter(|(_, minion)| minion.free(now) > 0)
             .min_by_key(|(name, minion)| {
-                (Some(*name) == avoid, minion.burden(now), minion.last_grant)
+                (Some(*name) == avoid, minion.apparent_load(now), minion.last_grant)
             })?;
         let name = best.0.clone();
-        self.last += 1;
-        let grant = Grant(self.last);
+        self.last_number += 1;
+        let grant = Grant(self.last_number);
         let minion = self.minions.get_mut(&name)?;
         minion.grants.insert(grant, holder);
         minion.last_grant = grant;
-        self.where_is.insert(grant, name.clone());
+        self.minion_by_grant.insert(grant, name.clone());
         let (address, epoch) = (minion.spec.address, minion.spec.epoch);
         Some(Permit { grant, minion: name, address, epoch })
     }
@@ -220,75 +225,81 @@
     pub fn finish(
         &mut self,
         grant: Grant,
-        verdict: Verdict,
-        took: Duration,
+        result: DispatchResult,
+        elapsed: Duration,
         now: Moment,
     ) -> Option<(id::Minion, bool)> {
-        let name = self.where_is.remove(&grant)?;
-        let (siblings, typical, may_eject) = self.compare(&name, now);
+        let name = self.minion_by_grant.remove(&grant)?;
+        let (siblings, sibling_latency, may_eject) = self.compare_with_siblings(&name, now);
         let minion = self.minions.get_mut(&name)?;
         minion.grants.remove(&grant);
         minion.penalties.retain(|until| *until > now);
-        match verdict {
-            Verdict::Answered => minion.health.succeed(took).then_some((name, true)),
-            Verdict::Failed => {
-                let penalty = minion.health.penalty(took, typical);
+        match result {
+            DispatchResult::Answered => {
+                minion.health.record_success(elapsed).then_some((name, true))
+            }
+            DispatchResult::Failed => {
+                let penalty = minion.health.penalty(elapsed, sibling_latency);
                 if !penalty.is_zero() {
                     minion.penalties.push(now + penalty);
                 }
-                let ejected = minion.health.fail(now, siblings, may_eject);
+                let ejected = minion.health.record_failure(now, siblings, may_eject);
                 ejected.then_some((name, false))
             }
-            Verdict::Leaving => {
-                minion.leaving_until = now + LEAVING_REST;
+            DispatchResult::Leaving => {
+                minion.backoff_until = now + LEAVING_BACKOFF;
                 None
             }
-            Verdict::Unused => None,
+            DispatchResult::Unused => None,
         }
     }
 
     /// The siblings' failure rate and typical time, and whether one less still leaves another.
-    fn compare(&self, name: &id::Minion, now: Moment) -> (f64, Duration, bool) {
+    fn compare_with_siblings(&self, name: &id::Minion, now: Moment) -> (f64, Duration, bool) {
         let Some(minion) = self.minions.get(name) else { return (0.0, Duration::ZERO, false) };
         let names = self.by_service.get(&minion.spec.service);
         let siblings = names.into_iter().flatten().filter(|other| *other != name);
         let mut rate = 0.0;
-        let mut typical = Duration::ZERO;
+        let mut sibling_latency = Duration::ZERO;
         let mut count = 0;
-        let mut trusted = 0;
+        let mut healthy = 0;
         for other in siblings.filter_map(|other| self.minions.get(other)) {
             rate += other.health.failure_rate();
-            typical = typical.max(other.health.typical());
+            sibling_latency = sibling_latency.max(other.health.latency());
             count += 1;
-            let serves = other.spec.active && other.health.state(now) == State::Trusted;
-            trusted += u32::from(serves);
+            let serves = other.spec.active && other.health.state(now) == State::Healthy;
+            healthy += u32::from(serves);
         }
         let rate = if count == 0 { 0.0 } else { rate / f64::from(count) };
         // An only minion of its service here can still be set aside for a short rest, since
         // peers hold others; but one of several is never the last to go.
-        (rate, typical, count == 0 || trusted > 0)
+        (rate, sibling_latency, count == 0 || healthy > 0)
     }
 
     /// Ends every grant of a peer that it no longer uses: `held` is what it says it uses.
     ///
     /// Called when the peer's link was lost, after which the peer cannot say `Finish`.
-    pub fn settle(&mut self, peer: &id::Entry, held: impl Fn(Grant) -> bool) -> usize {
-        let mut settled = 0;
+    pub fn reconcile_peer_grants(
+        &mut self,
+        peer: &id::Entry,
+        is_held: impl Fn(Grant) -> bool,
+    ) -> usize {
+        let mut revoked = 0;
         for minion in self.minions.values_mut() {
             let holder = Holder::Peer(peer.clone());
-            let over: Vec<Grant> = minion
+            let ended: Vec<Grant> = minion
                 .grants
                 .iter()
-                .filter(|(grant, by)| **by == holder && !held(**grant))
+                .filter(|(grant, by)| **by == holder && !is_held(**grant))
                 .map(|(grant, _)| *grant)
                 .collect();
-            for grant in over {
+            for grant in ended {
                 minion.grants.remove(&grant);
-                self.where_is.remove(&grant);
-                settled += 1;
+                self.minion_by_grant.remove(&grant);
+                revoked += 1;
             }
         }
-        settled
+        revoked
     }
 
     /// Peers that hold grants.
@@ -302,15 +313,15 @@
     }
 
     /// What a service has here.
-    pub fn room(&self, service: &id::Service, now: Moment) -> Room {
-        let mut room = Room::default();
+    pub fn capacity(&self, service: &id::Service, now: Moment) -> Capacity {
+        let mut capacity = Capacity::default();
         for name in self.by_service.get(service).into_iter().flatten() {
             if let Some(minion) = self.minions.get(name).filter(|minion| minion.spec.active) {
-                room.slots += minion.spec.slots.0;
-                room.free += minion.free(now);
+                capacity.slots += minion.spec.slots.0;
+                capacity.free += minion.free(now);
             }
         }
-        room
+        capacity
     }
 
     /// Services of which minions are owned here.
@@ -320,8 +331,8 @@
 
     /// Minions that are set aside now.
     pub fn ejected(&self, now: Moment) -> Vec<id::Minion> {
-        let aside = |minion: &&Minion| minion.health.state(now) != State::Trusted;
-        let names = self.minions.iter().filter(|(_, minion)| aside(minion));
+        let is_ejected = |minion: &&Minion| minion.health.state(now) != State::Healthy;
+        let names = self.minions.iter().filter(|(_, minion)| is_ejected(minion));
         names.map(|(name, _)| name.clone()).collect()
     }
 
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -41,8 +41,8 @@
     pub fn apply(&mut self, rows: &[Row], upto: Revision) -> Changed {
         let mut changed = Changed::default();
         for row in rows {
-            let held = self.rows.get(&row.key).map_or(Revision(0), |held| held.revision);
-            if row.revision <= held {
+            let known = self.rows.get(&row.key).map_or(Revision(0), |known| known.revision);
+            if row.revision <= known {
                 continue;
             }
             self.rows.insert(row.key.clone(), row.clone());
@@ -60,11 +60,11 @@
             changed.config |= self.index_config(row);
             return;
         }
-        changed.fleet |= set(&mut self.entries, row, fleet::Registration::PREFIX)
-            || set(&mut self.minions, row, fleet::Minion::PREFIX)
-            || set(&mut self.owners, row, fleet::Ownership::PREFIX);
-        set(&mut self.waves, row, fleet::Wave::PREFIX);
-        set(&mut self.disruptions, row, fleet::Disruption::PREFIX);
+        changed.fleet |= apply_row(&mut self.entries, row, fleet::Registration::PREFIX)
+            || apply_row(&mut self.minions, row, fleet::Minion::PREFIX)
+            || apply_row(&mut self.owners, row, fleet::Ownership::PREFIX);
+        apply_row(&mut self.waves, row, fleet::Wave::PREFIX);
+        apply_row(&mut self.disruptions, row, fleet::Disruption::PREFIX);
     }
 
     /// A configuration that cannot be read was never accepted by any entry of this version; the
@@ -155,7 +155,7 @@
 }
 
 /// Takes a row into its map when its key has the prefix; tells whether it has.
-fn set<K, R>(map: &mut BTreeMap<K, R>, row: &Row, prefix: &str) -> bool
+fn apply_row<K, R>(map: &mut BTreeMap<K, R>, row: &Row, prefix: &str) -> bool
 where
     K: Ord + std::str::FromStr,
     R: fleet::Row,
--- a/crates/policy/src/wave.rs
+++ b/crates/policy/src/wave.rs
@@ -1,6 +1,6 @@
 //! Maintenance waves: how many at once, which next, and when it will be finished.
 
-use crate::availability::Standing;
+use crate::availability::Availability;
 use celerythread_model::config::Ratio;
 use celerythread_model::id;
 use std::collections::BTreeMap;
@@ -24,10 +24,10 @@
 /// All that the floor leaves can be used for the shortest roll-out; for the smallest buffer
 /// the rest is kept for failures: as much as the largest rack would cost.  One may always go
 /// while the service is above its floor, since a wave must finish.
-pub fn parallel(standing: &Standing, weight: Ratio) -> u32 {
-    let spare = standing.spare();
-    let kept = f64::from(standing.largest_rack()) * (1.0 - weight.0);
-    let allowed = spare.saturating_sub(kept.round() as u32);
+pub fn max_parallel(availability: &Availability, weight: Ratio) -> u32 {
+    let spare = availability.spare();
+    let reserved = f64::from(availability.max_serving_per_rack()) * (1.0 - weight.0);
+    let allowed = spare.saturating_sub(reserved.round() as u32);
     allowed.max(u32::from(spare > 0))
 }
 
@@ -36,25 +36,25 @@
 /// A rack is emptied before the next is begun, and a zone's racks before the next zone's: what
 /// is out together then fails together, and a rack or zone that is lost during the wave costs
 /// the services less.  `begun` are racks with something out already.
-pub fn next(
+pub fn next_targets(
     remaining: &[Target],
-    standings: &BTreeMap<id::Service, Standing>,
+    services: &BTreeMap<id::Service, Availability>,
     weight: Ratio,
-    begun: &[id::Rack],
+    started_racks: &[id::Rack],
 ) -> Vec<id::Minion> {
-    let mut left: BTreeMap<&id::Service, u32> = standings
+    let mut budgets: BTreeMap<&id::Service, u32> = services
         .iter()
-        .map(|(service, standing)| {
+        .map(|(service, availability)| {
             // What is out already has used its part of what may be out at once.
-            let at_once = parallel(&restored(standing), weight);
-            (service, at_once.saturating_sub(standing.out).min(standing.spare()))
+            let at_once = max_parallel(&without_disruptions(availability), weight);
+            (service, at_once.saturating_sub(availability.out).min(availability.spare()))
         })
         .collect();
     let mut order: Vec<&Target> = remaining.iter().collect();
-    order.sort_by_key(|t| (!begun.contains(&t.rack), &t.zone, &t.rack, &t.minion));
+    order.sort_by_key(|t| (!started_racks.contains(&t.rack), &t.zone, &t.rack, &t.minion));
     let mut chosen = Vec::new();
     for target in order {
-        if let Some(count) = left.get_mut(&target.service).filter(|count| **count > 0) {
+        if let Some(count) = budgets.get_mut(&target.service).filter(|count| **count > 0) {
             *count -= 1;
             chosen.push(target.minion.clone());
         }
@@ -63,46 +63,51 @@
 }
 
 /// The standing as it would be with everything back that is out by intent.
-fn restored(standing: &Standing) -> Standing {
-    Standing { serving: standing.serving + standing.out, out: 0, ..standing.clone() }
+fn without_disruptions(availability: &Availability) -> Availability {
+    Availability {
+        serving: availability.serving + availability.out,
+        out: 0,
+        ..availability.clone()
+    }
 }
 
 /// When a wave will be finished, and what decides it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Forecast {
     /// Time to finish.
-    pub time: Duration,
+    pub duration: Duration,
     /// The service that takes longest; none when nothing is to be done.
-    pub binding: Option<id::Service>,
+    pub bottleneck: Option<id::Service>,
     /// How many of it may be out at once.
     pub parallel: u32,
     /// A service that has nothing to spare, so that its minions must wait for others to return.
-    pub stuck: Option<id::Service>,
+    pub blocked_service: Option<id::Service>,
 }
 
 /// Forecasts a wave; `each` is the time that a minion is out.
 pub fn forecast(
     targets: &[Target],
-    standings: &BTreeMap<id::Service, Standing>,
+    services: &BTreeMap<id::Service, Availability>,
     weight: Ratio,
-    each: Duration,
+    downtime: Duration,
 ) -> Forecast {
     let mut counts: BTreeMap<&id::Service, u32> = BTreeMap::new();
     for target in targets {
         *counts.entry(&target.service).or_default() += 1;
     }
-    let mut forecast = Forecast { time: Duration::ZERO, binding: None, parallel: 0, stuck: None };
+    let mut forecast =
+        Forecast { duration: Duration::ZERO, bottleneck: None, parallel: 0, blocked_service: None };
     for (service, count) in counts {
-        let standing = standings.get(service).cloned().unwrap_or_default();
-        let at_once = parallel(&restored(&standing), weight);
+        let availability = services.get(service).cloned().unwrap_or_default();
+        let at_once = max_parallel(&without_disruptions(&availability), weight);
         if at_once == 0 {
-            forecast.stuck = Some(service.clone());
+            forecast.blocked_service = Some(service.clone());
             continue;
         }
-        let time = each * count.div_ceil(at_once);
-        if time > forecast.time {
-            forecast.time = time;
-            forecast.binding = Some(service.clone());
+        let duration = downtime * count.div_ceil(at_once);
+        if duration > forecast.duration {
+            forecast.duration = duration;
+            forecast.bottleneck = Some(service.clone());
             forecast.parallel = at_once;
         }
     }
@@ -110,16 +115,16 @@
 }
 
 /// The services of which something is left to do but nothing may be taken out now.
-pub fn waiting_for(
+pub fn blocked_services(
     remaining: &[Target],
-    standings: &BTreeMap<id::Service, Standing>,
+    services: &BTreeMap<id::Service, Availability>,
 ) -> Vec<id::Service> {
-    let mut services: Vec<id::Service> = remaining
+    let mut blocked: Vec<id::Service> = remaining
         .iter()
-        .filter(|target| standings.get(&target.service).is_none_or(|s| s.spare() == 0))
+        .filter(|target| services.get(&target.service).is_none_or(|s| s.spare() == 0))
         .map(|target| target.service.clone())
         .collect();
-    services.sort();
-    services.dedup();
-    services
+    blocked.sort();
+    blocked.dedup();
+    blocked
 }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -8,9 +8,9 @@
 use celerythread_model::id;
 use celerythread_model::table::{Row, Space};
 use celerythread_model::unit::{Epoch, Revision, Token};
-use celerythread_policy::availability::Standing;
+use celerythread_policy::availability::Availability;
 use celerythread_policy::lease::{Action, Observer};
-use celerythread_policy::movement::{self, Facts, Step};
+use celerythread_policy::movement::{self, Action as MovementAction, Facts};
 use celerythread_policy::ownership::{self, Candidate};
 use celerythread_policy::sizing::{Pool, Settings, Sizer};
 use celerythread_policy::time::Moment;
@@ -44,7 +44,7 @@
 
 /// An entry acts by yesterday's configuration again: a peer that was cut off relays an old row.
 #[test]
-fn an_older_configuration_is_never_taken() {
+fn an_older_configuration_is_never_applied() {
     let mut view = View::default();
     assert!(view.apply(&[row("config/current", 7, Some(config(2)))], Revision(7)).config);
     assert!(!view.apply(&[row("config/current", 5, Some(config(1)))], Revision(5)).config);
@@ -97,15 +97,15 @@
     let me = id("e2");
     let held = Lease { holder: Some(id("e1")), token: Token(4), beat: 9 };
     let mut observer = Observer::default();
-    let look = |observer: &mut Observer, revision, now| {
+    let observe = |observer: &mut Observer, revision, now| {
         observer.observe(&me, Some(&held), Revision(revision), Moment(now), TERM)
     };
-    assert_eq!(look(&mut observer, 1, 0), Action::Stand);
-    assert_eq!(look(&mut observer, 1, 99), Action::Stand);
+    assert_eq!(observe(&mut observer, 1, 0), Action::Wait);
+    assert_eq!(observe(&mut observer, 1, 99), Action::Wait);
     // Renewed meanwhile: the term begins anew.
-    assert_eq!(look(&mut observer, 2, 100), Action::Stand);
-    assert_eq!(look(&mut observer, 2, 199), Action::Stand);
-    assert_matches!(look(&mut observer, 2, 200), Action::Take(lease) if lease.token == Token(5));
+    assert_eq!(observe(&mut observer, 2, 100), Action::Wait);
+    assert_eq!(observe(&mut observer, 2, 199), Action::Wait);
+    assert_matches!(observe(&mut observer, 2, 200), Action::Acquire(lease) if lease.token == Token(5));
 }
 
 proptest! {
@@ -125,7 +125,7 @@
             let now = Moment(clocks[who]);
             let action =
                 observers[who].observe(&entries[who], row.as_ref(), Revision(revision), now, TERM);
-            if let Action::Renew(next) | Action::Take(next) = action {
+            if let Action::Renew(next) | Action::Acquire(next) = action {
                 let before = row.as_ref().map_or(0, |lease| lease.token.0);
                 prop_assert!(next.token.0 >= before);
                 let holder = holders.entry(next.token.0).or_insert_with(|| entries[who].clone());
@@ -141,7 +141,7 @@
     Candidate { entry: id(entry), zone: id("z"), serves, silent }
 }
 
-fn places(count: usize) -> BTreeMap<id::Minion, (id::Service, id::Zone)> {
+fn minions_by_place(count: usize) -> BTreeMap<id::Minion, (id::Service, id::Zone)> {
     (0..count).map(|n| (id(&format!("m{n:03}")), (id("s"), id("z")))).collect()
 }
 
@@ -149,12 +149,12 @@
 fn minions_are_spread_evenly_and_move_little() {
     let three: Vec<Candidate> =
         ["e0", "e1", "e2"].iter().map(|e| candidate(e, true, false)).collect();
-    let chosen = ownership::assign(&places(12), &three);
+    let chosen = ownership::assign(&minions_by_place(12), &three);
     for entry in &three {
         assert_eq!(chosen.values().filter(|owner| **owner == entry.entry).count(), 4);
     }
     // One goes: what the others own stays mostly where it is.
-    let two = ownership::assign(&places(12), &three[..2]);
+    let two = ownership::assign(&minions_by_place(12), &three[..2]);
     let kept = chosen.iter().filter(|(m, owner)| **owner != id("e2") && two[*m] == **owner);
     assert!(kept.count() >= 6);
     assert_eq!(two.len(), 12);
@@ -162,32 +162,32 @@
 
 #[test]
 fn only_silent_or_unregistered_owners_are_taken_over() {
-    let standing = |owner: Option<&str>| Ownership {
+    let owned_by = |owner: Option<&str>| Ownership {
         minion: id("m"),
         owner: owner.map(id),
         former: Default::default(),
         idle_at: None,
     };
     let me = id("e1");
-    let with = |list: &[Candidate]| -> BTreeMap<id::Entry, Candidate> {
+    let by_id = |list: &[Candidate]| -> BTreeMap<id::Entry, Candidate> {
         list.iter().map(|c| (c.entry.clone(), c.clone())).collect()
     };
-    let decide = |row: &Ownership, should: &str, candidates: &[Candidate]| {
-        ownership::decide(&me, &id("m"), Some(row), Some(&id(should)), &with(candidates))
+    let decide = |row: &Ownership, assigned: &str, candidates: &[Candidate]| {
+        ownership::decide(&me, &id("m"), Some(row), Some(&id(assigned)), &by_id(candidates))
     };
     let both = [candidate("e1", true, false), candidate("e2", false, false)];
-    let held = standing(Some("e2"));
+    let held = owned_by(Some("e2"));
     assert_eq!(decide(&held, "e1", &both), ownership::Action::Keep);
     let silent = [candidate("e1", true, false), candidate("e2", false, true)];
     let taken = decide(&held, "e1", &silent);
-    assert_matches!(&taken, ownership::Action::Take(row) if row.former.contains(&id("e2")));
-    assert_matches!(decide(&held, "e1", &silent[..1]), ownership::Action::Take(_));
-    let free = standing(None);
-    assert_matches!(decide(&free, "e1", &both), ownership::Action::Take(row) if row.former.is_empty());
+    assert_matches!(&taken, ownership::Action::Acquire(row) if row.former.contains(&id("e2")));
+    assert_matches!(decide(&held, "e1", &silent[..1]), ownership::Action::Acquire(_));
+    let free = owned_by(None);
+    assert_matches!(decide(&free, "e1", &both), ownership::Action::Acquire(row) if row.former.is_empty());
     assert_eq!(decide(&free, "e2", &both), ownership::Action::Keep);
     assert_matches!(
-        decide(&standing(Some("e1")), "e2", &both),
-        ownership::Action::HandBack(row) if row.owner.is_none()
+        decide(&owned_by(Some("e1")), "e2", &both),
+        ownership::Action::Release(row) if row.owner.is_none()
     );
 }
 
@@ -251,12 +251,12 @@
         })
     };
     assert_eq!((row.state, row.pool.as_str()), (State::Draining, "s"));
-    let Step::Write(next) = step(&row, Some(5)) else { panic!() };
+    let MovementAction::Write(next) = step(&row, Some(5)) else { panic!() };
     row = next;
     assert_eq!((row.state, row.pool.as_str()), (State::Rebooting, "s"));
-    assert_eq!(step(&row, Some(5)), Step::Reboot(5));
-    assert_eq!(step(&row, None), Step::Wait);
-    let Step::Write(back) = step(&row, Some(6)) else { panic!() };
+    assert_eq!(step(&row, Some(5)), MovementAction::Reboot(5));
+    assert_eq!(step(&row, None), MovementAction::Wait);
+    let MovementAction::Write(back) = step(&row, Some(6)) else { panic!() };
     assert_eq!((back.state, back.pool.as_str(), back.epoch), (State::Active, "t", Epoch(4)));
 }
 
@@ -278,27 +278,30 @@
     disruption.out.insert(id("m1"), "leaving".into());
     let count = |healthy: &dyn Fn(&id::Minion) -> bool| {
         let service = document.services.values().next().unwrap();
-        Standing::count(service, minions.iter(), &disruption, healthy)
+        Availability::count(service, minions.iter(), &disruption, healthy)
     };
-    let standing = count(&|_| true);
-    assert_eq!((standing.serving, standing.out, standing.failed, standing.spare()), (3, 1, 1, 0));
-    let standing = count(&|name| *name != id("m4"));
-    assert_eq!((standing.serving, standing.failed, standing.spare()), (2, 2, 0));
+    let availability = count(&|_| true);
+    assert_eq!(
+        (availability.serving, availability.out, availability.failed, availability.spare()),
+        (3, 1, 1, 0)
+    );
+    let availability = count(&|name| *name != id("m4"));
+    assert_eq!((availability.serving, availability.failed, availability.spare()), (2, 2, 0));
 }
 
-fn standing(serving: u32, floor: u32, out: u32, rack: u32) -> Standing {
+fn availability(serving: u32, floor: u32, out: u32, rack: u32) -> Availability {
     let by_rack = BTreeMap::from([(id::<id::Rack>("r"), rack)]);
-    Standing { serving, floor, out, failed: 0, by_rack }
+    Availability { serving, floor, out, failed: 0, by_rack }
 }
 
 #[test]
 fn the_weight_trades_roll_out_time_against_buffer() {
-    let service = standing(12, 8, 0, 2);
-    assert_eq!(wave::parallel(&service, Ratio(1.0)), 4);
-    assert_eq!(wave::parallel(&service, Ratio(0.0)), 2);
+    let service = availability(12, 8, 0, 2);
+    assert_eq!(wave::max_parallel(&service, Ratio(1.0)), 4);
+    assert_eq!(wave::max_parallel(&service, Ratio(0.0)), 2);
     // One may always go while the service is above its floor, and none at it.
-    assert_eq!(wave::parallel(&standing(9, 8, 0, 3), Ratio(0.0)), 1);
-    assert_eq!(wave::parallel(&standing(8, 8, 0, 3), Ratio(1.0)), 0);
+    assert_eq!(wave::max_parallel(&availability(9, 8, 0, 3), Ratio(0.0)), 1);
+    assert_eq!(wave::max_parallel(&availability(8, 8, 0, 3), Ratio(1.0)), 0);
 }
 
 fn target(n: usize, service: &str, rack: &str) -> Target {
@@ -306,27 +309,28 @@
 }
 
 #[test]
-fn a_begun_rack_is_finished_first() {
+fn a_started_rack_is_finished_first() {
     let targets: Vec<Target> =
         (0..8).map(|n| target(n, "s", if n < 4 { "r1" } else { "r2" })).collect();
-    let standings = BTreeMap::from([(id("s"), standing(8, 6, 0, 4))]);
-    let chosen = wave::next(&targets, &standings, Ratio(1.0), &[id("r2")]);
+    let services = BTreeMap::from([(id("s"), availability(8, 6, 0, 4))]);
+    let chosen = wave::next_targets(&targets, &services, Ratio(1.0), &[id("r2")]);
     assert_eq!(chosen, [id("m0004"), id("m0005")]);
 }
 
 #[test]
-fn a_forecast_names_what_binds() {
+fn a_forecast_names_the_bottleneck() {
     let mut targets: Vec<Target> = (0..9).map(|n| target(n, "s", "r")).collect();
     targets.extend((9..12).map(|n| target(n, "t", "r")));
-    let standings =
-        BTreeMap::from([(id("s"), standing(9, 7, 0, 2)), (id("t"), standing(3, 2, 0, 1))]);
-    let each = Duration::from_secs(60);
-    let forecast = wave::forecast(&targets, &standings, Ratio(1.0), each);
-    assert_eq!((forecast.time, forecast.parallel), (each * 5, 2));
-    assert_eq!(forecast.binding, Some(id("s")));
-    let stuck = BTreeMap::from([(id("s"), standing(7, 7, 0, 2)), (id("t"), standing(3, 2, 0, 1))]);
-    let forecast = wave::forecast(&targets, &stuck, Ratio(1.0), each);
-    assert_eq!(forecast.stuck, Some(id("s")));
+    let services =
+        BTreeMap::from([(id("s"), availability(9, 7, 0, 2)), (id("t"), availability(3, 2, 0, 1))]);
+    let downtime = Duration::from_secs(60);
+    let forecast = wave::forecast(&targets, &services, Ratio(1.0), downtime);
+    assert_eq!((forecast.duration, forecast.parallel), (downtime * 5, 2));
+    assert_eq!(forecast.bottleneck, Some(id("s")));
+    let blocked =
+        BTreeMap::from([(id("s"), availability(7, 7, 0, 2)), (id("t"), availability(3, 2, 0, 1))]);
+    let forecast = wave::forecast(&targets, &blocked, Ratio(1.0), downtime);
+    assert_eq!(forecast.blocked_service, Some(id("s")));
 }
 
 proptest! {
@@ -352,11 +356,11 @@
                 out.pop_first();
             }
             let serving = (0..12).filter(|n| healthy[*n] && !out.contains(n)).count() as u32;
-            let now = Standing { serving, floor, out: out.len() as u32, failed: 0,
+            let now = Availability { serving, floor, out: out.len() as u32, failed: 0,
                 by_rack: BTreeMap::from([(id("r"), 3)]) };
             let targets: Vec<Target> = remaining.iter().map(|n| target(*n, "s", "r")).collect();
-            let standings = BTreeMap::from([(id("s"), now)]);
-            let chosen = wave::next(&targets, &standings, Ratio(weight), &[]);
+            let services = BTreeMap::from([(id("s"), now)]);
+            let chosen = wave::next_targets(&targets, &services, Ratio(weight), &[]);
             for name in &chosen {
                 let n: usize = name.as_str()[1..].parse().unwrap();
                 remaining.remove(&n);
@@ -374,8 +378,11 @@
 }
 
 #[test]
-fn a_move_needs_a_lasting_shortage_and_a_pool_that_can_give() {
-    let settings = Settings { patience: Duration::from_secs(60), settle: Duration::from_secs(300) };
+fn a_move_needs_a_persistent_shortage_and_a_donor() {
+    let settings = Settings {
+        min_shortage_duration: Duration::from_secs(60),
+        cooldown: Duration::from_secs(300),
+    };
     let mut sizer = Sizer::default();
     let pools = [pool("short", 6, 9, 0.9), pool("rich", 12, 9, 0.2), pool("full", 9, 9, 0.5)];
     assert_eq!(sizer.decide(&pools, Moment(0), settings), None);
@@ -389,8 +396,9 @@
 
 /// Load goes up and down around the threshold and minions wander with it.
 #[test]
-fn a_passing_shortage_moves_nothing() {
-    let settings = Settings { patience: Duration::from_secs(60), settle: Duration::ZERO };
+fn a_brief_shortage_causes_no_move() {
+    let settings =
+        Settings { min_shortage_duration: Duration::from_secs(60), cooldown: Duration::ZERO };
     let mut sizer = Sizer::default();
     for n in 0..100u64 {
         let utilisation = if n % 2 == 0 { 0.95 } else { 0.5 };
@@ -400,8 +408,8 @@
 }
 
 #[test]
-fn no_pool_gives_below_its_floor() {
-    let settings = Settings { patience: Duration::ZERO, settle: Duration::ZERO };
+fn no_pool_donates_below_its_floor() {
+    let settings = Settings { min_shortage_duration: Duration::ZERO, cooldown: Duration::ZERO };
     let mut sizer = Sizer::default();
     let lender = Pool { lends: true, ..pool("lender", 7, 9, 0.0) };
     let pools = [pool("short", 3, 9, 1.0), lender];
@@ -411,7 +419,7 @@
 }
 
 #[test]
-fn keys_have_their_prefixes() {
+fn row_keys_have_their_prefixes() {
     assert_eq!(fleet::key::<Minion>("m"), "minion/m");
     assert_eq!(fleet::key::<Ownership>("m"), "slots/m");
 }
--- a/crates/policy/tests/interleavings.rs
+++ b/crates/policy/tests/interleavings.rs
@@ -3,8 +3,8 @@
 use celerythread_model::request::Class;
 use celerythread_model::table::{Row, Space};
 use celerythread_model::unit::{Epoch, Revision, Slots};
-use celerythread_policy::queue::{Bounds, Queue, Waiting};
-use celerythread_policy::slots::{Holder, Ledger, Spec, Verdict};
+use celerythread_policy::queue::{Bounds, Queue, QueuedRequest};
+use celerythread_policy::slots::{DispatchResult, Holder, Ledger, Spec};
 use celerythread_policy::time::Moment;
 use celerythread_policy::view::View;
 use shuttle::sync::{Arc, Mutex, RwLock};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Interleavings tried of each.
-const TRIES: usize = 2000;
+const INTERLEAVINGS: usize = 2000;
 
 fn ledger(slots: u32) -> Ledger {
     let mut ledger = Ledger::default();
@@ -23,7 +23,7 @@
         epoch: Epoch(1),
         active: true,
     };
-    ledger.own("m".parse().unwrap(), spec, None);
+    ledger.upsert_minion("m".parse().unwrap(), spec, None);
     ledger
 }
 
@@ -31,15 +31,15 @@
 /// request may still be on it or go to it.  The lock is taken anew for each step, as the
 /// daemon does.
 #[test]
-fn idle_after_a_drain_stays_idle() {
+fn a_drained_idle_minion_stays_idle() {
     shuttle::check_random(
         || {
-            let table = Arc::new(Mutex::new(ledger(2)));
+            let ledger = Arc::new(Mutex::new(ledger(2)));
             let senders: Vec<_> = (0..2)
                 .map(|_| {
-                    let table = table.clone();
+                    let ledger = ledger.clone();
                     thread::spawn(move || {
-                        let granted = table.lock().unwrap().grant(
+                        let granted = ledger.lock().unwrap().grant(
                             &"s".parse().unwrap(),
                             Holder::Own,
                             None,
@@ -48,9 +48,9 @@
                         if let Some(permit) = granted {
                             thread::yield_now();
                             let took = Duration::from_millis(1);
-                            table.lock().unwrap().finish(
+                            ledger.lock().unwrap().finish(
                                 permit.grant,
-                                Verdict::Answered,
+                                DispatchResult::Answered,
                                 took,
                                 Moment(1),
                             );
@@ -60,7 +60,7 @@
                 .collect();
             let minion = "m".parse().unwrap();
             {
-                let mut table = table.lock().unwrap();
+                let mut ledger = ledger.lock().unwrap();
                 let spec = Spec {
                     service: "s".parse().unwrap(),
                     slots: Slots(2),
@@ -68,34 +68,34 @@
                     epoch: Epoch(1),
                     active: false,
                 };
-                table.own("m".parse().unwrap(), spec, None);
+                ledger.upsert_minion("m".parse().unwrap(), spec, None);
             }
             thread::yield_now();
-            let idle = table.lock().unwrap().is_idle(&minion, Moment(0));
+            let idle = ledger.lock().unwrap().is_idle(&minion, Moment(0));
             if idle {
                 thread::yield_now();
-                assert_eq!(table.lock().unwrap().outstanding(&minion), 0, "work after idle");
+                assert_eq!(ledger.lock().unwrap().outstanding(&minion), 0, "work after idle");
             }
             senders.into_iter().for_each(|sender| sender.join().unwrap());
         },
-        TRIES,
+        INTERLEAVINGS,
     );
 }
 
 /// A request gives up waiting while a slot becomes free: the slot must neither be lost nor used
 /// by two.
 #[test]
-fn a_slot_is_never_lost_to_one_who_left() {
+fn a_cancelled_wait_never_loses_a_slot() {
     shuttle::check_random(
         || {
             let slots = Arc::new(Mutex::new(ledger(1)));
             let queue = Arc::new(Mutex::new(Queue::<u32>::default()));
             let bounds = Bounds { limit: 9, patient_share: celerythread_model::config::Ratio(0.1) };
             for item in 0..2 {
-                let waiting = Waiting { item, class: Class::Urgent, deadline: Moment(99) };
+                let waiting = QueuedRequest { item, class: Class::Urgent, deadline: Moment(99) };
                 queue.lock().unwrap().push(waiting, Moment(0), bounds, 0.5).unwrap();
             }
-            let leaver = {
+            let canceller = {
                 let queue = queue.clone();
                 thread::spawn(move || queue.lock().unwrap().remove(|item| *item == 0))
             };
@@ -108,23 +108,26 @@
                             slots.lock().unwrap().grant(&service, Holder::Own, None, Moment(1));
                         let Some(permit) = granted else { return };
                         let next = queue.lock().unwrap().pop(Moment(1), bounds.patient_share);
-                        let verdict =
-                            if next.is_some() { Verdict::Answered } else { Verdict::Unused };
+                        let result = if next.is_some() {
+                            DispatchResult::Answered
+                        } else {
+                            DispatchResult::Unused
+                        };
                         slots.lock().unwrap().finish(
                             permit.grant,
-                            verdict,
+                            result,
                             Duration::ZERO,
                             Moment(1),
                         );
                     })
                 })
                 .collect();
-            leaver.join().unwrap();
+            canceller.join().unwrap();
             servers.into_iter().for_each(|server| server.join().unwrap());
             let service = "s".parse().unwrap();
-            assert_eq!(slots.lock().unwrap().room(&service, Moment(2)).free, 1);
+            assert_eq!(slots.lock().unwrap().capacity(&service, Moment(2)).free, 1);
         },
-        TRIES,
+        INTERLEAVINGS,
     );
 }
 
@@ -161,6 +164,6 @@
             writers.into_iter().for_each(|writer| writer.join().unwrap());
             assert_eq!(view.read().unwrap().upto(), Revision(3));
         },
-        TRIES,
+        INTERLEAVINGS,
     );
 }
--- a/crates/policy/tests/pause.rs
+++ b/crates/policy/tests/pause.rs
@@ -1,6 +1,6 @@
 //! Silence is judged only for as long as this process itself ran.
 
-use celerythread_policy::pause::Watch;
+use celerythread_policy::pause::Detector;
 use celerythread_policy::time::Moment;
 use std::time::Duration;
 
@@ -12,29 +12,29 @@
 /// and their drains waited for the requests that the former owners might still have had there.
 #[test]
 fn a_process_that_wakes_up_takes_nobody_for_lost() {
-    let mut watch = Watch::new(LIMIT);
+    let mut detector = Detector::new(LIMIT);
     let heard = Moment(10_000);
-    (0..=50).for_each(|n| assert!(!watch.observe(Moment(n * 200))));
+    (0..=50).for_each(|n| assert!(!detector.observe(Moment(n * 200))));
 
     let woken = Moment(25_000);
-    assert!(watch.observe(woken));
-    assert!(watch.silence(heard, woken) < TAKEOVER_AFTER);
+    assert!(detector.observe(woken));
+    assert!(detector.silence(heard, woken) < TAKEOVER_AFTER);
 }
 
 #[test]
 fn a_peer_that_stays_silent_after_the_pause_is_lost_in_time() {
-    let mut watch = Watch::new(LIMIT);
+    let mut detector = Detector::new(LIMIT);
     let heard = Moment(0);
     let woken = Moment(25_000);
-    watch.observe(woken);
+    detector.observe(woken);
     let later = woken + TAKEOVER_AFTER;
-    (0..30).for_each(|n| assert!(!watch.observe(woken + Duration::from_millis(n * 200))));
-    assert!(watch.silence(heard, later) >= TAKEOVER_AFTER);
+    (0..30).for_each(|n| assert!(!detector.observe(woken + Duration::from_millis(n * 200))));
+    assert!(detector.silence(heard, later) >= TAKEOVER_AFTER);
 }
 
 #[test]
 fn short_gaps_are_no_pause() {
-    let mut watch = Watch::new(LIMIT);
-    assert!((0..20).all(|n| !watch.observe(Moment(n * 1900))));
-    assert_eq!(watch.silence(Moment(100), Moment(7100)), Duration::from_secs(7));
+    let mut detector = Detector::new(LIMIT);
+    assert!((0..20).all(|n| !detector.observe(Moment(n * 1900))));
+    assert_eq!(detector.silence(Moment(100), Moment(7100)), Duration::from_secs(7));
 }
--- a/crates/policy/tests/requests.rs
+++ b/crates/policy/tests/requests.rs
@@ -8,10 +8,10 @@
 use celerythread_policy::claim::{self, Answer, Claim, Decision, Settlement, Stage};
 use celerythread_policy::health::{Health, State};
 use celerythread_policy::phase::{self, Phase};
-use celerythread_policy::queue::{Bounds, Queue, Waiting};
+use celerythread_policy::queue::{Bounds, Queue, QueuedRequest};
 use celerythread_policy::quota::Quota;
 use celerythread_policy::retry::Budget;
-use celerythread_policy::slots::{Grant, Holder, Ledger, Spec, Verdict};
+use celerythread_policy::slots::{DispatchResult, Grant, Holder, Ledger, Spec};
 use celerythread_policy::time::Moment;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -28,28 +28,28 @@
 /// The whole table: "not run" is said only before the first byte, and a non-idempotent request
 /// is never sent again after it.
 #[test]
-fn the_table_by_phase_and_idempotence() {
+fn outcome_and_resend_by_phase_and_idempotence() {
     for phase in Phase::VARIANTS {
         for idempotence in Idempotence::VARIANTS {
-            let verdict = phase::judge(*phase, *idempotence);
+            let decision = phase::decide(*phase, *idempotence);
             let nothing_written = *phase <= Phase::Connected;
             let expected = if nothing_written { Outcome::NotRun } else { Outcome::Unknown };
-            assert_eq!(verdict.outcome, expected, "{phase:?}");
-            let may = nothing_written || *idempotence == Idempotence::Idempotent;
-            assert_eq!(verdict.resend, may, "{phase:?} {idempotence}");
+            assert_eq!(decision.outcome, expected, "{phase:?}");
+            let may_resend = nothing_written || *idempotence == Idempotence::Idempotent;
+            assert_eq!(decision.may_resend, may_resend, "{phase:?} {idempotence}");
         }
     }
 }
 
 #[test]
-fn several_attempts_are_not_run_only_if_none_was() {
+fn combined_outcome_is_not_run_only_if_no_attempt_ran() {
     use Outcome::{NotRun, Run, Unknown};
-    assert_eq!(phase::join(None, NotRun), NotRun);
-    assert_eq!(phase::join(Some(NotRun), NotRun), NotRun);
-    assert_eq!(phase::join(Some(Unknown), NotRun), Unknown);
-    assert_eq!(phase::join(Some(NotRun), Unknown), Unknown);
-    assert_eq!(phase::join(Some(Unknown), Run), Run);
-    assert_eq!(phase::join(Some(Run), NotRun), Run);
+    assert_eq!(phase::combine(None, NotRun), NotRun);
+    assert_eq!(phase::combine(Some(NotRun), NotRun), NotRun);
+    assert_eq!(phase::combine(Some(Unknown), NotRun), Unknown);
+    assert_eq!(phase::combine(Some(NotRun), Unknown), Unknown);
+    assert_eq!(phase::combine(Some(Unknown), Run), Run);
+    assert_eq!(phase::combine(Some(Run), NotRun), Run);
 }
 
 /// A slow morning becomes an outage: every request fails, each is sent three times, and the
@@ -59,8 +59,8 @@
     let mut budget = Budget::new(Ratio(0.1));
     let mut resent = 0;
     for _ in 0..1000 {
-        budget.earn();
-        resent += u32::from(budget.spend());
+        budget.deposit();
+        resent += u32::from(budget.try_withdraw());
     }
     assert!((90..=104).contains(&resent), "{resent} of 1000");
 }
@@ -69,8 +69,8 @@
     Bounds { limit: 100, patient_share: Ratio(0.125) }
 }
 
-fn waiting(item: u32, class: Class) -> Waiting<u32> {
-    Waiting { item, class, deadline: Moment(1_000_000) }
+fn waiting(item: u32, class: Class) -> QueuedRequest<u32> {
+    QueuedRequest { item, class, deadline: Moment(1_000_000) }
 }
 
 #[test]
@@ -95,8 +95,8 @@
     for n in 0..50 {
         queue.push(waiting(n, Class::Urgent), Moment(0), bounds(), 0.5).unwrap();
     }
-    let hasty = Waiting { item: 99, class: Class::Urgent, deadline: Moment(100) };
-    let refusal = queue.push(hasty, Moment(0), bounds(), 0.5).unwrap_err();
+    let short_deadline = QueuedRequest { item: 99, class: Class::Urgent, deadline: Moment(100) };
+    let refusal = queue.push(short_deadline, Moment(0), bounds(), 0.5).unwrap_err();
     // 50 waiting at 20 ms each are a second.
     assert!(refusal.retry_after >= Duration::from_millis(500), "{refusal:?}");
     assert_eq!(queue.len(), 50);
@@ -126,12 +126,12 @@
 }
 
 #[test]
-fn what_has_expired_is_taken_out() {
+fn expired_requests_are_removed() {
     let mut queue = Queue::default();
-    let brief = Waiting { item: 1, class: Class::Urgent, deadline: Moment(50) };
-    queue.push(brief, Moment(0), bounds(), 0.5).unwrap();
+    let short_deadline = QueuedRequest { item: 1, class: Class::Urgent, deadline: Moment(50) };
+    queue.push(short_deadline, Moment(0), bounds(), 0.5).unwrap();
     queue.push(waiting(2, Class::Urgent), Moment(0), bounds(), 0.5).unwrap();
-    assert_eq!(queue.expire(Moment(60)), [1]);
+    assert_eq!(queue.remove_expired(Moment(60)), [1]);
     assert_eq!(queue.pop(Moment(60), bounds().patient_share), Some(2));
 }
 
@@ -169,37 +169,41 @@
 fn ledger(minions: u32, slots: u32) -> Ledger {
     let mut ledger = Ledger::default();
     for n in 0..minions {
-        ledger.own(id(&format!("m{n}")), spec(slots, true), None);
+        ledger.upsert_minion(id(&format!("m{n}")), spec(slots, true), None);
     }
     ledger
 }
 
 #[test]
-fn equals_take_turns() {
+fn equally_loaded_minions_take_turns() {
     let mut ledger = ledger(3, 8);
     let mut served: BTreeMap<id::Minion, u32> = BTreeMap::new();
     for n in 0..30 {
         let permit = ledger.grant(&id("s"), Holder::Own, None, Moment(n)).unwrap();
         *served.entry(permit.minion).or_default() += 1;
-        ledger.finish(permit.grant, Verdict::Answered, Duration::from_millis(1), Moment(n));
+        ledger.finish(permit.grant, DispatchResult::Answered, Duration::from_millis(1), Moment(n));
     }
     assert!(served.values().all(|count| *count == 10), "{served:?}");
 }
 
 /// A minion that was drained and came back is a newly booted one: its old failures say nothing.
 #[test]
-fn a_new_epoch_is_trusted() {
+fn a_new_epoch_resets_the_health() {
     let mut ledger = ledger(2, 8);
     let mut now = Moment(0);
     while ledger.ejected(now).is_empty() {
         now = now + Duration::from_millis(50);
         assert!(now < Moment(60_000), "never set aside");
         let Some(permit) = ledger.grant(&id("s"), Holder::Own, None, now) else { continue };
-        let verdict = if permit.minion == id("m0") { Verdict::Failed } else { Verdict::Answered };
-        ledger.finish(permit.grant, verdict, Duration::from_millis(1), now);
+        let result = if permit.minion == id("m0") {
+            DispatchResult::Failed
+        } else {
+            DispatchResult::Answered
+        };
+        ledger.finish(permit.grant, result, Duration::from_millis(1), now);
     }
     assert_eq!(ledger.ejected(now), [id("m0")]);
-    ledger.own(id("m0"), Spec { epoch: Epoch(2), ..spec(8, true) }, None);
+    ledger.upsert_minion(id("m0"), Spec { epoch: Epoch(2), ..spec(8, true) }, None);
     assert!(ledger.ejected(now).is_empty());
 }
 
@@ -210,9 +214,9 @@
     let mut ledger = ledger(1, 1);
     let grant = |ledger: &mut Ledger, now| ledger.grant(&id("s"), Holder::Own, None, Moment(now));
     let first = grant(&mut ledger, 0).unwrap();
-    ledger.finish(first.grant, Verdict::Answered, Duration::from_millis(100), Moment(100));
+    ledger.finish(first.grant, DispatchResult::Answered, Duration::from_millis(100), Moment(100));
     let second = grant(&mut ledger, 100).unwrap();
-    ledger.finish(second.grant, Verdict::Failed, Duration::ZERO, Moment(100));
+    ledger.finish(second.grant, DispatchResult::Failed, Duration::ZERO, Moment(100));
     assert!(grant(&mut ledger, 199).is_none());
     assert!(grant(&mut ledger, 200).is_some());
 }
@@ -220,17 +224,17 @@
 /// A minion fails once, a packet was lost; from then on its sibling gets all the work of a
 /// quiet service, and nobody ever finds out that it works.
 #[test]
-fn one_failure_is_forgotten() {
+fn a_single_failure_is_forgotten() {
     let mut ledger = ledger(2, 8);
     let first = ledger.grant(&id("s"), Holder::Own, None, Moment(0)).unwrap();
     let failed = first.minion.clone();
-    ledger.finish(first.grant, Verdict::Failed, Duration::ZERO, Moment(1));
+    ledger.finish(first.grant, DispatchResult::Failed, Duration::ZERO, Moment(1));
     let mut served = false;
     for n in 0..20 {
         let now = Moment(1000 + n);
         let permit = ledger.grant(&id("s"), Holder::Own, None, now).unwrap();
         served |= permit.minion == failed;
-        ledger.finish(permit.grant, Verdict::Answered, Duration::from_millis(1), now);
+        ledger.finish(permit.grant, DispatchResult::Answered, Duration::from_millis(1), now);
     }
     assert!(served);
 }
@@ -244,10 +248,10 @@
     for _ in 0..400 {
         now += 1;
         if let Some(permit) = ledger.grant(&id("s"), Holder::Own, None, Moment(now)) {
-            ledger.finish(permit.grant, Verdict::Failed, Duration::ZERO, Moment(now));
+            ledger.finish(permit.grant, DispatchResult::Failed, Duration::ZERO, Moment(now));
         }
         assert!(ledger.ejected(Moment(now)).len() < 4);
-        assert!(ledger.room(&id("s"), Moment(now)).slots == 32);
+        assert!(ledger.capacity(&id("s"), Moment(now)).slots == 32);
     }
     assert!(ledger.grant(&id("s"), Holder::Own, None, Moment(now + 100_000)).is_some());
 }
@@ -256,10 +260,10 @@
 fn a_draining_minion_gets_nothing_and_is_idle_once_its_grants_end() {
     let mut ledger = ledger(1, 8);
     let permit = ledger.grant(&id("s"), Holder::Peer(id("e2")), None, Moment(0)).unwrap();
-    ledger.own(id("m0"), spec(8, false), None);
+    ledger.upsert_minion(id("m0"), spec(8, false), None);
     assert!(ledger.grant(&id("s"), Holder::Own, None, Moment(1)).is_none());
     assert!(!ledger.is_idle(&id("m0"), Moment(1)));
-    ledger.finish(permit.grant, Verdict::Answered, Duration::from_millis(5), Moment(5));
+    ledger.finish(permit.grant, DispatchResult::Answered, Duration::from_millis(5), Moment(5));
     assert!(ledger.is_idle(&id("m0"), Moment(5)));
 }
 
@@ -272,20 +276,20 @@
     let grants: Vec<Grant> = (0..2)
         .map(|_| ledger.grant(&id("s"), Holder::Peer(peer.clone()), None, Moment(0)).unwrap().grant)
         .collect();
-    assert_eq!(ledger.settle(&peer, |grant| grant == grants[0]), 1);
-    assert_eq!(ledger.room(&id("s"), Moment(1)).free, 1);
-    assert_eq!(ledger.settle(&peer, |_| false), 1);
-    assert_eq!(ledger.room(&id("s"), Moment(1)).free, 2);
-    assert_eq!(ledger.finish(grants[0], Verdict::Answered, Duration::ZERO, Moment(2)), None);
+    assert_eq!(ledger.reconcile_peer_grants(&peer, |grant| grant == grants[0]), 1);
+    assert_eq!(ledger.capacity(&id("s"), Moment(1)).free, 1);
+    assert_eq!(ledger.reconcile_peer_grants(&peer, |_| false), 1);
+    assert_eq!(ledger.capacity(&id("s"), Moment(1)).free, 2);
+    assert_eq!(ledger.finish(grants[0], DispatchResult::Answered, Duration::ZERO, Moment(2)), None);
 }
 
 #[test]
-fn a_former_owners_slots_are_kept_free_for_a_while() {
+fn slots_of_a_former_owner_stay_reserved_for_a_while() {
     let mut ledger = Ledger::default();
-    ledger.own(id("m0"), spec(4, true), Some((3, Moment(100))));
-    assert_eq!(ledger.room(&id("s"), Moment(50)).free, 1);
+    ledger.upsert_minion(id("m0"), spec(4, true), Some((3, Moment(100))));
+    assert_eq!(ledger.capacity(&id("s"), Moment(50)).free, 1);
     assert!(!ledger.is_idle(&id("m0"), Moment(50)));
-    assert_eq!(ledger.room(&id("s"), Moment(100)).free, 4);
+    assert_eq!(ledger.capacity(&id("s"), Moment(100)).free, 4);
 }
 
 #[derive(Clone, Debug)]
@@ -293,7 +297,7 @@
     Grant(bool),
     Finish(usize, bool),
     Drain(bool),
-    Settle(u8),
+    Reconcile(u8),
     Wait(u16),
 }
 
@@ -302,7 +306,7 @@
         4 => any::<bool>().prop_map(Step::Grant),
         3 => (any::<usize>(), any::<bool>()).prop_map(|(n, ok)| Step::Finish(n, ok)),
         1 => any::<bool>().prop_map(Step::Drain),
-        1 => any::<u8>().prop_map(Step::Settle),
+        1 => any::<u8>().prop_map(Step::Reconcile),
         2 => any::<u16>().prop_map(Step::Wait),
     ];
     prop::collection::vec(step, 0..120)
@@ -327,20 +331,20 @@
                 }
                 Step::Finish(n, ok) if !open.is_empty() => {
                     let (grant, _, _) = open.swap_remove(n % open.len());
-                    let verdict = if ok { Verdict::Answered } else { Verdict::Failed };
-                    ledger.finish(grant, verdict, Duration::from_millis(3), Moment(now));
+                    let result = if ok { DispatchResult::Answered } else { DispatchResult::Failed };
+                    ledger.finish(grant, result, Duration::from_millis(3), Moment(now));
                 }
                 Step::Finish(..) => {}
-                Step::Drain(active) => ledger.own(id("m0"), spec(SLOTS, active), None),
-                Step::Settle(bits) => {
-                    let kept: Vec<Grant> = open
+                Step::Drain(active) => ledger.upsert_minion(id("m0"), spec(SLOTS, active), None),
+                Step::Reconcile(bits) => {
+                    let listed: Vec<Grant> = open
                         .iter()
                         .enumerate()
                         .filter(|(n, (_, _, own))| *own || bits & (1 << (n % 8)) != 0)
                         .map(|(_, (grant, _, _))| *grant)
                         .collect();
-                    ledger.settle(&id("e2"), |grant| kept.contains(&grant));
-                    open.retain(|(grant, _, _)| kept.contains(grant));
+                    ledger.reconcile_peer_grants(&id("e2"), |grant| listed.contains(&grant));
+                    open.retain(|(grant, _, _)| listed.contains(grant));
                 }
                 Step::Wait(ms) => now += u64::from(ms),
             }
@@ -355,17 +359,17 @@
 }
 
 #[test]
-fn a_rested_minion_is_tried_gently_and_trusted_again() {
+fn an_ejected_minion_is_probed_and_readmitted() {
     let mut health = Health::default();
     let mut ejected = false;
     for n in 0..20 {
-        ejected |= health.fail(Moment(n), 0.0, true);
+        ejected |= health.record_failure(Moment(n), 0.0, true);
     }
     assert!(ejected);
-    assert_matches!(health.state(Moment(20)), State::Resting(_));
+    assert_matches!(health.state(Moment(20)), State::Ejected(_));
     assert_eq!(health.state(Moment(100_000)), State::Probing);
-    assert!(health.succeed(Duration::from_millis(5)));
-    assert_eq!(health.state(Moment(100_001)), State::Trusted);
+    assert!(health.record_success(Duration::from_millis(5)));
+    assert_eq!(health.state(Moment(100_001)), State::Healthy);
 }
 
 fn claim(stage: Stage) -> Claim {
@@ -373,16 +377,16 @@
 }
 
 #[test]
-fn what_a_repeat_is_told() {
+fn decisions_for_a_repeated_key() {
     let answer = Answer { status: 200, headers: vec![], body: None, object: None };
-    let (ours, other) = (id::<id::Attempt>("a1"), id::<id::Attempt>("a2"));
-    let decide = |stage, attempt: &id::Attempt, print: &str, alive: bool| {
-        claim::decide(&claim(stage), attempt, print, |_| alive)
+    let (own, other) = (id::<id::Attempt>("a1"), id::<id::Attempt>("a2"));
+    let decide = |stage, attempt: &id::Attempt, fingerprint: &str, is_registered: bool| {
+        claim::decide(&claim(stage), attempt, fingerprint, |_| is_registered)
     };
     let done = Stage::Done { answer: answer.clone() };
     assert_eq!(decide(done.clone(), &other, "f", false), Decision::Replay(answer));
     assert_eq!(decide(done, &other, "other", true), Decision::KeyReused);
-    assert_eq!(decide(Stage::Running, &ours, "f", true), Decision::Run);
+    assert_eq!(decide(Stage::Running, &own, "f", true), Decision::Run);
     assert_eq!(decide(Stage::Running, &other, "f", true), Decision::StillRunning);
     // A dead entry's claim never comes free.
     assert_eq!(decide(Stage::Running, &other, "f", false), Decision::Unknown);
@@ -390,20 +394,20 @@
 }
 
 #[test]
-fn only_what_was_not_run_gives_its_key_back() {
+fn only_a_request_that_was_not_run_releases_its_key() {
     assert_eq!(claim::settle(Outcome::NotRun, None), Settlement::Release);
-    assert_eq!(claim::settle(Outcome::Unknown, None), Settlement::Mark);
-    assert_eq!(claim::settle(Outcome::Run, None), Settlement::Mark);
+    assert_eq!(claim::settle(Outcome::Unknown, None), Settlement::MarkUnknown);
+    assert_eq!(claim::settle(Outcome::Run, None), Settlement::MarkUnknown);
 }
 
 #[test]
-fn a_quota_is_given_back() {
+fn a_finished_request_frees_its_quota() {
     let document = Document::read("[team t]\nrequests = 2\n", "").unwrap();
     let mut quota = Quota::default();
     let team = id("t");
-    assert!(quota.enter(&team, &document) && quota.enter(&team, &document));
-    assert!(!quota.enter(&team, &document));
-    quota.leave(&team);
-    assert!(quota.enter(&team, &document));
-    assert!((0..100).all(|_| quota.enter(&id("unbounded"), &document)));
+    assert!(quota.try_acquire(&team, &document) && quota.try_acquire(&team, &document));
+    assert!(!quota.try_acquire(&team, &document));
+    quota.release(&team);
+    assert!(quota.try_acquire(&team, &document));
+    assert!((0..100).all(|_| quota.try_acquire(&id("unbounded"), &document)));
 }
--- a/tests/all/faults.rs
+++ b/tests/all/faults.rs
@@ -36,7 +36,7 @@
             ),
             (
                 "what is leaving without an errand counts as failed",
-                "policy::availability::Standing::count",
+                "policy::availability::Availability::count",
                 "failures_use_the_budget_and_leaving_minions_never_return",
             ),
         ],
@@ -115,7 +115,7 @@
     Promise {
         name: "When a request is refused as not run, it was not run",
         cells: &[
-            ("by phase and idempotence", &["the_table_by_phase_and_idempotence"]),
+            ("by phase and idempotence", &["outcome_and_resend_by_phase_and_idempotence"]),
             ("connection refused", &["a_refused_connection_is_not_run"]),
             ("overload", &["overload_is_refused_at_once_with_a_time_to_come_back"]),
             ("platform outage", &["an_outage_refuses_keyed_requests_and_serves_the_others"]),
@@ -126,8 +126,8 @@
         guards: &[
             (
                 "not run is said only before the first byte",
-                "policy::phase::judge",
-                "the_table_by_phase_and_idempotence",
+                "policy::phase::decide",
+                "outcome_and_resend_by_phase_and_idempotence",
             ),
             (
                 "a request's body is received whole before it is handled",
@@ -267,7 +267,7 @@
             ),
             (
                 "one of several minions is never the last to be set aside",
-                "policy::slots::Ledger::compare",
+                "policy::slots::Ledger::compare_with_siblings",
                 "ejection_never_empties_a_service",
             ),
             (
