--- a/crates/policy/src/claim.rs
+++ b/crates/policy/src/claim.rs
@@ -1,72 +1,72 @@
-//! Keyed requests: at most one run, and the same answer for each repeat.
+//! Requests with an idempotency key: run at most once, with the same answer for every repeat.
 
 use celerythread_model::id;
 use celerythread_model::request::Outcome;
 use serde::{Deserialize, Serialize};
 
-/// A claim's row in the table.
+/// A claim on a key, as stored in the table.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The attempt that made it.
+    /// The attempt that made the claim.
     pub attempt: id::Attempt,
-    /// The entry that carries it.
+    /// The entry that runs the request.
     pub entry: id::Entry,
-    /// A digest of the request; another request under the same key is refused.
+    /// A digest of the request.  A different request under the same key is refused.
     pub fingerprint: String,
-    /// How far it has come.
+    /// The claim's progress.
     pub stage: Stage,
-    /// Milliseconds since the Unix epoch when the claim was made, for clearing old ones.
+    /// When the claim was made, in milliseconds since the Unix epoch.  Claims are deleted by age.
     pub made_at: u64,
 }
 
-/// How far a claim has come.
+/// The progress of a claim.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "stage")]
 pub enum Stage {
-    /// It may be running.
+    /// The request may be running.
     Running,
-    /// It was answered.
+    /// The request was answered.
     Done {
         /// The answer.
         answer: Answer,
     },
-    /// It may have run and nobody can tell.
+    /// The request may have run; its outcome can't be determined.
     Unknown,
 }
 
-/// A kept answer.
+/// A stored answer.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// The headers that belong to the answer.
+    /// The headers that are part of the answer.
     pub headers: Vec<(String, String)>,
-    /// The body in base64, when it is small.
+    /// The body in base64, if it is small.
     pub body: Option<String>,
-    /// The name of the object that holds the body, when it is not.
+    /// The name of the object that holds the body, if it is large.
     pub object: Option<String>,
 }
 
 /// What to do with a keyed request, given the claim found under its key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// Run it: the claim is ours.
+    /// Run the request: this attempt holds the claim.
     Run,
-    /// Give the kept answer.
+    /// Return the stored answer.
     Replay(Answer),
-    /// Say that it is still running.
+    /// Report that the request is still running.
     StillRunning,
-    /// Say that its outcome is unknown.
+    /// Report that the outcome is unknown.
     Unknown,
-    /// Refuse: the key belongs to another request.
+    /// Refuse: the key was used for a different request.
     KeyReused,
 }
 
-/// Decides by the claim that stands in the table.
+/// Decides by the claim that the table holds.
 ///
-/// `alive` tells whether the claiming entry is still registered.  A dead entry's claim never
-/// comes free: its request may have run, and nobody can tell, so a repeat is told "unknown"
-/// rather than run a second time.
+/// `is_registered` returns whether the claiming entry is still registered.  A dead entry's claim is
+/// never released: its request may have run, so a repeat is answered with "unknown" rather than run
+/// a second time.
 pub fn decide(
     existing: &Claim,
     own_attempt: &id::Attempt,
@@ -79,25 +79,25 @@
     match &existing.stage {
         Stage::Done { answer } => Decision::Replay(answer.clone()),
         Stage::Unknown => Decision::Unknown,
-        // Our own claim, read back after its answer was lost.
+        // This attempt's own claim, read back after the answer to its commit was lost.
         Stage::Running if existing.attempt == *own_attempt => Decision::Run,
         Stage::Running if is_registered(&existing.entry) => Decision::StillRunning,
         Stage::Running => Decision::Unknown,
     }
 }
 
-/// What becomes of the claim's row once the dispatch has ended.
+/// What to do with the claim's row once the dispatch has ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Settlement {
-    /// Keep the answer.
+    /// Store the answer.
     Store(Answer),
-    /// Remove the claim: the request was not run and may be tried again.
+    /// Delete the claim: the request was not run and may be tried again.
     Release,
-    /// Keep the claim as one that nobody can tell about.
+    /// Mark the claim's outcome as unknown.
     MarkUnknown,
 }
 
-/// Decides by the outcome; `answer` is what the minion said, if it was received whole.
+/// Decides by the outcome.  `answer` is the minion's answer, if it was received completely.
 pub fn settle(outcome: Outcome, answer: Option<Answer>) -> Settlement {
     match (outcome, answer) {
         (_, Some(answer)) => Settlement::Store(answer),
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -1,28 +1,28 @@
-//! Judging a minion by its answers, in comparison with its siblings.
+//! Outlier detection: ejects a minion or worker that fails more often than its siblings.
 
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Weight of the newest answer in the failure rate.
+/// Weight of the newest answer in the moving average of the failure rate.
 const FAILURE_RATE_EWMA_WEIGHT: f64 = 0.15;
 
-/// Failures in a row before a minion can be set aside.
+/// Consecutive failures before a minion can be ejected.
 const MIN_CONSECUTIVE_FAILURES: u32 = 4;
 
-/// A minion is suspected when it fails this much more often than its siblings.
+/// A minion is an outlier when its failure rate exceeds that of its siblings by this much.
 const MIN_EXCESS_FAILURE_RATE: f64 = 0.4;
 
-/// How long each failure in a row makes other minions preferable.
+/// How long each consecutive failure makes other minions preferred.
 const AVOIDANCE_PER_FAILURE: Duration = Duration::from_millis(250);
 
-/// First wait before a minion that was set aside is tried again; doubles up to the last.
+/// Bounds of the time for which a minion is ejected; it doubles with each failed probe.
 const MIN_EJECTION_TIME: Duration = Duration::from_secs(1);
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(30);
 
-/// Weight of the newest service time in the typical one.
+/// Weight of the newest latency in the moving average.
 const LATENCY_EWMA_WEIGHT: f64 = 0.1;
 
-/// What is known of one minion.
+/// The health of one minion, derived from its answers.
 #[derive(Clone, Debug)]
 pub struct Health {
     failure_rate: f64,
@@ -33,12 +33,12 @@
     ejection_time: Duration,
 }
 
-/// Whether a minion gets work.
+/// Whether a minion gets requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// It does.
+    /// It gets requests.
     Healthy,
-    /// Not before this moment.
+    /// It gets none until this moment.
     Ejected(Moment),
     /// It gets one request at a time until one succeeds.
     Probing,
@@ -58,7 +58,7 @@
 }
 
 impl Health {
-    /// Whether it gets work now.
+    /// The state at `now`.
     pub fn state(&self, now: Moment) -> State {
         match self.state {
             State::Ejected(until) if until <= now => State::Probing,
@@ -66,19 +66,19 @@
         }
     }
 
-    /// Failures in a row, forgotten after a while: a minion that is left out because it failed
-    /// once could otherwise never show that it works again.
+    /// Consecutive failures, or zero once the last one is old enough.  Without this expiry a minion
+    /// that is avoided because it failed once might never get a request that shows it works again.
     pub fn recent_failures(&self, now: Moment) -> u32 {
         let avoidance = AVOIDANCE_PER_FAILURE * self.consecutive_failures;
         if now.since(self.last_failure) < avoidance { self.consecutive_failures } else { 0 }
     }
 
-    /// The smoothed share of failures.
+    /// The moving average of the failure rate.
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
-    /// Notes a success that took `took`.  Tells whether the minion is trusted anew.
+    /// Records a success and its latency.  Returns whether the minion was readmitted by it.
     pub fn record_success(&mut self, latency: Duration) -> bool {
         let millis = latency.as_millis() as f64;
         let weight = if self.latency_ms == 0.0 { 1.0 } else { LATENCY_EWMA_WEIGHT };
@@ -94,9 +94,11 @@
         readmitted
     }
 
-    /// Notes a failure.  `siblings` is the others' failure rate: when all fail alike the cause
-    /// lies elsewhere, and setting one after the other aside would empty the service.  Tells
-    /// whether the minion is set aside by it; `may_eject` is false at the service's floor.
+    /// Records a failure and returns whether the minion is ejected by it.
+    ///
+    /// `sibling_failure_rate` is the failure rate of its siblings: when all fail alike, the cause
+    /// lies elsewhere, and ejecting one after another would leave the service without minions.
+    /// With `may_eject` false the minion stays in use.
     pub fn record_failure(
         &mut self,
         now: Moment,
@@ -124,16 +126,17 @@
         }
     }
 
-    /// How long a failed request still occupies its slot.
+    /// How long a failed request keeps occupying its slot.
     ///
-    /// A minion that fails everything at once would otherwise be free again at once and draw
-    /// all the work; occupied for as long as a success takes, it draws no more than its share.
+    /// A minion that fails requests immediately would otherwise be free again at once and attract
+    /// all requests.  With its slot occupied for as long as a success takes, it gets no more than
+    /// its share.
     pub fn penalty(&self, elapsed: Duration, sibling_latency: Duration) -> Duration {
         let own = Duration::from_millis(self.latency_ms as u64);
         own.max(sibling_latency).saturating_sub(elapsed)
     }
 
-    /// The smoothed time that a success takes.
+    /// The moving average of the latency of successful requests.
     pub fn latency(&self) -> Duration {
         Duration::from_millis(self.latency_ms as u64)
     }
--- a/crates/policy/src/learning.rs
+++ b/crates/policy/src/learning.rs
@@ -1,24 +1,25 @@
-//! Sizes and run times learnt from lagged usage, because declared ones are far off.
+//! Estimates of task sizes and run times from reported usage, because declared values are far off.
+//! The reports lag behind the usage.
 
 use celerythread_model::job::Size;
 use celerythread_model::unit::{Bytes, Millicores};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Weight of the newest task in what is learnt of its kind.
+/// Weight of the newest report in the moving averages.
 const EWMA_WEIGHT: f64 = 0.2;
 
-/// Deviations kept above the mean.
+/// Number of mean absolute deviations that an estimate lies above the mean.
 const SAFETY_DEVIATIONS: f64 = 2.0;
 
-/// Bounds of the correction, so that one odd report cannot make a job unplaceable.
+/// Bounds of the correction factor, so that one odd report can't make a job unplaceable.
 const MIN_FACTOR: f64 = 0.1;
 const MAX_FACTOR: f64 = 10.0;
 
-/// Tasks of a kind before what is learnt is used.
+/// Reports about a kind of task before its estimates are used.
 const MIN_SAMPLES: u32 = 3;
 
-/// A smoothed ratio with its deviation.
+/// The moving average of actual to declared values, and of its absolute deviation.
 #[derive(Clone, Copy, Debug, Default)]
 struct Ratio {
     mean: f64,
@@ -56,27 +57,28 @@
     duration: Ratio,
 }
 
-/// What is learnt, by kind of work.
+/// Estimates by kind of task.
 #[derive(Clone, Debug, Default)]
 pub struct Estimates {
     kinds: HashMap<String, Ratios>,
 }
 
 impl Estimates {
-    /// Learns from a report of a task's use.
+    /// Records a report of a task's usage.
     pub fn record_usage(&mut self, kind: &str, declared: &Size, cpu: Millicores, memory: Bytes) {
         let ratios = self.kinds.entry(kind.into()).or_default();
         ratios.cpu.record(f64::from(cpu.0), f64::from(declared.cpu.0));
         ratios.memory.record(memory.0 as f64, declared.memory.0 as f64);
     }
 
-    /// Learns from a task's run time.
+    /// Records a task's run time.
     pub fn record_duration(&mut self, kind: &str, declared: Duration, actual: Duration) {
         let ratios = self.kinds.entry(kind.into()).or_default();
         ratios.duration.record(actual.as_secs_f64(), declared.as_secs_f64());
     }
 
-    /// The size to reckon with.  Accelerators are whole and declared by need, so they stand.
+    /// The estimated size.  Accelerators are whole units that the task needs, so their declared
+    /// number is used.
     pub fn size(&self, kind: &str, declared: &Size) -> Size {
         let Some(ratios) = self.kinds.get(kind) else { return *declared };
         Size {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// The run time to reckon with.
+    /// The estimated run time.
     pub fn duration(&self, kind: &str, declared: Duration) -> Duration {
         let factor = self.kinds.get(kind).map_or(1.0, |ratios| ratios.duration.factor());
         declared.mul_f64(factor)
--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -1,9 +1,9 @@
-//! Duties that one entry carries at a time, through rows in the table.
+//! Leases of singleton roles, stored as rows of the table: one entry at a time holds a role.
 //!
-//! The holder counts the row's beat up.  Nobody compares clocks: an observer that has seen the
-//! same beat for the whole term, by its own monotonic clock, may take the duty with the next
-//! token.  A holder that was paused finds its writes refused, because each is conditional on
-//! the row's revision.
+//! The holder increments the row's `beat` counter.  Clocks of different entries are never
+//! compared: an observer that has seen the same counter for the whole lease term, by its own
+//! monotonic clock, may acquire the role with the next fencing token.  The writes of a holder that
+//! was paused are refused, because each is conditional on the row's revision.
 
 use crate::time::Moment;
 use celerythread_model::fleet::Lease;
@@ -11,18 +11,18 @@
 use celerythread_model::unit::{Revision, Token};
 use std::time::Duration;
 
-/// What to do about a duty.
+/// What to do about a role's lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Write this row if the revision still stands: it renews the lease.
+    /// Renew the lease: write this row if the revision is unchanged.
     Renew(Lease),
-    /// Write this row if the revision still stands: it takes the duty.
+    /// Acquire the role: write this row if the revision is unchanged.
     Acquire(Lease),
-    /// Another entry carries it.
+    /// Do nothing: another entry holds the role.
     Wait,
 }
 
-/// What one entry has seen of one duty.
+/// One entry's observations of one role's lease.
 #[derive(Clone, Debug, Default)]
 pub struct Observer {
     last_change: Option<(Revision, Moment)>,
@@ -61,20 +61,20 @@
     }
 }
 
-/// What a holder knows of its own lease.
+/// A lease, as its holder knows it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeldLease {
     /// The fencing token.
     pub token: Token,
     /// The revision of the lease's row, on which each write under it is conditional.
     pub revision: Revision,
-    /// When the holder last knew that it held it.
+    /// When the holder last confirmed the lease.
     pub confirmed_at: Moment,
 }
 
 impl HeldLease {
-    /// Whether the duty may be acted on.  This only saves useless work: safety lies in the
-    /// conditional writes.
+    /// Whether the holder may act in the role.  This only avoids useless work; safety depends on
+    /// the conditional writes.
     pub fn is_fresh(&self, now: Moment, term: Duration) -> bool {
         now.since(self.confirmed_at) < term
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,20 +1,19 @@
 //! Every decision of the product, as pure functions and state machines.
 //!
-//! Time, randomness and the view are passed in; what comes out is a value or a list of
-//! actions that the drivers in the entry crate carry out.  Nothing here reads a clock, starts
-//! a task or performs input or output, so tests and benches drive it by the million.
+//! Time, randomness and the view of the fleet are parameters; the result is a value or a list of
+//! actions that the entry crate carries out.  Nothing here reads a clock, spawns a task or performs
+//! I/O, so tests and benches can run it millions of times.
 //!
-//! Requests: [`queue`] orders them, [`slots`] hands out minions' slots with [`health`] judging
-//! the minions, [`phase`] says what a failure leaves certain, [`retry`] bounds what is sent
-//! again, [`claim`] keeps keyed requests to one run, [`quota`] bounds a team.
+//! Requests: [`queue`] orders them, [`slots`] grants the minions' slots with [`health`] ejecting
+//! outliers, [`phase`] decides what a failure proves, [`retry`] limits resent requests, [`claim`]
+//! runs a request with an idempotency key at most once, [`quota`] limits a team.
 //!
-//! Fleet: [`view`] is what an entry knows, [`lease`] judges duties' holders, [`ownership`]
-//! decides who hands out a minion's slots, [`pause`] notices own standstills,
-//! [`availability`] counts what a service can spare,
-//! [`wave`] plans and steps maintenance, [`movement`] takes a minion out of and into pools,
-//! [`sizing`] decides pool sizes.
+//! Fleet: [`view`] is an entry's view, [`lease`] decides who holds a singleton role, [`ownership`]
+//! decides who hands out a minion's slots, [`pause`] detects pauses of this process,
+//! [`availability`] counts the minions that a service can spare, [`wave`] plans maintenance,
+//! [`movement`] drains a minion and returns it to a pool, [`sizing`] decides pool sizes.
 //!
-//! Jobs: [`placement`] finds a worker, [`learning`] corrects declared sizes.
+//! Jobs: [`placement`] finds a worker, [`learning`] estimates sizes and run times.
 
 pub mod availability;
 pub mod claim;
--- a/crates/policy/src/ownership.rs
+++ b/crates/policy/src/ownership.rs
@@ -1,42 +1,43 @@
-//! Which entry hands out a minion's slots.
+//! Which entry owns a minion, that is, hands out its slots.
 //!
-//! Minions are spread over the entries of their own availability zone, each whole minion to
-//! one entry: with as many entries as minions a service, the static share and the minion
-//! coincide, and lending a slot costs one round trip only when the own ones are used up.
+//! Minions are distributed over the entries of their own availability zone, each whole minion to
+//! one entry.  With as many entries as minions of a service, an entry's static share is exactly one
+//! minion.  Borrowing a slot costs one round trip, and only when the entry's own slots are used up.
 
 use celerythread_model::fleet::Ownership;
 use celerythread_model::id;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// An entry as the choice sees it.
+/// An entry, as the assignment sees it.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// The entry.
     pub entry: id::Entry,
     /// Its availability zone.
     pub zone: id::Zone,
-    /// Registered, answering and not stopping.
+    /// Whether it is registered, answers and isn't stopping.
     pub serves: bool,
-    /// Registered and silent for so long that its minions should be taken over.
+    /// Whether it is registered but has been silent for so long that its minions should be taken
+    /// over.
     pub silent: bool,
 }
 
 /// What an entry should do about a minion's ownership.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Write this row if the old one still stands.
+    /// Write this row if the old one is unchanged.
     Acquire(Ownership),
-    /// Stop handing out, and write this row once nothing is outstanding.
+    /// Stop handing out slots, and write this row once no grant is outstanding.
     Release(Ownership),
-    /// Nothing.
+    /// Change nothing.
     Keep,
 }
 
-/// The entry that should own a minion.
+/// Assigns minions to entries.
 ///
-/// The choice is by the highest hash, so that an entry's coming or going changes only its own
-/// share, then evened out: no entry owns more of a service than its ceiling.
+/// Rendezvous hashing, so that an entry that joins or leaves changes only its own share, with
+/// bounded loads: no entry owns more of a service's minions in a zone than the average, rounded up.
 pub fn assign(
     minions: &BTreeMap<id::Minion, (id::Service, id::Zone)>,
     candidates: &[Candidate],
@@ -69,19 +70,19 @@
 }
 
 fn rendezvous_hash(service: &id::Service, minion: &id::Minion, entry: &id::Entry) -> u64 {
-    // DefaultHasher::new() has fixed keys, and all entries of a release choose alike; a
-    // difference between releases only costs a hand-over.
+    // DefaultHasher::new() has fixed keys, so all entries of a release choose alike.  A difference
+    // between releases only costs a handover.
     let mut hasher = DefaultHasher::new();
     (service, minion, entry).hash(&mut hasher);
     hasher.finish()
 }
 
-/// Decides what `me` does about one minion.
+/// Decides what the entry `entry_id` does about one minion.
 ///
-/// A minion changes owners in one of two ways: handed back by its owner, or taken over from
-/// one that was silent for long or has left the registry.  Taken over, the former owner stays
-/// noted until it is gone for certain, because it may be paused with work in flight: a drain
-/// is not complete before that.
+/// A minion changes owners in one of two ways: its owner releases it, or it is taken over from an
+/// owner that was silent for long or is no longer registered.  After a takeover the former owner
+/// stays recorded until it has certainly ended, because it may be paused with work in flight: a
+/// drain isn't complete before that.
 pub fn decide(
     entry_id: &id::Entry,
     minion: &id::Minion,
@@ -129,8 +130,8 @@
     }
 }
 
-/// The former owners that are gone for certain: no longer registered, or back and confirming
-/// that they hold nothing.
+/// The row without the former owners that certainly hold nothing any more: those no longer
+/// registered, and those that came back and confirmed it.
 pub fn prune_former_owners(
     row: &Ownership,
     registered: &BTreeSet<id::Entry>,
--- a/crates/policy/src/pause.rs
+++ b/crates/policy/src/pause.rs
@@ -1,14 +1,14 @@
-//! Noticing that this process stood still, and not blaming others for it.
+//! Detects pauses of this process, so that peers aren't blamed for them.
 //!
-//! A process that is stopped for seconds wakes up with everybody else's last sign of life as old
-//! as its own pause.  Judged by that, all peers are lost: it would take their minions over while
-//! they serve, and every drain would wait for the former owners' work to run into its deadline.
-//! So silence counts only from the end of the last pause on.
+//! After a process was stopped for seconds, the last message of every peer is as old as the pause.
+//! Judged by that, all peers are lost: the process would take over their minions while they serve,
+//! and each drain would wait until the former owners' requests reach their deadlines.  Therefore
+//! silence counts only from the end of the last pause.
 
 use crate::time::Moment;
 use std::time::Duration;
 
-/// Watches for gaps between observations that are made at short, regular intervals.
+/// Detects gaps between observations that are made at short, regular intervals.
 #[derive(Debug)]
 pub struct Detector {
     threshold: Duration,
@@ -17,12 +17,12 @@
 }
 
 impl Detector {
-    /// A watch that takes a gap of `limit` or more for a pause.
+    /// A detector that treats a gap of `threshold` or more as a pause.
     pub fn new(threshold: Duration) -> Self {
         Self { threshold, last_observation: Moment::default(), resumed_at: Moment::default() }
     }
 
-    /// Notes that the process runs; true if it has stood still since the last time.
+    /// Records that the process runs.  Returns whether it was paused since the last call.
     pub fn observe(&mut self, now: Moment) -> bool {
         let paused = now.since(self.last_observation) >= self.threshold;
         if paused {
@@ -32,7 +32,7 @@
         paused
     }
 
-    /// For how long a peer could have been heard and wasn't.
+    /// How long a peer last heard at `heard` has been silent while this process ran.
     pub fn silence(&self, heard: Moment, now: Moment) -> Duration {
         now.since(heard.max(self.resumed_at))
     }
--- a/crates/policy/src/phase.rs
+++ b/crates/policy/src/phase.rs
@@ -1,36 +1,36 @@
-//! What a failed dispatch leaves certain, and whether it may be sent again.
+//! Which outcome a failed dispatch proves, and whether the request may be resent.
 
 use celerythread_model::request::{Idempotence, Outcome};
 
-/// How far a dispatch to a minion had come.
+/// How far a dispatch to a minion had progressed.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, strum::VariantArray)]
 pub enum Phase {
     /// There was no connection.
     Unconnected,
-    /// Connected, and not a byte was written.
+    /// Connected, and no byte was written.
     Connected,
     /// Some bytes were written.
     PartWritten,
     /// All bytes were written.
     AllWritten,
-    /// The answer had begun.
+    /// The answer had begun to arrive.
     AnswerBegun,
 }
 
 /// What follows from a failure.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Decision {
-    /// What the caller may be told, if this was the last attempt.
+    /// The outcome to report to the caller if this was the last attempt.
     pub outcome: Outcome,
     /// Whether another attempt may be made.
     pub may_resend: bool,
 }
 
-/// Judges a failure.
+/// Decides what follows from a failure in this phase.
 ///
-/// A minion may act on a request of which it has read any byte, whatever the connection said
-/// afterwards; so "not run" is only certain before the first byte was written.  An answer that
-/// had begun shows that the minion took the request, not that it finished.
+/// A minion may act on a request as soon as it has read any byte, whatever the connection reports
+/// afterwards, so "not run" is certain only before the first byte is written.  An answer that has
+/// begun shows that the minion received the request, not that it finished.
 pub fn decide(phase: Phase, idempotence: Idempotence) -> Decision {
     match phase {
         Phase::Unconnected | Phase::Connected => {
@@ -43,7 +43,7 @@
     }
 }
 
-/// The outcome after several attempts: only if all of them were not run, none was.
+/// Combines the outcomes of several attempts: "not run" only if none was run.
 pub fn combine(earlier: Option<Outcome>, later: Outcome) -> Outcome {
     match (earlier, later) {
         (None, later) => later,
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,20 +1,20 @@
-//! Finding a worker for a job.
+//! Placement of jobs on workers.
 
 use celerythread_model::id;
 use celerythread_model::job::Size;
 use celerythread_model::request::Class;
 use smallvec::SmallVec;
 
-/// A patient task that could be put aside.
+/// A running patient task that can be preempted.
 #[derive(Clone, Debug)]
 pub struct PatientTask {
     /// The job.
     pub job: id::Job,
-    /// What it holds.
+    /// The resources that it holds.
     pub size: Size,
 }
 
-/// A worker as the decision sees it.
+/// A worker, as the placement sees it.
 #[derive(Clone, Debug)]
 pub struct CandidateWorker {
     /// The worker.
@@ -23,67 +23,69 @@
     pub zone: id::Zone,
     /// Its rack.
     pub rack: id::Rack,
-    /// What it has in all.
+    /// Its total resources.
     pub total: Size,
-    /// What is free.
+    /// Its free resources.
     pub free: Size,
-    /// Whether it is set aside.
+    /// Whether it is ejected, so that it gets no jobs.
     pub ejected: bool,
-    /// Patient tasks on it, the last started first.
+    /// Patient tasks that run on it, the most recently started first; they are preempted in this
+    /// order.
     pub patient: SmallVec<[PatientTask; 4]>,
 }
 
-/// What a job needs.
+/// The requirements of a job.
 #[derive(Clone, Debug)]
 pub struct Need {
-    /// What to reckon with, learnt rather than declared.
+    /// The estimated size, not the declared one.
     pub size: Size,
-    /// Urgent or patient.
+    /// The class: urgent or patient.
     pub class: Class,
-    /// A worker that just failed it.
+    /// A worker that just failed the job; it is chosen only if the job fits on no other.
     pub avoid: Option<id::Worker>,
 }
 
-/// What a team may still take.
+/// A team's quota and usage.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowance {
-    /// Its quota in all.
+    /// The team's whole quota.
     pub quota: Size,
-    /// What its running jobs hold.
+    /// The resources that its running jobs hold.
     pub used: Size,
 }
 
-/// Where a job goes.
+/// The result of a placement.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Placement {
-    /// Start it there.
+    /// Start the job on this worker.
     Start(id::Worker),
-    /// Put these patient jobs aside there first.
+    /// Preempt these patient jobs on this worker first.
     Preempt(id::Worker, SmallVec<[id::Job; 4]>),
-    /// No room now.
+    /// Nothing suitable is free now.
     Wait,
-    /// It can never run, for this reason.
+    /// The job can never run, for this reason.
     Impossible(String),
 }
 
-/// What found no room in this round, so that the same need is not searched for again.
+/// Requirements that couldn't be placed in this round, so that similar ones aren't searched for
+/// again.
 ///
-/// A backlog of thousands of alike patient jobs would otherwise cost a search of all workers
-/// each, twice a second.
+/// Without it, each job of a backlog of thousands of similar patient jobs would cost a search of
+/// all workers, twice a second.
 #[derive(Debug, Default)]
 pub struct Misses {
     missed: SmallVec<[(Class, Size); 8]>,
 }
 
 impl Misses {
-    /// Notes a need that found no room.
+    /// Records a need that couldn't be placed.
     pub fn record(&mut self, need: &Need) {
         if !self.covers(need) {
             self.missed.push((need.class, need.size));
         }
     }
 
-    /// Whether a need of the same class, no larger than this one, found no room.
+    /// Whether a need of the same class that is no larger than this one couldn't be placed.
     pub fn covers(&self, need: &Need) -> bool {
         self.missed.iter().any(|(class, size)| *class == need.class && size.fits(&need.size))
     }
@@ -91,10 +93,10 @@
 
 /// Decides where a job goes.
 ///
-/// The tightest fit wins, so that large holes stay for large jobs; accelerators are not taken
-/// up by jobs that need none while others have room.  Urgent work that finds no room puts
-/// patient work aside, the least of it that suffices: the buffer for urgent work is patient
-/// work that can wait, not idle machines.
+/// Best fit, so that large amounts of free resources stay available for large jobs.  Jobs that need
+/// no accelerators use workers with free accelerators only if no other worker fits.  Urgent work
+/// that fits nowhere preempts patient work, on the worker where the fewest jobs suffice: the spare
+/// capacity for urgent work is patient work that can wait, not idle machines.
 pub fn place(
     need: &Need,
     candidates: &[CandidateWorker],
@@ -129,7 +131,7 @@
     }
 }
 
-/// Why a job can never run, if so.
+/// Why the job can never run; none if it can.
 fn impossible_reason(
     need: &Need,
     candidates: &[CandidateWorker],
@@ -150,21 +152,23 @@
     let shortage = |name: &str, f: fn(&Size) -> u64| {
         let (needed, largest) = (f(&need.size), max_total(f));
         (needed > largest)
-            .then(|| format!("it needs {needed} {name} and no worker has over {largest}"))
+            .then(|| format!("it needs {needed} {name}, but no worker has more than {largest}"))
     };
-    shortage("thousandths of a core", |size| size.cpu.0.into())
+    shortage("millicores", |size| size.cpu.0.into())
         .or_else(|| shortage("bytes of memory", |size| size.memory.0))
         .or_else(|| shortage("accelerators", |size| size.accelerators.0.into()))
-        .or_else(|| Some("no single worker has all that it needs together".into()))
+        .or_else(|| Some("no single worker has all the resources that it needs".into()))
 }
 
-/// What would be left over, in thousandths of the worker, of its tightest dimension's sibling.
+/// The sum of the shares of processor and memory that would stay free, in thousandths of the
+/// worker's total.
 fn slack(left: &Size, total: &Size) -> u64 {
     let part = |left: u64, total: u64| (left * 1000).checked_div(total).unwrap_or(0);
     part(left.cpu.0.into(), total.cpu.0.into()) + part(left.memory.0, total.memory.0)
 }
 
-/// The fewest patient jobs whose room, with what is free, suffices.
+/// The first of the worker's patient jobs that, with what is free already, free enough resources;
+/// none if not even all of them do.
 fn jobs_to_preempt(need: &Need, candidate: &CandidateWorker) -> Option<SmallVec<[id::Job; 4]>> {
     let mut freed = candidate.free;
     let mut jobs = SmallVec::new();
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a slot: urgent before patient, and patient never starved.
+//! Requests that wait for a slot: urgent ones first, without starving patient ones.
 
 use crate::time::Moment;
 use celerythread_model::config::Ratio;
@@ -6,50 +6,50 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Weight of the newest interval in the drain rate.
+/// Weight of the newest interval in the moving average of the time between departures.
 const INTERVAL_EWMA_WEIGHT: f64 = 0.1;
 
-/// Assumed time between two slots becoming free before any was measured.
+/// Assumed interval between departures before any was measured.
 const INITIAL_INTERVAL_MS: f64 = 20.0;
 
-/// Longest time that a caller is told to wait before it comes back.
+/// Upper bound of the retry delay given to a refused caller.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// A request that is to wait.
+/// A request in the queue, or to be added to it.
 #[derive(Debug)]
 pub struct QueuedRequest<T> {
-    /// What waits.
+    /// The request.
     pub item: T,
-    /// How urgent it is.
+    /// Its class.
     pub class: Class,
     /// When it must have been answered.
     pub deadline: Moment,
 }
 
-/// The bounds of a queue, by the configuration in force.
+/// The limits of a queue, from the configuration in force.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Most requests that wait.
+    /// Maximum number of waiting requests.
     pub limit: usize,
-    /// Patient work's share of the turns while urgent work waits too.
+    /// Share of the departures that patient requests get while urgent ones wait too.
     pub patient_share: Ratio,
 }
 
-/// Why a request may not wait.
+/// A refusal to queue a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// When to come back.
+    /// Delay after which the caller should retry.
     pub retry_after: Duration,
 }
 
-/// A queue of one service at one entry.
+/// The queue of one service at one entry.
 #[derive(Debug)]
 pub struct Queue<T> {
     urgent: VecDeque<QueuedRequest<T>>,
     patient: VecDeque<QueuedRequest<T>>,
-    /// Parts of a turn that patient work has saved up while urgent work went first.
+    /// Fraction of a departure that patient requests have accumulated while urgent ones went first.
     patient_credit: f64,
-    /// Smoothed milliseconds between two departures while there was work waiting.
+    /// Moving average of the milliseconds between departures while requests were waiting.
     interval_ms: f64,
     last_departure: Option<Moment>,
 }
@@ -67,12 +67,12 @@
 }
 
 impl<T> Queue<T> {
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.urgent.len() + self.patient.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -82,24 +82,25 @@
         !self.urgent.is_empty()
     }
 
-    /// The wait that a new request of a class must expect.
+    /// The expected wait of a new request of this class.
     pub fn expected_wait(&self, class: Class, patient_share: Ratio) -> Duration {
         let ahead = match class {
-            // Patient work takes its share of the turns in between.
+            // Patient requests take their share of the departures in between.
             Class::Urgent => self.urgent.len() as f64 / (1.0 - patient_share.0).max(0.1),
             Class::Patient => self.len() as f64,
         };
         Duration::from_millis((ahead * self.interval_ms) as u64)
     }
 
-    /// Adds a request, or refuses it at once when its wait is known to exceed its deadline or
-    /// the queue is at its limit.
+    /// Adds a request, or refuses it immediately if its expected wait exceeds its deadline or the
+    /// queue is full.
     ///
-    /// `jitter` is a random number from nought to one; it spreads the refused callers out over
-    /// the time that it takes to work off what is here.
+    /// `jitter` is a random number between zero and one.  It spreads the retries of refused callers
+    /// over the time that it takes to drain the queue.
     ///
     /// # Errors
-    /// The refusal, with when to come back.
+    ///
+    /// The refusal, with the delay before a retry.
     pub fn push(
         &mut self,
         waiting: QueuedRequest<T>,
@@ -108,7 +109,7 @@
         jitter: f64,
     ) -> Result<(), Refusal> {
         let wait = self.expected_wait(waiting.class, bounds.patient_share);
-        // Patient work must not keep urgent work out of the queue.
+        // Patient requests must not keep urgent ones out of the queue.
         let occupied = match waiting.class {
             Class::Urgent => self.urgent.len(),
             Class::Patient => self.len(),
@@ -123,17 +124,17 @@
         Ok(())
     }
 
-    /// When a refused caller should come back.
+    /// The delay after which a refused caller should retry.
     pub fn retry_after(&self, jitter: f64) -> Duration {
         let drain = (self.len() as f64 + 1.0) * self.interval_ms;
         let millis = drain * (0.5 + jitter.clamp(0.0, 1.0)) + 50.0;
         Duration::from_millis(millis as u64).min(MAX_RETRY_AFTER)
     }
 
-    /// Takes the next request out for a free slot.
+    /// Removes and returns the next request for a free slot.
     ///
-    /// Urgent requests go first.  While both classes wait, patient work saves up its share of
-    /// each turn and goes when that makes a whole one, so it always moves.
+    /// Urgent requests go first.  While both classes wait, patient requests accumulate their share
+    /// of each departure and go when it adds up to a whole one, so they always progress.
     pub fn pop(&mut self, now: Moment, patient_share: Ratio) -> Option<T> {
         self.record_departure(now);
         let both = !self.urgent.is_empty() && !self.patient.is_empty();
@@ -150,7 +151,7 @@
 
     fn record_departure(&mut self, now: Moment) {
         if self.is_empty() {
-            // An idle queue says nothing about how fast slots become free.
+            // An empty queue gives no information about how fast slots become free.
             self.last_departure = None;
             return;
         }
@@ -161,7 +162,7 @@
         self.last_departure = Some(now);
     }
 
-    /// Takes out what can no longer be started by its deadline.
+    /// Removes and returns the requests whose deadline has passed.
     pub fn remove_expired(&mut self, now: Moment) -> Vec<T> {
         let mut expired = Vec::new();
         for queue in [&mut self.urgent, &mut self.patient] {
@@ -178,13 +179,14 @@
         expired
     }
 
-    /// Takes everything out, for a queue whose service has gone.
+    /// Removes and returns all requests, for a service that no longer exists.
     pub fn drain(&mut self) -> Vec<T> {
         let all = self.urgent.drain(..).chain(self.patient.drain(..));
         all.map(|waiting| waiting.item).collect()
     }
 
-    /// Takes out every request that `unwanted` picks, for example those whose caller has gone.
+    /// Removes the requests that `unwanted` selects, for example those whose caller has
+    /// disconnected.  Returns their number.
     pub fn remove(&mut self, unwanted: impl Fn(&T) -> bool) -> usize {
         let before = self.len();
         self.urgent.retain(|waiting| !unwanted(&waiting.item));
--- a/crates/policy/src/sizing.rs
+++ b/crates/policy/src/sizing.rs
@@ -1,39 +1,39 @@
-//! Pool sizes: when a minion should change pools, and how rarely.
+//! Pool sizes: decides when a minion should move to another pool.
 //!
-//! A move costs a drain and a reboot, so it must pay: a shortage has to last, one move settles
-//! before the next is decided, and a pool only gives what it can spare for as long.
+//! A move costs a drain and a reboot, so moves are rare: a shortage has to persist, a cooldown
+//! follows each move, and a pool donates only what it can spare.
 
 use crate::time::Moment;
 use celerythread_model::id;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Share of slots in use from which a pool counts as short.
+/// Share of slots in use above which a pool is short.
 const SHORTAGE_UTILISATION: f64 = 0.85;
 
-/// Share of slots in use up to which a pool can give, reckoned without the minion it gives.
+/// Share of slots in use up to which a pool can donate, calculated without the donated minion.
 const MAX_DONOR_UTILISATION: f64 = 0.6;
 
-/// A pool as the decision sees it.
+/// A pool, as the sizing sees it.
 #[derive(Clone, Debug)]
 pub struct Pool {
     /// Its service.
     pub service: id::Service,
     /// Minions that serve.
     pub serving: u32,
-    /// Minions it should have.
+    /// Target number of minions.
     pub wanted: u32,
-    /// Minions it must have.
+    /// Minimum number of minions.
     pub floor: u32,
-    /// Share of its slots in use, smoothed by whoever measures it.
+    /// Share of its slots in use, as a moving average computed by the caller of this module.
     pub utilisation: f64,
-    /// Whether it lends beyond what it has too many.
+    /// Whether it donates even when it has no more minions than its target.
     pub lends: bool,
 }
 
 impl Pool {
-    /// How short the pool is; nought or less when it is not.  Failures below the floor come
-    /// first, then below the wanted size, then load.
+    /// The pool's shortage, not positive if it has none.  Pools below the floor rank first, then
+    /// those below the target, then those with a high load.
     fn shortage(&self) -> f64 {
         if self.serving < self.floor {
             return 100.0 + f64::from(self.floor - self.serving);
@@ -44,7 +44,7 @@
         self.utilisation - SHORTAGE_UTILISATION
     }
 
-    /// Whether the pool can give a minion, and how gladly.
+    /// A rank for the pool as a donor, higher is better; none if it can't donate.
     fn surplus(&self) -> Option<f64> {
         let after = f64::from(self.serving.saturating_sub(1)).max(1.0);
         let utilisation = self.utilisation * f64::from(self.serving) / after;
@@ -59,18 +59,18 @@
 /// A move of one minion.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Move {
-    /// From this pool.
+    /// The donor.
     pub from: id::Service,
-    /// To this one.
+    /// The recipient.
     pub to: id::Service,
 }
 
-/// How patient the decision is.
+/// Limits on how often minions are moved.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How long a shortage must last.
+    /// How long a shortage must persist before a move.
     pub min_shortage_duration: Duration,
-    /// How long after a move the next may follow.
+    /// Minimum time between two moves.
     pub cooldown: Duration,
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// Remembers since when each pool has been short.
+/// Decides moves and remembers since when each pool has been short.
 #[derive(Clone, Debug, Default)]
 pub struct Sizer {
     short_since: BTreeMap<id::Service, Moment>,
@@ -88,7 +88,7 @@
 }
 
 impl Sizer {
-    /// Decides about one move.
+    /// Decides at most one move.
     pub fn decide(&mut self, pools: &[Pool], now: Moment, settings: Settings) -> Option<Move> {
         self.short_since.retain(|service, _| {
             pools.iter().any(|pool| pool.service == *service && pool.shortage() > 0.0)
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -1,8 +1,8 @@
 //! The slots of the minions that this entry owns.
 //!
-//! Every dispatch to a minion holds one grant of its owner, here or lent to a peer; that is
-//! why the minion's slots bound the work of all entries together, and why the owner alone can
-//! say that a draining minion holds no work.
+//! Each dispatch to a minion holds one grant of the minion's owner, used by the owner or lent to a
+//! peer.  Therefore the minion's slots bound the work of all entries together, and its owner alone
+//! can tell that a draining minion has no work.
 
 use crate::health::{Health, State};
 use crate::time::Moment;
@@ -12,11 +12,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A grant's number, never used twice by one process.
+/// The number of a grant, unique within the process.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Grant(pub u64);
 
-/// Who uses a grant.
+/// The user of a grant.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Holder {
     /// This entry.
@@ -25,40 +25,40 @@
     Peer(id::Entry),
 }
 
-/// What a grant allows.
+/// A grant and the minion that it is for.
 #[derive(Clone, Debug)]
 pub struct Permit {
     /// Its number.
     pub grant: Grant,
     /// The minion.
     pub minion: id::Minion,
-    /// Where it serves.
+    /// The address on which it serves.
     pub address: SocketAddr,
     /// Its epoch.
     pub epoch: Epoch,
 }
 
-/// What became of a dispatch.
+/// The result of a dispatch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DispatchResult {
     /// The minion answered.
     Answered,
-    /// The minion failed it.
+    /// The dispatch to the minion failed.
     Failed,
-    /// The minion itself says that it is leaving or full.
+    /// The minion reported that it is leaving or full.
     Leaving,
-    /// It was not sent, for a reason that is not the minion's.
+    /// Nothing was sent, for a reason that is not the minion's.
     Unused,
 }
 
-/// What the owner knows of a minion.
+/// A minion's description.
 #[derive(Clone, Debug)]
 pub struct Spec {
     /// Its pool.
     pub service: id::Service,
     /// Its slots.
     pub slots: Slots,
-    /// Where it serves.
+    /// The address on which it serves.
     pub address: SocketAddr,
     /// Its epoch.
     pub epoch: Epoch,
@@ -73,15 +73,15 @@
     grants: BTreeMap<Grant, Holder>,
     /// Slots that stay occupied after a failure, each until a moment.
     penalties: Vec<Moment>,
-    /// Slots that a former owner may still use, until a moment.
+    /// Slots that a former owner may still use, and until when they are reserved.
     reserved: Option<(u32, Moment)>,
-    /// The minion asked to be left alone until then.
+    /// When the backoff ends after the minion reported that it is leaving or full.
     backoff_until: Moment,
-    /// The last grant of it, so that equals take turns.
+    /// The latest grant on the minion, so that equally loaded minions take turns.
     last_grant: Grant,
 }
 
-/// How long a minion that says it is leaving or full is left alone.
+/// How long a minion gets no requests after it reported that it is leaving or full.
 const LEAVING_BACKOFF: Duration = Duration::from_millis(500);
 
 impl Minion {
@@ -91,8 +91,8 @@
         (self.grants.len() + penalties) as u32 + reserved
     }
 
-    /// How occupied it looks to the choice: each failure in a row counts like a slot in use, so
-    /// that a first attempt goes to a minion that answers.
+    /// The occupied slots plus the recent consecutive failures, so that a first attempt goes to a
+    /// minion that answers.
     fn apparent_load(&self, now: Moment) -> u32 {
         self.occupied(now) + self.health.recent_failures(now).min(self.spec.slots.0)
     }
@@ -110,12 +110,12 @@
     }
 }
 
-/// A service's figures at this entry.
+/// A service's slots at this entry.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Capacity {
     /// Slots of active minions.
     pub slots: u32,
-    /// Of these, free now.
+    /// The free ones of them.
     pub free: u32,
 }
 
@@ -129,8 +129,8 @@
 }
 
 impl Ledger {
-    /// Takes a minion over, or its changed description in.  `reserved` slots may still be in
-    /// use by a former owner until the given moment.
+    /// Adds a minion or updates its description.  `reserved` slots may still be in use by a former
+    /// owner until the given moment; it is ignored for an update.
     pub fn upsert_minion(
         &mut self,
         minion: id::Minion,
@@ -140,7 +140,8 @@
         let service = spec.service.clone();
         match self.minions.get_mut(&minion) {
             Some(known) => {
-                // A new epoch is a newly booted minion: what it did before says nothing.
+                // A new epoch means that the minion was rebooted, so its earlier health no longer
+                // applies.
                 if known.spec.epoch != spec.epoch {
                     known.health = Health::default();
                     known.backoff_until = Moment(0);
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Gives a minion up.  Its grants stay known until they end.
+    /// Removes a minion and its grants.  Finishing one of them afterwards has no effect.
     pub fn remove_minion(&mut self, minion: &id::Minion) {
         if let Some(known) = self.minions.remove(minion) {
             self.remove_from_service(&known.spec.service, minion);
@@ -193,8 +194,8 @@
         self.minions.keys()
     }
 
-    /// Hands out a slot of the service's least occupied minion, `avoid` only when no other has
-    /// one.
+    /// Grants a slot of the service's least loaded minion.  `avoid` is chosen only if no other has
+    /// a free slot.
     pub fn grant(
         &mut self,
         service: &id::Service,
@@ -221,7 +222,8 @@
         Some(Permit { grant, minion: name, address, epoch })
     }
 
-    /// Ends a grant.  Tells whether the minion's health changed by it, and to what.
+    /// Ends a grant.  Returns the minion if it was readmitted (true) or ejected (false) by the
+    /// result.
     pub fn finish(
         &mut self,
         grant: Grant,
@@ -254,7 +256,8 @@
         }
     }
 
-    /// The siblings' failure rate and typical time, and whether one less still leaves another.
+    /// The mean failure rate and the highest latency of the minion's siblings, and whether the
+    /// minion may be ejected.
     fn compare_with_siblings(&self, name: &id::Minion, now: Moment) -> (f64, Duration, bool) {
         let Some(minion) = self.minions.get(name) else { return (0.0, Duration::ZERO, false) };
         let names = self.by_service.get(&minion.spec.service);
@@ -271,14 +274,15 @@
             healthy += u32::from(serves);
         }
         let rate = if count == 0 { 0.0 } else { rate / f64::from(count) };
-        // An only minion of its service here can still be set aside for a short rest, since
-        // peers hold others; but one of several is never the last to go.
+        // The only minion of its service at this entry may be ejected for a short time, since peers
+        // own others.  Of several, the last healthy one is never ejected.
         (rate, sibling_latency, count == 0 || healthy > 0)
     }
 
-    /// Ends every grant of a peer that it no longer uses: `held` is what it says it uses.
+    /// Ends the grants that a peer no longer uses; `is_held` returns whether the peer still lists a
+    /// grant.  Returns the number of ended grants.
     ///
-    /// Called when the peer's link was lost, after which the peer cannot say `Finish`.
+    /// For a peer that can't send `Finish` any more, because its link was lost or it has ended.
     pub fn reconcile_peer_grants(
         &mut self,
         peer: &id::Entry,
@@ -312,7 +316,7 @@
         peers.collect()
     }
 
-    /// What a service has here.
+    /// A service's slots at this entry.
     pub fn capacity(&self, service: &id::Service, now: Moment) -> Capacity {
         let mut capacity = Capacity::default();
         for name in self.by_service.get(service).into_iter().flatten() {
@@ -324,31 +328,31 @@
         capacity
     }
 
-    /// Services of which minions are owned here.
+    /// Services that have minions owned by this entry.
     pub fn services(&self) -> impl Iterator<Item = &id::Service> {
         self.by_service.iter().filter(|(_, list)| !list.is_empty()).map(|(service, _)| service)
     }
 
-    /// Minions that are set aside now.
+    /// Minions that are ejected or being probed.
     pub fn ejected(&self, now: Moment) -> Vec<id::Minion> {
         let is_ejected = |minion: &&Minion| minion.health.state(now) != State::Healthy;
         let names = self.minions.iter().filter(|(_, minion)| is_ejected(minion));
         names.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Grants outstanding on a minion.
+    /// Number of outstanding grants on a minion.
     pub fn outstanding(&self, minion: &id::Minion) -> u32 {
         self.minions.get(minion).map_or(0, |minion| minion.grants.len() as u32)
     }
 
-    /// Whether no work of any entry is on the minion, as far as its owner can know.
+    /// Whether no entry has work on the minion, as far as its owner can know.
     pub fn is_idle(&self, minion: &id::Minion, now: Moment) -> bool {
         self.minions.get(minion).is_some_and(|minion| {
             minion.grants.is_empty() && minion.reserved.is_none_or(|(_, until)| until <= now)
         })
     }
 
-    /// Lifts the reservation for a former owner that is gone for certain.
+    /// Ends the reservation for a former owner that certainly has no work left.
     pub fn release_reserved(&mut self, minion: &id::Minion) {
         if let Some(minion) = self.minions.get_mut(minion) {
             minion.reserved = None;
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the decisions see it: milliseconds on the process's own monotonic clock.
+//! Time on the process's own monotonic clock, in milliseconds.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -9,7 +9,7 @@
 pub struct Moment(pub u64);
 
 impl Moment {
-    /// Time from `earlier` to here; nought when it is not earlier.
+    /// Time since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: Moment) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the fleet: rows with revisions, none of which ever goes back.
+//! An entry's view of the fleet: rows with revisions, none of which ever goes back.
 
 use celerythread_model::config::Document;
 use celerythread_model::fleet::{self, Row as _};
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// The view.
+/// The latest known revision of each row, and what is derived from the rows.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     rows: HashMap<String, Row>,
@@ -26,18 +26,18 @@
 /// What changed with a batch of rows.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Changed {
-    /// The configuration did.
+    /// The configuration changed.
     pub config: bool,
-    /// A minion, an owner or an entry did.
+    /// A minion, an ownership or an entry changed.
     pub fleet: bool,
 }
 
 impl View {
-    /// Takes rows in.
+    /// Applies rows to the view.
     ///
-    /// Rows come from the table and, in an outage, from peers; they may be late, doubled and
-    /// out of order.  A row with a revision not above the held one is ignored: that is why no
-    /// entry ever acts by an older configuration or pool than it did before.
+    /// Rows come from the table and, during an outage, from peers.  They may be late, duplicated
+    /// and out of order.  A row whose revision isn't above the known one is ignored, so that an
+    /// entry never acts on a configuration or pool older than the one it has used before.
     pub fn apply(&mut self, rows: &[Row], upto: Revision) -> Changed {
         let mut changed = Changed::default();
         for row in rows {
@@ -67,8 +67,8 @@
         apply_row(&mut self.disruptions, row, fleet::Disruption::PREFIX);
     }
 
-    /// A configuration that cannot be read was never accepted by any entry of this version; the
-    /// one in force stays in force.
+    /// Applies the configuration.  One that can't be read was never accepted by an entry of this
+    /// version; the configuration in force stays.
     fn index_config(&mut self, row: &Row) -> bool {
         let Some(config) = row.decode::<fleet::Config>() else { return false };
         let Ok(document) = Document::read(&config.template, &config.parameters) else {
@@ -91,7 +91,7 @@
         self.upto
     }
 
-    /// Every row changed after `since`, deleted ones too, for a peer.
+    /// Every row changed after `since`, including deleted ones, to relay to a peer.
     pub fn rows_since(&self, since: Revision) -> Vec<Row> {
         let mut rows: Vec<Row> =
             self.rows.values().filter(|row| row.revision > since).cloned().collect();
@@ -99,7 +99,7 @@
         rows
     }
 
-    /// The revision of a row, as a transaction's condition wants it.
+    /// The revision of a row for the condition of a transaction; zero if there is no such row.
     pub fn revision(&self, key: &str) -> Revision {
         match self.rows.get(key) {
             Some(row) if row.value.is_some() => row.revision,
@@ -123,17 +123,17 @@
         names.iter().filter_map(|name| self.minions.get(name))
     }
 
-    /// Who hands out which minion's slots.
+    /// The ownership of each minion.
     pub fn owners(&self) -> &BTreeMap<id::Minion, fleet::Ownership> {
         &self.owners
     }
 
-    /// Waves, settled ones too.
+    /// All waves, including finished ones.
     pub fn waves(&self) -> &BTreeMap<id::Wave, fleet::Wave> {
         &self.waves
     }
 
-    /// What of a service is out by intent.
+    /// The minions of a service that are taken out on purpose.
     pub fn disruption(&self, service: &id::Service) -> fleet::Disruption {
         self.disruptions.get(service).cloned().unwrap_or_default()
     }
@@ -143,18 +143,18 @@
         self.config.as_ref()
     }
 
-    /// The number of the configuration in force; nought before the first.
+    /// The number of the configuration in force; zero before the first.
     pub fn config_number(&self) -> Revision {
         self.config.as_ref().map_or(Revision(0), |config| config.number)
     }
 
-    /// The configuration in force, read.
+    /// The parsed configuration in force.
     pub fn document(&self) -> &Arc<Document> {
         &self.document
     }
 }
 
-/// Takes a row into its map when its key has the prefix; tells whether it has.
+/// Applies a row to the map if its key has the prefix.  Returns whether it has.
 fn apply_row<K, R>(map: &mut BTreeMap<K, R>, row: &Row, prefix: &str) -> bool
 where
     K: Ord + std::str::FromStr,
--- a/crates/policy/src/wave.rs
+++ b/crates/policy/src/wave.rs
@@ -1,4 +1,5 @@
-//! Maintenance waves: how many at once, which next, and when it will be finished.
+//! Maintenance waves: how many minions to drain at once, which ones next, and when the wave will be
+//! finished.
 
 use crate::availability::Availability;
 use celerythread_model::config::Ratio;
@@ -19,11 +20,11 @@
     pub rack: id::Rack,
 }
 
-/// How many minions of a service may be out at once, for the roll-out weight.
+/// How many minions of a service may be out at once, by the roll-out weight.
 ///
-/// All that the floor leaves can be used for the shortest roll-out; for the smallest buffer
-/// the rest is kept for failures: as much as the largest rack would cost.  One may always go
-/// while the service is above its floor, since a wave must finish.
+/// With a weight of one, everything above the floor is used, for the shortest roll-out.  With a
+/// weight of zero, as much as the loss of the largest rack would cost is reserved for failures.
+/// One minion may be out whenever the service is above its floor, since a wave must finish.
 pub fn max_parallel(availability: &Availability, weight: Ratio) -> u32 {
     let spare = availability.spare();
     let reserved = f64::from(availability.max_serving_per_rack()) * (1.0 - weight.0);
@@ -33,9 +34,10 @@
 
 /// The minions to drain now.
 ///
-/// A rack is emptied before the next is begun, and a zone's racks before the next zone's: what
-/// is out together then fails together, and a rack or zone that is lost during the wave costs
-/// the services less.  `begun` are racks with something out already.
+/// One rack is finished before the next is started, and the racks of one zone before those of the
+/// next.  Minions that are out together then share a failure domain, so that losing a rack or zone
+/// during the wave costs the services less.  `started_racks` are the racks that already have
+/// minions out.
 pub fn next_targets(
     remaining: &[Target],
     services: &BTreeMap<id::Service, Availability>,
@@ -45,7 +47,7 @@
     let mut budgets: BTreeMap<&id::Service, u32> = services
         .iter()
         .map(|(service, availability)| {
-            // What is out already has used its part of what may be out at once.
+            // Minions that are already out count against the number that may be out at once.
             let at_once = max_parallel(&without_disruptions(availability), weight);
             (service, at_once.saturating_sub(availability.out).min(availability.spare()))
         })
@@ -62,7 +64,7 @@
     chosen
 }
 
-/// The standing as it would be with everything back that is out by intent.
+/// The availability once all minions that are out on purpose have returned.
 fn without_disruptions(availability: &Availability) -> Availability {
     Availability {
         serving: availability.serving + availability.out,
@@ -71,20 +73,21 @@
     }
 }
 
-/// When a wave will be finished, and what decides it.
+/// When a wave will be finished, and which service determines it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Forecast {
-    /// Time to finish.
+    /// Time until the wave is finished.
     pub duration: Duration,
-    /// The service that takes longest; none when nothing is to be done.
+    /// The service that takes longest; none if there is nothing to do.
     pub bottleneck: Option<id::Service>,
-    /// How many of it may be out at once.
+    /// How many of that service's minions may be out at once.
     pub parallel: u32,
-    /// A service that has nothing to spare, so that its minions must wait for others to return.
+    /// A service at or below its floor even when all minions that are out have returned, so that
+    /// none of its minions can be taken out.
     pub blocked_service: Option<id::Service>,
 }
 
-/// Forecasts a wave; `each` is the time that a minion is out.
+/// Forecasts a wave.  `downtime` is the time for which a minion is out.
 pub fn forecast(
     targets: &[Target],
     services: &BTreeMap<id::Service, Availability>,
@@ -114,7 +117,7 @@
     forecast
 }
 
-/// The services of which something is left to do but nothing may be taken out now.
+/// The services with remaining targets of which no minion may be taken out now.
 pub fn blocked_services(
     remaining: &[Target],
     services: &BTreeMap<id::Service, Availability>,
