--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! The decisions about the fleet: view, leases, ownership, budgets, waves, moves, sizes.
+//! Tests of the fleet's decisions: view, leases, ownership, availability budgets, waves, moves and
+//! pool sizes.
 
 use assert_matches::assert_matches;
 use celerythread_model::config::{Document, Ratio};
@@ -42,7 +43,8 @@
     .unwrap()
 }
 
-/// An entry acts by yesterday's configuration again: a peer that was cut off relays an old row.
+/// Guards against an entry that returns to an older configuration, because a peer that was cut off
+/// relays an old row.
 #[test]
 fn an_older_configuration_is_never_applied() {
     let mut view = View::default();
@@ -61,8 +63,8 @@
 }
 
 proptest! {
-    /// Rows late, doubled and in any order: each entry ends with the newest, and its numbers
-    /// never went back on the way.
+    /// Rows may arrive late, duplicated and in any order: the view ends with the newest, and its
+    /// configuration number never decreases on the way.
     #[test]
     fn rows_in_any_order_end_alike(order in prop::collection::vec(1u64..20, 1..60)) {
         let mut view = View::default();
@@ -90,8 +92,8 @@
 
 const TERM: Duration = Duration::from_millis(100);
 
-/// Two waves are driven at once: the holder was paused, another took its duty, and the first
-/// woke up.  A simulated table: writes are conditional, clocks run apart, pauses strike anywhere.
+/// Guards against two entries that hold the same role at once, and so drive waves twice: the holder
+/// was paused, another entry acquired the lease, and the first one resumed.
 #[test]
 fn a_lease_is_taken_only_after_a_whole_term_unchanged() {
     let me = id("e2");
@@ -102,13 +104,15 @@
     };
     assert_eq!(observe(&mut observer, 1, 0), Action::Wait);
     assert_eq!(observe(&mut observer, 1, 99), Action::Wait);
-    // Renewed meanwhile: the term begins anew.
+    // The lease was renewed, so the term starts again.
     assert_eq!(observe(&mut observer, 2, 100), Action::Wait);
     assert_eq!(observe(&mut observer, 2, 199), Action::Wait);
     assert_matches!(observe(&mut observer, 2, 200), Action::Acquire(lease) if lease.token == Token(5));
 }
 
 proptest! {
+    /// A simulated table with conditional writes; the entries' clocks differ and pauses occur
+    /// anywhere.
     #[test]
     fn tokens_only_grow_and_each_has_one_holder(
         events in prop::collection::vec((0usize..3, 0u64..80), 1..200)
@@ -120,7 +124,7 @@
         let mut clocks = [0u64; 3];
         let mut holders: BTreeMap<u64, id::Entry> = BTreeMap::new();
         for (who, passed) in events {
-            // Each has its own clock; a pause is a long step.
+            // Each entry has its own clock; a pause is a long step of it.
             clocks[who] += passed;
             let now = Moment(clocks[who]);
             let action =
@@ -153,7 +157,7 @@
     for entry in &three {
         assert_eq!(chosen.values().filter(|owner| **owner == entry.entry).count(), 4);
     }
-    // One goes: what the others own stays mostly where it is.
+    // One entry leaves: the others keep most of their minions.
     let two = ownership::assign(&minions_by_place(12), &three[..2]);
     let kept = chosen.iter().filter(|(m, owner)| **owner != id("e2") && two[*m] == **owner);
     assert!(kept.count() >= 6);
@@ -214,7 +218,7 @@
     }
 }
 
-/// Each way in which work could still be on a minion, or be sent to it, holds its move up.
+/// Guards against a move that goes on while work may still be on the minion or be sent to it.
 #[test]
 fn a_drain_is_complete_only_when_nobody_can_have_work_on_it() {
     let draining = minion("m", "s", State::Draining);
@@ -227,12 +231,18 @@
             leaving: false,
         })
     };
-    assert!(!is_idle(Some(&owned(Some("e1"), &[], None)), true), "not confirmed");
-    assert!(!is_idle(Some(&owned(Some("e1"), &[], Some(2))), true), "confirmed an earlier epoch");
+    assert!(
+        !is_idle(Some(&owned(Some("e1"), &[], None)), true),
+        "the owner has not confirmed the drain"
+    );
+    assert!(
+        !is_idle(Some(&owned(Some("e1"), &[], Some(2))), true),
+        "the owner confirmed an earlier epoch"
+    );
     assert!(!is_idle(Some(&owned(Some("e1"), &["e2"], Some(3))), true), "a former owner is left");
     assert!(!is_idle(Some(&owned(None, &["e2"], None)), false), "a former owner is left");
     assert!(is_idle(Some(&owned(Some("e1"), &[], Some(3))), true));
-    assert!(is_idle(Some(&owned(Some("e1"), &[], None)), false), "the owner is gone");
+    assert!(is_idle(Some(&owned(Some("e1"), &[], None)), false), "the owner has ended");
     assert!(is_idle(Some(&owned(None, &[], None)), false));
 }
 
@@ -299,7 +309,7 @@
     let service = availability(12, 8, 0, 2);
     assert_eq!(wave::max_parallel(&service, Ratio(1.0)), 4);
     assert_eq!(wave::max_parallel(&service, Ratio(0.0)), 2);
-    // One may always go while the service is above its floor, and none at it.
+    // One minion may be out whenever the service is above its floor, and none at the floor.
     assert_eq!(wave::max_parallel(&availability(9, 8, 0, 3), Ratio(0.0)), 1);
     assert_eq!(wave::max_parallel(&availability(8, 8, 0, 3), Ratio(1.0)), 0);
 }
@@ -334,8 +344,8 @@
 }
 
 proptest! {
-    /// A whole wave under failures and repairs in any order: no step takes a service below its
-    /// floor, and once nothing fails any more the wave finishes.
+    /// A whole wave with failures and repairs in any order: no step takes a service below its
+    /// floor, and the wave finishes once nothing fails any more.
     #[test]
     fn no_order_of_failures_makes_a_wave_break_the_floor(
         events in prop::collection::vec((0usize..12, any::<bool>()), 0..80),
@@ -351,7 +361,7 @@
                 Some((which, works)) => healthy[which] = works,
                 None => healthy = [true; 12],
             }
-            // The oldest of those out comes back every other round.
+            // The minion with the lowest number of those out returns every other round.
             if round % 2 == 0 {
                 out.pop_first();
             }
@@ -389,12 +399,12 @@
     assert_eq!(sizer.decide(&pools, Moment(59_000), settings), None);
     let decided = sizer.decide(&pools, Moment(60_000), settings).unwrap();
     assert_eq!((decided.from, decided.to), (id("rich"), id("short")));
-    // The next waits until this one has settled.
+    // The next move waits for the cooldown.
     assert_eq!(sizer.decide(&pools, Moment(120_000), settings), None);
     assert!(sizer.decide(&pools, Moment(360_000), settings).is_some());
 }
 
-/// Load goes up and down around the threshold and minions wander with it.
+/// Guards against minions that move back and forth while the load oscillates around the threshold.
 #[test]
 fn a_brief_shortage_causes_no_move() {
     let settings =
--- a/crates/policy/tests/interleavings.rs
+++ b/crates/policy/tests/interleavings.rs
@@ -1,4 +1,4 @@
-//! The shared tables under every interleaving that `shuttle` tries.
+//! The state that threads share, under the interleavings that `shuttle` generates.
 
 use celerythread_model::request::Class;
 use celerythread_model::table::{Row, Space};
@@ -11,7 +11,7 @@
 use shuttle::thread;
 use std::time::Duration;
 
-/// Interleavings tried of each.
+/// Random interleavings per test.
 const INTERLEAVINGS: usize = 2000;
 
 fn ledger(slots: u32) -> Ledger {
@@ -27,9 +27,8 @@
     ledger
 }
 
-/// Two requests and a drain race: once the owner has seen the minion idle after the drain, no
-/// request may still be on it or go to it.  The lock is taken anew for each step, as the
-/// daemon does.
+/// Two requests race with a drain: once the owner has seen the minion idle after the drain, no
+/// request may be on it or be sent to it.  As in the daemon, each step locks the ledger separately.
 #[test]
 fn a_drained_idle_minion_stays_idle() {
     shuttle::check_random(
@@ -74,7 +73,11 @@
             let idle = ledger.lock().unwrap().is_idle(&minion, Moment(0));
             if idle {
                 thread::yield_now();
-                assert_eq!(ledger.lock().unwrap().outstanding(&minion), 0, "work after idle");
+                assert_eq!(
+                    ledger.lock().unwrap().outstanding(&minion),
+                    0,
+                    "the minion has work after it was idle"
+                );
             }
             senders.into_iter().for_each(|sender| sender.join().unwrap());
         },
@@ -82,8 +85,8 @@
     );
 }
 
-/// A request gives up waiting while a slot becomes free: the slot must neither be lost nor used
-/// by two.
+/// A request is cancelled while a slot becomes free: the slot must neither be lost nor be used
+/// twice.
 #[test]
 fn a_cancelled_wait_never_loses_a_slot() {
     shuttle::check_random(
@@ -131,7 +134,7 @@
     );
 }
 
-/// The poll and a peer's relay bring rows at the same time: readers never see a row go back.
+/// The table's poll and a peer's relay apply rows concurrently: readers never see a row go back.
 #[test]
 fn readers_never_see_a_row_go_back() {
     shuttle::check_random(
--- a/crates/policy/tests/jobs.rs
+++ b/crates/policy/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! The decisions about jobs.
+//! Tests of the decisions about jobs.
 
 use assert_matches::assert_matches;
 use celerythread_model::job::Size;
@@ -62,7 +62,7 @@
     assert_eq!(place(&accelerated, &candidates, None), Placement::Start(id("with")));
 }
 
-/// A shop's revaluation waits behind a year-end audit: the fleet is full of patient work.
+/// Guards against urgent work that waits behind patient work when the fleet is full of the latter.
 #[test]
 fn urgent_work_preempts_the_fewest_patient_jobs() {
     let total = size(16_000, 32, 0);
@@ -114,8 +114,8 @@
     assert!(!misses.covers(&need(size(4000, 9, 0), Class::Urgent)));
 }
 
-/// Declared sizes are far off: four times too small, and the worker is overloaded by what it
-/// was given.  After a few tasks the learnt size is reckoned with.
+/// Guards against workers that are overloaded because declared sizes are far too small, here by a
+/// factor of four.  After a few reports the estimated size is used.
 #[test]
 fn sizes_are_estimated_by_kind() {
     let mut estimates = Estimates::default();
@@ -134,7 +134,7 @@
 }
 
 proptest! {
-    /// Whatever the fleet and the jobs, no worker is given more than it has.
+    /// For any fleet and any jobs, no worker is given more than it has.
     #[test]
     fn no_job_is_placed_where_it_does_not_fit(
         workers in prop::collection::vec((1u32..16, 1u64..32, 0u32..4), 1..12),
--- a/crates/policy/tests/pause.rs
+++ b/crates/policy/tests/pause.rs
@@ -1,4 +1,4 @@
-//! Silence is judged only for as long as this process itself ran.
+//! A peer's silence counts only while this process itself runs.
 
 use celerythread_policy::pause::Detector;
 use celerythread_policy::time::Moment;
@@ -7,9 +7,10 @@
 const LIMIT: Duration = Duration::from_secs(2);
 const TAKEOVER_AFTER: Duration = Duration::from_secs(6);
 
-/// A wave over all minions takes half a minute longer than it should.  An entry was stopped for
-/// seconds; woken up, it had heard nobody for that long, took the minions of living peers over,
-/// and their drains waited for the requests that the former owners might still have had there.
+/// Guards against drains that wait for former owners without need: a wave over all minions took
+/// half a minute longer than it should.  An entry resumed after a pause of seconds, took over the
+/// minions of healthy peers because it hadn't heard them, and the drains waited for the requests
+/// that the former owners might still have had there.
 #[test]
 fn a_process_that_wakes_up_takes_nobody_for_lost() {
     let mut detector = Detector::new(LIMIT);
--- a/crates/policy/tests/requests.rs
+++ b/crates/policy/tests/requests.rs
@@ -1,4 +1,5 @@
-//! The decisions about requests: phases, retries, queues, slots, health, claims, quotas.
+//! Tests of the decisions about requests: phases, retries, queues, slots, health, claims and
+//! quotas.
 
 use assert_matches::assert_matches;
 use celerythread_model::config::{Document, Ratio};
@@ -25,8 +26,8 @@
     text.parse().unwrap()
 }
 
-/// The whole table: "not run" is said only before the first byte, and a non-idempotent request
-/// is never sent again after it.
+/// All combinations: "not run" is reported only before the first byte, and a non-idempotent request
+/// is never resent after it.
 #[test]
 fn outcome_and_resend_by_phase_and_idempotence() {
     for phase in Phase::VARIANTS {
@@ -52,8 +53,8 @@
     assert_eq!(phase::combine(Some(Run), NotRun), Run);
 }
 
-/// A slow morning becomes an outage: every request fails, each is sent three times, and the
-/// minions get three times the load.  The budget bounds it to the configured share.
+/// Guards against retries that turn slowness into an outage: when every request fails, sending each
+/// three times triples the load.  The budget limits resent requests to the configured share.
 #[test]
 fn retries_cannot_multiply_an_overload() {
     let mut budget = Budget::new(Ratio(0.1));
@@ -84,8 +85,9 @@
         (0..80).filter_map(|n| queue.pop(Moment(n * 10), bounds().patient_share)).collect();
     let patient_in = |part: &[u32]| part.iter().filter(|n| **n % 2 == 1).count();
     assert_eq!(order.len(), 80);
-    assert_eq!(order[0], 0, "urgent first");
-    // An eighth of the turns while both wait, so 40 urgent ones take 45 turns.
+    assert_eq!(order[0], 0, "an urgent request goes first");
+    // Patient requests get an eighth of the turns while both classes wait, so 40 urgent ones take
+    // 45 turns.
     assert!((4..=6).contains(&patient_in(&order[..45])), "{order:?}");
 }
 
@@ -97,7 +99,7 @@
     }
     let short_deadline = QueuedRequest { item: 99, class: Class::Urgent, deadline: Moment(100) };
     let refusal = queue.push(short_deadline, Moment(0), bounds(), 0.5).unwrap_err();
-    // 50 waiting at 20 ms each are a second.
+    // 50 waiting requests at 20 ms each take a second.
     assert!(refusal.retry_after >= Duration::from_millis(500), "{refusal:?}");
     assert_eq!(queue.len(), 50);
 }
@@ -136,7 +138,7 @@
 }
 
 proptest! {
-    /// No request is lost or doubled, and within a class the order of arrival holds.
+    /// No request is lost or duplicated, and the order of arrival holds within each class.
     #[test]
     fn a_queue_keeps_everything_in_order(classes in prop::collection::vec(any::<bool>(), 0..100)) {
         let mut queue = Queue::default();
@@ -186,14 +188,14 @@
     assert!(served.values().all(|count| *count == 10), "{served:?}");
 }
 
-/// A minion that was drained and came back is a newly booted one: its old failures say nothing.
+/// A minion that returns after a drain was rebooted, so its old failures no longer apply.
 #[test]
 fn a_new_epoch_resets_the_health() {
     let mut ledger = ledger(2, 8);
     let mut now = Moment(0);
     while ledger.ejected(now).is_empty() {
         now = now + Duration::from_millis(50);
-        assert!(now < Moment(60_000), "never set aside");
+        assert!(now < Moment(60_000), "the minion was never ejected");
         let Some(permit) = ledger.grant(&id("s"), Holder::Own, None, now) else { continue };
         let result = if permit.minion == id("m0") {
             DispatchResult::Failed
@@ -207,8 +209,8 @@
     assert!(ledger.ejected(now).is_empty());
 }
 
-/// A minion that fails at once is free at once and draws the next request, and the next.  A
-/// failure must occupy its slot for as long as a success takes.
+/// Guards against a minion that attracts all requests because it fails them immediately: a failure
+/// must occupy its slot for as long as a success takes.
 #[test]
 fn a_fast_failure_occupies_its_slot_like_a_success() {
     let mut ledger = ledger(1, 1);
@@ -221,8 +223,8 @@
     assert!(grant(&mut ledger, 200).is_some());
 }
 
-/// A minion fails once, a packet was lost; from then on its sibling gets all the work of a
-/// quiet service, and nobody ever finds out that it works.
+/// Guards against a minion that never gets work again after a single failure, for example a lost
+/// packet: in a quiet service its sibling would get all requests.
 #[test]
 fn a_single_failure_is_forgotten() {
     let mut ledger = ledger(2, 8);
@@ -239,8 +241,8 @@
     assert!(served);
 }
 
-/// When every minion fails alike the cause lies elsewhere; setting one after the other aside
-/// would empty the service.
+/// When all minions fail alike, the cause lies elsewhere; ejecting one after another would leave
+/// the service without minions.
 #[test]
 fn ejection_never_empties_a_service() {
     let mut ledger = ledger(4, 8);
@@ -267,8 +269,8 @@
     assert!(ledger.is_idle(&id("m0"), Moment(5)));
 }
 
-/// The link to a peer is lost while it uses a slot.  The slot must neither be lost for good nor
-/// counted as free while the peer still uses it.
+/// The link to a peer is lost while the peer uses a slot.  The slot must neither be lost forever
+/// nor count as free while the peer still uses it.
 #[test]
 fn a_lost_peers_grants_end_only_when_it_no_longer_lists_them() {
     let mut ledger = ledger(1, 2);
@@ -313,8 +315,7 @@
 }
 
 proptest! {
-    /// Whatever happens in whatever order, no minion has more grants than slots, and what is
-    /// idle has none.
+    /// In any order of steps, no minion has more grants than slots, and an idle minion has none.
     #[test]
     fn grants_never_exceed_the_slots(steps in steps()) {
         const SLOTS: u32 = 3;
@@ -388,7 +389,7 @@
     assert_eq!(decide(done, &other, "other", true), Decision::KeyReused);
     assert_eq!(decide(Stage::Running, &own, "f", true), Decision::Run);
     assert_eq!(decide(Stage::Running, &other, "f", true), Decision::StillRunning);
-    // A dead entry's claim never comes free.
+    // A dead entry's claim is never released.
     assert_eq!(decide(Stage::Running, &other, "f", false), Decision::Unknown);
     assert_eq!(decide(Stage::Unknown, &other, "f", true), Decision::Unknown);
 }
