--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -1,9 +1,9 @@
-//! Leases of singleton roles, stored as rows of the table: one entry at a time holds a role.
+//! Leases of duties, stored as rows of the table.  A duty is a role that one entry holds at a time.
 //!
-//! The holder increments the row's `beat` counter.  Clocks of different entries are never
-//! compared: an observer that has seen the same counter for the whole lease term, by its own
-//! monotonic clock, may acquire the role with the next fencing token.  The writes of a holder that
-//! was paused are refused, because each is conditional on the row's revision.
+//! The holder increments the row's `beat` counter.  Clocks of different entries are never compared:
+//! an observer that has seen the same counter for the whole lease term, by its own monotonic clock,
+//! may acquire the duty with the next fencing token.  The writes of a holder that was paused are
+//! refused, because each is conditional on the row's revision.
 
 use crate::time::Moment;
 use celerythread_model::fleet::Lease;
@@ -11,18 +11,18 @@
 use celerythread_model::unit::{Revision, Token};
 use std::time::Duration;
 
-/// What to do about a role's lease.
+/// What to do about a duty's lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
     /// Renew the lease: write this row if the revision is unchanged.
     Renew(Lease),
-    /// Acquire the role: write this row if the revision is unchanged.
+    /// Acquire the duty: write this row if the revision is unchanged.
     Acquire(Lease),
-    /// Do nothing: another entry holds the role.
+    /// Do nothing: another entry holds the duty.
     Wait,
 }
 
-/// One entry's observations of one role's lease.
+/// One entry's observations of one duty's lease.
 #[derive(Clone, Debug, Default)]
 pub struct Observer {
     last_change: Option<(Revision, Moment)>,
@@ -73,7 +73,7 @@
 }
 
 impl HeldLease {
-    /// Whether the holder may act in the role.  This only avoids useless work; safety depends on
+    /// Whether the holder may act on the duty.  This only avoids useless work; safety depends on
     /// the conditional writes.
     pub fn is_fresh(&self, now: Moment, term: Duration) -> bool {
         now.since(self.confirmed_at) < term
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -8,10 +8,10 @@
 //! outliers, [`phase`] decides what a failure proves, [`retry`] limits resent requests, [`claim`]
 //! runs a request with an idempotency key at most once, [`quota`] limits a team.
 //!
-//! Fleet: [`view`] is an entry's view, [`lease`] decides who holds a singleton role, [`ownership`]
-//! decides who hands out a minion's slots, [`pause`] detects pauses of this process,
-//! [`availability`] counts the minions that a service can spare, [`wave`] plans maintenance,
-//! [`movement`] drains a minion and returns it to a pool, [`sizing`] decides pool sizes.
+//! Fleet: [`view`] is an entry's view, [`lease`] decides who holds a duty, [`ownership`] decides
+//! who hands out a minion's slots, [`pause`] detects pauses of this process, [`availability`]
+//! counts the minions that a service can spare, [`wave`] plans maintenance, [`movement`] drains a
+//! minion and returns it to a pool, [`sizing`] decides pool sizes.
 //!
 //! Jobs: [`placement`] finds a worker, [`learning`] estimates sizes and run times.
 
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -92,7 +92,7 @@
 
 const TERM: Duration = Duration::from_millis(100);
 
-/// Guards against two entries that hold the same role at once, and so drive waves twice: the holder
+/// Guards against two entries that hold the same duty at once, and so drive waves twice: the holder
 /// was paused, another entry acquired the lease, and the first one resumed.
 #[test]
 fn a_lease_is_taken_only_after_a_whole_term_unchanged() {
