--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,42 +1,43 @@
-//! A budget for sending requests again, so that retries cannot multiply an overload.
+//! A retry budget, so that resent requests can't multiply an overload.
 
 use celerythread_model::config::Ratio;
 
-/// Retries that are always possible after a quiet time.
-const RESERVE: f64 = 3.0;
+/// Retries that a new budget starts with, so that the first failures of a quiet service can be
+/// retried.
+const INITIAL_BALANCE: f64 = 3.0;
 
-/// Most retries that can be saved up.
-const CEILING: f64 = 50.0;
+/// Maximum number of retries that can accumulate.
+const MAX_BALANCE: f64 = 50.0;
 
-/// A service's budget at one entry: each request earns a part of a retry.
+/// The retry budget of a service at one entry: each request adds a fraction of a retry.
 #[derive(Clone, Debug)]
 pub struct Budget {
     ratio: f64,
-    saved: f64,
+    balance: f64,
 }
 
 impl Budget {
-    /// A budget with its reserve.
+    /// A budget with the initial balance.
     pub fn new(ratio: Ratio) -> Self {
-        Self { ratio: ratio.0, saved: RESERVE }
+        Self { ratio: ratio.0, balance: INITIAL_BALANCE }
     }
 
-    /// Sets the share of requests that may be sent again.
+    /// Sets the share of requests that may be resent.
     pub fn set_ratio(&mut self, ratio: Ratio) {
         self.ratio = ratio.0;
     }
 
-    /// A first attempt was made.
-    pub fn earn(&mut self) {
-        self.saved = (self.saved + self.ratio).min(CEILING);
+    /// Adds to the budget for the first attempt of a request.
+    pub fn deposit(&mut self) {
+        self.balance = (self.balance + self.ratio).min(MAX_BALANCE);
     }
 
-    /// Takes one retry out, if there is one.
-    pub fn spend(&mut self) -> bool {
-        if self.saved < 1.0 {
+    /// Takes one retry from the budget.  Returns false if there is none.
+    pub fn try_withdraw(&mut self) -> bool {
+        if self.balance < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.balance -= 1.0;
         true
     }
 }
