--- a/crates/scheduler/src/fleet/emptying.rs
+++ b/crates/scheduler/src/fleet/emptying.rs
@@ -86,7 +86,7 @@
     controller.state.lock().dropping_rows.retain(|machine| !machines.contains(machine));
 }
 
-/// Drops the rows in several transactions of at most [`MAX_ENTRIES`]; the rows are independent of
+/// Drops the rows in several transactions of at most [`MAX_TRANSACTION_ENTRIES`]; the rows are independent of
 /// each other.  After an outage there can be more stale rows than one transaction may hold.  In a
 /// single transaction they were refused each time, and no row was dropped any more.
 async fn drop_in_chunks(node: &Node, machines: &[String]) {
