--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -40,7 +40,7 @@
 
 /// Takes rows into the view and acts on what changed.
 pub(crate) fn apply(node: &Node, rows: &[Row], upto: Revision) {
-    node.timeline.witness(Clock::statement(upto));
+    node.timeline.witness(Clock::at_revision(upto));
     let before = node.view.read().config_number();
     let changed = node.view.write().apply(rows, upto);
     if changed.config {
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -210,28 +210,28 @@
     fn check(&self, reader: &mut Reader) {
         if self.platform.addresses.is_empty() {
             let text = "at least one address must be given".into();
-            reader.note(Code::MissingKey, "platform", "addresses", text);
+            reader.add_mistake(Code::MissingKey, "platform", "addresses", text);
         }
         if self.takeover_after.0 < self.beat.0 * 3 {
             let text = format!(
                 "takeover_after {} is less than three beats of {}; a healthy peer would be taken over",
                 self.takeover_after, self.beat
             );
-            reader.note(Code::Contradiction, "peer", "takeover_after", text);
+            reader.add_mistake(Code::Contradiction, "peer", "takeover_after", text);
         }
         if self.lease_term.0 < self.poll.0 * 4 {
             let text = format!("term {} is less than four polls of {}", self.lease_term, self.poll);
-            reader.note(Code::Contradiction, "lease", "term", text);
+            reader.add_mistake(Code::Contradiction, "lease", "term", text);
         }
         if self.memory < self.caller_limits.body {
             let text =
                 format!("{} cannot hold one body of {}", self.memory, self.caller_limits.body);
-            reader.note(Code::Contradiction, "caller", "memory", text);
+            reader.add_mistake(Code::Contradiction, "caller", "memory", text);
         }
         let tcp = [self.caller_listen, self.operator_listen];
         if tcp[0] == tcp[1] && tcp[0].port() != 0 {
             let text = format!("callers and operators cannot share {}", tcp[0]);
-            reader.note(Code::Contradiction, "operator", "listen", text);
+            reader.add_mistake(Code::Contradiction, "operator", "listen", text);
         }
     }
 }
--- a/crates/entry/src/table.rs
+++ b/crates/entry/src/table.rs
@@ -40,7 +40,7 @@
         let result = self.inner.commit(transaction).await;
         self.note(&result);
         if let Ok(revision) = &result {
-            self.timeline.witness(event::Clock::statement(*revision));
+            self.timeline.witness(event::Clock::at_revision(*revision));
         }
         result
     }
--- a/crates/entry/src/timeline.rs
+++ b/crates/entry/src/timeline.rs
@@ -34,7 +34,7 @@
 
     /// Notes an event that a committed revision is the statement of.
     pub fn note_at(&self, at: u64, revision: Revision, kind: Kind) {
-        let clock = Clock::statement(revision);
+        let clock = Clock::at_revision(revision);
         self.witness(clock);
         self.keep(clock, at, kind);
     }
--- a/crates/entry/tests/timeline.rs
+++ b/crates/entry/tests/timeline.rs
@@ -21,7 +21,7 @@
     let accepted = Kind::ConfigAccepted { number: NUMBER, change: "c1".parse().unwrap() };
 
     for entry in [&writer, &other] {
-        entry.witness(Clock::statement(committed));
+        entry.witness(Clock::at_revision(committed));
         entry.note(0, Kind::ConfigInForce { number: NUMBER });
     }
     writer.note_at(0, committed, accepted.clone());
@@ -42,7 +42,7 @@
 
     (0..100).for_each(|_| writer.note(0, Kind::Platform { reachable: true }));
     writer.note_at(0, committed, accepted.clone());
-    other.witness(Clock::statement(committed));
+    other.witness(Clock::at_revision(committed));
     other.note(0, Kind::ConfigInForce { number: NUMBER });
 
     let merged = merge([writer.events(), other.events()].concat());
--- a/crates/model/src/code.rs
+++ b/crates/model/src/code.rs
@@ -221,7 +221,7 @@
     ///
     /// 2 for an operator's mistake or a refusal, 3 for a wrong file, 4 for a peer, and 5 where
     /// the platform or every entry was out of reach, so that a script may try again.
-    pub fn exit(self) -> u8 {
+    pub fn exit_code(self) -> u8 {
         match self {
             Code::Ok => 0,
             Code::PlatformUnavailable | Code::PlatformUnknown | Code::NoEntry => 5,
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -209,7 +209,7 @@
     match name.trim().parse() {
         Ok(id) => Some(id),
         Err(error) => {
-            reader.note(Code::BadValue, section, "", error.to_string());
+            reader.add_mistake(Code::BadValue, section, "", error.to_string());
             None
         }
     }
@@ -231,13 +231,13 @@
     let floor = reader.required(section, "floor").unwrap_or(0);
     if floor > minions {
         let text = format!("floor {floor} is above minions {minions}");
-        reader.note(Code::Contradiction, section, "floor", text);
+        reader.add_mistake(Code::Contradiction, section, "floor", text);
     }
     let slots = reader.ranged(section, "slots", Slots(8), Slots(1), Slots(10_000));
     let connections = reader.ranged(section, "connections", 64, 1, 100_000);
     if connections < slots.0 {
         let text = format!("connections {connections} are fewer than slots {slots}");
-        reader.note(Code::Contradiction, section, "connections", text);
+        reader.add_mistake(Code::Contradiction, section, "connections", text);
     }
     let longest = MAX_DEADLINE;
     let deadline = reader.ranged(section, "deadline", Span::secs(30), Span::millis(1), longest);
@@ -290,7 +290,12 @@
     match parts {
         Some((hour, minute)) if hour < 24 && minute < 60 => hour * 60 + minute,
         _ => {
-            reader.note(Code::BadValue, section, key, format!("{text:?} is not a time like 22:30"));
+            reader.add_mistake(
+                Code::BadValue,
+                section,
+                key,
+                format!("{text:?} is not a time like 22:30"),
+            );
             0
         }
     }
@@ -302,7 +307,7 @@
             if !document.services.contains_key(service) {
                 let section = format!("window {}", window.name);
                 let text = format!("service {service} is not configured");
-                reader.note(Code::Contradiction, &section, "services", text);
+                reader.add_mistake(Code::Contradiction, &section, "services", text);
             }
         }
     }
--- a/crates/model/src/config/template.rs
+++ b/crates/model/src/config/template.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The parameters' one section.
-const SECTION: &str = "parameters";
+const PARAMETERS_SECTION: &str = "parameters";
 
 /// Puts the parameters into the template.
 ///
@@ -13,12 +13,12 @@
 pub fn expand(template: &str, parameters: &str) -> (String, Vec<Mistake>) {
     let mut reader = Reader::new(parameters);
     let mut values = BTreeMap::new();
-    for name in names(template) {
-        if let Some(value) = reader.text(SECTION, &name) {
+    for name in parameter_names(template) {
+        if let Some(value) = reader.text(PARAMETERS_SECTION, &name) {
             values.insert(name, value);
         }
     }
-    let mut mistakes = reader.finish(|section| section == SECTION);
+    let mut mistakes = reader.finish(|section| section == PARAMETERS_SECTION);
     for mistake in &mut mistakes {
         mistake.text = format!("in the parameters: {}", mistake.text);
     }
@@ -30,7 +30,7 @@
     (text, mistakes)
 }
 
-fn names(template: &str) -> BTreeSet<String> {
+fn parameter_names(template: &str) -> BTreeSet<String> {
     let starts = template.split("${").skip(1);
     starts.filter_map(|rest| rest.split_once('}')).map(|(name, _)| name.trim().into()).collect()
 }
@@ -45,13 +45,13 @@
     let mut expanded = parts.next().unwrap_or_default().to_owned();
     for part in parts {
         let Some((name, rest)) = part.split_once('}') else {
-            mistakes.push(missing(part, number, "${ without a closing brace"));
+            mistakes.push(missing_parameter(part, number, "${ without a closing brace"));
             continue;
         };
         match values.get(name.trim()) {
             Some(value) => expanded.push_str(value),
             None => {
-                mistakes.push(missing(name.trim(), number, "the parameter has no value"));
+                mistakes.push(missing_parameter(name.trim(), number, "the parameter has no value"));
                 // A digit keeps the rest of the check useful: most parameters are numbers.
                 expanded.push('1');
             }
@@ -61,7 +61,7 @@
     expanded
 }
 
-fn missing(name: &str, line: usize, text: &str) -> Mistake {
-    let (section, key, text) = (SECTION.into(), name.into(), text.into());
+fn missing_parameter(name: &str, line: usize, text: &str) -> Mistake {
+    let (section, key, text) = (PARAMETERS_SECTION.into(), name.into(), text.into());
     Mistake { code: Code::MissingParameter, section, key, line, text }
 }
--- a/crates/model/src/event.rs
+++ b/crates/model/src/event.rs
@@ -139,7 +139,7 @@
 
 impl Clock {
     /// The position of what a committed revision states.
-    pub fn statement(revision: Revision) -> Self {
+    pub fn at_revision(revision: Revision) -> Self {
         Self { revision, count: 0 }
     }
 
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -20,8 +20,8 @@
 
 fn check(text: &str) -> Result<(), Error> {
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-._".contains(c);
-    let starts_well = text.starts_with(|c: char| c.is_ascii_lowercase() || c.is_ascii_digit());
-    if starts_well && text.len() <= MAX_LEN && text.chars().all(allowed) {
+    let has_valid_start = text.starts_with(|c: char| c.is_ascii_lowercase() || c.is_ascii_digit());
+    if has_valid_start && text.len() <= MAX_LEN && text.chars().all(allowed) {
         Ok(())
     } else {
         Err(Error { text: text.chars().take(MAX_LEN).collect() })
--- a/crates/model/src/ini.rs
+++ b/crates/model/src/ini.rs
@@ -39,7 +39,7 @@
 pub struct Reader {
     ini: Ini,
     lines: Vec<(usize, String, String)>,
-    taken: BTreeSet<(String, String)>,
+    known_keys: BTreeSet<(String, String)>,
     mistakes: Vec<Mistake>,
 }
 
@@ -57,21 +57,21 @@
             });
             Ini::new()
         });
-        let lines = index(text);
-        let mut reader = Self { ini, lines, taken: BTreeSet::new(), mistakes };
-        reader.note_duplicates();
+        let lines = index_lines(text);
+        let mut reader = Self { ini, lines, known_keys: BTreeSet::new(), mistakes };
+        reader.add_duplicates();
         reader
     }
 
-    fn note_duplicates(&mut self) {
+    fn add_duplicates(&mut self) {
         let mut seen = BTreeSet::new();
-        let mut doubled = Vec::new();
+        let mut duplicates = Vec::new();
         for (line, section, key) in &self.lines {
             if !seen.insert((section.clone(), key.clone())) {
-                doubled.push((*line, section.clone(), key.clone()));
+                duplicates.push((*line, section.clone(), key.clone()));
             }
         }
-        for (line, section, key) in doubled {
+        for (line, section, key) in duplicates {
             let text = "given more than once".into();
             self.mistakes.push(Mistake { code: Code::DuplicateKey, section, key, line, text });
         }
@@ -90,7 +90,7 @@
 
     /// The raw text of a key; the key counts as known from then on.
     pub fn text(&mut self, section: &str, key: &str) -> Option<String> {
-        self.taken.insert((section.into(), key.into()));
+        self.known_keys.insert((section.into(), key.into()));
         self.ini.section(Some(section))?.get(key).map(|value| value.trim().into())
     }
 
@@ -111,7 +111,7 @@
         match text.parse() {
             Ok(value) => Some(value),
             Err(error) => {
-                self.note(Code::BadValue, section, key, error.to_string());
+                self.add_mistake(Code::BadValue, section, key, error.to_string());
                 None
             }
         }
@@ -123,7 +123,7 @@
         T::Err: fmt::Display,
     {
         if self.text(section, key).is_none() {
-            self.note(Code::MissingKey, section, key, "must be given".into());
+            self.add_mistake(Code::MissingKey, section, key, "must be given".into());
             return None;
         }
         self.optional(section, key)
@@ -139,7 +139,7 @@
         for part in text.split(',').map(str::trim).filter(|part| !part.is_empty()) {
             match part.parse::<T>() {
                 Ok(value) => values.push(value),
-                Err(error) => self.note(Code::BadValue, section, key, error.to_string()),
+                Err(error) => self.add_mistake(Code::BadValue, section, key, error.to_string()),
             }
         }
         values
@@ -154,13 +154,13 @@
         let value = self.value(section, key, default);
         if value < low || value > high {
             let text = format!("{value} is not between {low} and {high}");
-            self.note(Code::OutOfRange, section, key, text);
+            self.add_mistake(Code::OutOfRange, section, key, text);
         }
         value
     }
 
     /// Notes a mistake at a key.
-    pub fn note(&mut self, code: Code, section: &str, key: &str, text: String) {
+    pub fn add_mistake(&mut self, code: Code, section: &str, key: &str, text: String) {
         let line = self.line(section, key);
         self.mistakes.push(Mistake { code, section: section.into(), key: key.into(), line, text });
     }
@@ -177,12 +177,12 @@
     pub fn read_whole<T>(
         text: &str,
         sections: &[&str],
-        take: impl FnOnce(&mut Reader) -> T,
+        read: impl FnOnce(&mut Reader) -> T,
     ) -> Result<T, Vec<Mistake>> {
         let mut reader = Reader::new(text);
-        let taken = take(&mut reader);
+        let value = read(&mut reader);
         let mistakes = reader.finish(|section| sections.contains(&section));
-        if mistakes.is_empty() { Ok(taken) } else { Err(mistakes) }
+        if mistakes.is_empty() { Ok(value) } else { Err(mistakes) }
     }
 
     /// Ends the reading: whatever was never asked for is unknown.
@@ -193,7 +193,8 @@
                 if key.is_empty() {
                     unknown.push((Code::UnknownSection, *line, section, key, "is not a section"));
                 }
-            } else if !key.is_empty() && !self.taken.contains(&(section.clone(), key.clone())) {
+            } else if !key.is_empty() && !self.known_keys.contains(&(section.clone(), key.clone()))
+            {
                 unknown.push((
                     Code::UnknownKey,
                     *line,
@@ -217,7 +218,7 @@
 }
 
 /// The place of each section head (with an empty key) and of each key.
-fn index(text: &str) -> Vec<(usize, String, String)> {
+fn index_lines(text: &str) -> Vec<(usize, String, String)> {
     let mut places = Vec::new();
     let mut section = String::new();
     for (number, line) in text.lines().enumerate() {
--- a/crates/model/src/job.rs
+++ b/crates/model/src/job.rs
@@ -20,9 +20,11 @@
 }
 
 impl Size {
-    /// Whether this fits within `room` in every dimension.
-    pub fn fits(&self, room: &Size) -> bool {
-        self.cpu <= room.cpu && self.memory <= room.memory && self.accelerators <= room.accelerators
+    /// Whether this fits within `capacity` in every dimension.
+    pub fn fits(&self, capacity: &Size) -> bool {
+        self.cpu <= capacity.cpu
+            && self.memory <= capacity.memory
+            && self.accelerators <= capacity.accelerators
     }
 
     /// What is left of this after `other`, never below nought.
--- a/crates/model/tests/config.rs
+++ b/crates/model/tests/config.rs
@@ -22,7 +22,7 @@
 ";
 
 #[test]
-fn a_template_is_filled_in() {
+fn template_parameters_are_expanded() {
     let document = Document::read(TEMPLATE, "[parameters]\nname = x\nminions = 9\n").unwrap();
     let service = document.services.values().next().unwrap();
     assert_eq!((service.minions, service.floor, service.slots.0), (9, 7, 8));
@@ -32,7 +32,7 @@
 /// An operator sends a file with ten mistakes, mends the one that is shown, and sends it again:
 /// ten times over, at night.  The cause would be a reader that stops at the first mistake.
 #[test]
-fn ten_mistakes_are_told_at_once() {
+fn all_mistakes_are_reported_at_once() {
     let template = "\
 [workspace]
 name = ${name}
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_window_may_go_over_midnight() {
+fn a_window_may_span_midnight() {
     let document = Document::read(TEMPLATE, "[parameters]\nname = x\nminions = 9\n").unwrap();
     let window = &document.windows[0];
     for (minute, open) in [(1319, false), (1320, true), (0, true), (329, true), (330, false)] {
@@ -86,14 +86,14 @@
 }
 
 #[test]
-fn a_key_given_twice_is_a_mistake() {
+fn a_duplicate_key_is_a_mistake() {
     let mistakes = Document::read("[zone a]\nregion = x\nregion = y\n", "").unwrap_err();
     assert_eq!(mistakes[0].code, Code::DuplicateKey);
     assert_eq!(mistakes[0].line, 3);
 }
 
 #[test]
-fn both_deployments_of_the_brief_are_right() {
+fn example_deployments_are_valid() {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
     for (name, sizes) in [("visita-clara", [9, 9, 11, 12, 8]), ("hodnota-zasob", [9, 9, 11, 12, 8])]
     {
@@ -114,12 +114,12 @@
 proptest! {
     /// Whatever bytes an operator sends, the reader answers and does not panic.
     #[test]
-    fn any_text_is_answered(template in "\\PC{0,300}", parameters in "\\PC{0,100}") {
+    fn any_text_is_read_without_panic(template in "\\PC{0,300}", parameters in "\\PC{0,100}") {
         let _ = Document::read(&template, &parameters);
     }
 
     #[test]
-    fn any_lines_of_the_right_shape_are_answered(
+    fn ini_like_lines_are_read_without_panic(
         lines in prop::collection::vec("(\\[(service|team|window|zone) [a-z]{0,3}\\]|[a-z]{1,8} ?= ?[0-9a-z:,${}]{0,8})", 0..30)
     ) {
         let text = lines.join("\n");
--- a/crates/model/tests/event.rs
+++ b/crates/model/tests/event.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn the_position_is_two_numbers_beside_the_event() {
+fn the_clock_is_flattened_into_the_event() {
     let clock = Clock { revision: Revision(51), count: 3 };
     let event = Event { process: "a".parse().unwrap(), clock, at: 0, kind: Kind::Started };
     let written = serde_json::to_value(&event).unwrap();
@@ -37,7 +37,7 @@
     /// Whatever the order of commits, feeds and beats: an event stands above the statements of
     /// all revisions that its process knew of, and above all events of its process before it.
     #[test]
-    fn no_event_stands_before_what_was_known(steps in prop::collection::vec(step(), 1..60)) {
+    fn no_event_precedes_a_known_position(steps in prop::collection::vec(step(), 1..60)) {
         let mut clocks = [Clock::default(); 3];
         let mut known = [Revision(0); 3];
         let mut table = Revision(0);
@@ -47,16 +47,16 @@
                     let before = clocks[process];
                     let now = clocks[process].advance();
                     prop_assert!(now > before);
-                    prop_assert!(now > Clock::statement(known[process]));
+                    prop_assert!(now > Clock::at_revision(known[process]));
                 }
                 Step::Commit(process) => {
                     let before = clocks[process];
                     table = table.next();
-                    prop_assert!(Clock::statement(table) > before);
+                    prop_assert!(Clock::at_revision(table) > before);
                 }
                 Step::Follow(process) => {
                     known[process] = table;
-                    clocks[process].witness(Clock::statement(table));
+                    clocks[process].witness(Clock::at_revision(table));
                 }
                 Step::Beat(from, to) => {
                     let heard = clocks[from];
--- a/crates/model/tests/text.rs
+++ b/crates/model/tests/text.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn quantities_with_units() {
+fn quantities_are_parsed_with_units() {
     assert_eq!("8MiB".parse(), Ok(Bytes::mebi(8)));
     assert_eq!("250ms".parse(), Ok(Span::millis(250)));
     assert_eq!("2h".parse(), Ok(Span::secs(7200)));
@@ -37,14 +37,14 @@
 
 proptest! {
     #[test]
-    fn what_is_written_reads_back(n in 0u64..1 << 50) {
+    fn quantities_round_trip(n in 0u64..1 << 50) {
         prop_assert_eq!(Bytes(n).to_string().parse(), Ok(Bytes(n)));
         prop_assert_eq!(Span::millis(n).to_string().parse(), Ok(Span::millis(n)));
     }
 }
 
 #[test]
-fn numbers_are_unique_and_callers_codes_tell_an_outcome() {
+fn numbers_are_unique_and_only_caller_codes_have_an_outcome() {
     let numbers: BTreeSet<u16> = Code::VARIANTS.iter().map(|code| code.number()).collect();
     assert_eq!(numbers.len(), Code::VARIANTS.len());
     for code in Code::VARIANTS {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn only_methods_that_rfc_9110_calls_idempotent_are() {
+fn methods_are_idempotent_as_in_rfc_9110() {
     assert_eq!(Idempotence::of_method("PUT"), Idempotence::Idempotent);
     assert_eq!(Idempotence::of_method("POST"), Idempotence::NonIdempotent);
     assert_eq!(Idempotence::of_method("PATCH"), Idempotence::NonIdempotent);
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -158,18 +158,18 @@
                 "takeover_after {} is less than three renewals of {}; a healthy entry would lose its cells",
                 self.takeover_after, self.renew
             );
-            reader.note(Code::Contradiction, "peer", "takeover_after", text);
+            reader.add_mistake(Code::Contradiction, "peer", "takeover_after", text);
         }
         if !self.orders_per_s.is_finite() || self.orders_per_s < 1.0 {
             let text = format!("{} orders a second; no machine would ever move", self.orders_per_s);
-            reader.note(Code::Contradiction, "maintenance", "orders_per_s", text);
+            reader.add_mistake(Code::Contradiction, "maintenance", "orders_per_s", text);
         }
         if self.run_lease.0 < self.takeover_after.0 {
             let text = format!(
                 "lease {} is less than takeover_after {}; whatever runs would end with its owner",
                 self.run_lease, self.takeover_after
             );
-            reader.note(Code::Contradiction, "run", "lease", text);
+            reader.add_mistake(Code::Contradiction, "run", "lease", text);
         }
     }
 }
--- a/crates/sync/src/lib.rs
+++ b/crates/sync/src/lib.rs
@@ -24,8 +24,8 @@
         let _ = self.sender.try_send(());
     }
 
-    /// Waits for a call, at most for `longest`.
-    pub async fn wait(&self, longest: Duration) {
-        let _ = async_std::future::timeout(longest, self.receiver.recv()).await;
+    /// Waits for a call, at most for `max_wait`.
+    pub async fn wait(&self, max_wait: Duration) {
+        let _ = async_std::future::timeout(max_wait, self.receiver.recv()).await;
     }
 }
--- a/crates/wire/src/authority.rs
+++ b/crates/wire/src/authority.rs
@@ -28,8 +28,8 @@
     params.distinguished_name.push(DnType::CommonName, format!("{workspace} entry authority"));
     params.is_ca = IsCa::Ca(BasicConstraints::Constrained(0));
     params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
-    let key = KeyPair::generate().map_err(wrong)?;
-    let certificate = params.self_signed(&key).map_err(wrong)?;
+    let key = KeyPair::generate().map_err(key_error)?;
+    let certificate = params.self_signed(&key).map_err(key_error)?;
     Ok(Pair { certificate: certificate.pem(), key: key.serialize_pem() })
 }
 
@@ -38,17 +38,18 @@
 /// # Errors
 /// `Key` when the authority's texts cannot be used.
 pub fn issue(authority: &Pair, instance: &str) -> Result<Pair, Error> {
-    let authority_key = KeyPair::from_pem(&authority.key).map_err(wrong)?;
-    let issuer = Issuer::from_ca_cert_pem(&authority.certificate, authority_key).map_err(wrong)?;
-    let mut params = CertificateParams::new(vec![SERVER_NAME.into()]).map_err(wrong)?;
+    let authority_key = KeyPair::from_pem(&authority.key).map_err(key_error)?;
+    let issuer =
+        Issuer::from_ca_cert_pem(&authority.certificate, authority_key).map_err(key_error)?;
+    let mut params = CertificateParams::new(vec![SERVER_NAME.into()]).map_err(key_error)?;
     params.distinguished_name.push(DnType::CommonName, instance);
     params.extended_key_usages =
         vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
-    let key = KeyPair::generate().map_err(wrong)?;
-    let certificate = params.signed_by(&key, &issuer).map_err(wrong)?;
+    let key = KeyPair::generate().map_err(key_error)?;
+    let certificate = params.signed_by(&key, &issuer).map_err(key_error)?;
     Ok(Pair { certificate: certificate.pem(), key: key.serialize_pem() })
 }
 
-fn wrong(error: rcgen::Error) -> Error {
+fn key_error(error: rcgen::Error) -> Error {
     Error::Key { what: "the authority".into(), reason: error.to_string() }
 }
--- a/crates/wire/src/channel.rs
+++ b/crates/wire/src/channel.rs
@@ -36,7 +36,7 @@
     /// # Errors
     /// `Closed` at the end of the exchange, `Unreachable`, `Version`, `Malformed`, `Refused`.
     pub async fn receive(&mut self) -> Result<Frame, Error> {
-        let mut header = [0; codec::HEADER];
+        let mut header = [0; codec::HEADER_LEN];
         self.read(&mut header).await?;
         let mut body = vec![0; codec::body_length(header)?];
         self.read(&mut body).await?;
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -8,15 +8,15 @@
 pub const VERSION: u8 = 1;
 
 /// Bytes before the body.
-pub const HEADER: usize = 5;
+pub const HEADER_LEN: usize = 5;
 
 /// Largest body.
-pub const MAX_BODY: usize = 4 << 20;
+pub const MAX_BODY_LEN: usize = 4 << 20;
 
 /// Encodes a frame with its header.
 pub fn encode(frame: &Frame) -> Vec<u8> {
     let body = postcard::to_stdvec(frame).expect("frames always serialize");
-    let mut bytes = Vec::with_capacity(HEADER + body.len());
+    let mut bytes = Vec::with_capacity(HEADER_LEN + body.len());
     bytes.push(VERSION);
     bytes.extend_from_slice(&(body.len() as u32).to_be_bytes());
     bytes.extend_from_slice(&body);
@@ -27,14 +27,14 @@
 ///
 /// # Errors
 /// `Version` for another version, `Malformed` for a length over the limit.
-pub fn body_length(header: [u8; HEADER]) -> Result<usize, Error> {
+pub fn body_length(header: [u8; HEADER_LEN]) -> Result<usize, Error> {
     let [version, length @ ..] = header;
     if version != VERSION {
         return error::VersionSnafu { version }.fail();
     }
     let length = u32::from_be_bytes(length) as usize;
-    if length > MAX_BODY {
-        let reason = format!("{length} bytes are more than {MAX_BODY}");
+    if length > MAX_BODY_LEN {
+        let reason = format!("{length} bytes are more than {MAX_BODY_LEN}");
         return error::MalformedSnafu { reason }.fail();
     }
     Ok(length)
--- a/crates/wire/src/endpoint.rs
+++ b/crates/wire/src/endpoint.rs
@@ -19,19 +19,19 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Silence after which a link counts as gone.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// How often an otherwise quiet link is proved alive.
-    pub keep_alive: Duration,
+    pub keep_alive_interval: Duration,
     /// Exchanges that a peer may have open at once.
-    pub exchanges: u32,
+    pub max_exchanges: u32,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            idle: Duration::from_secs(4),
-            keep_alive: Duration::from_millis(1500),
-            exchanges: 4096,
+            idle_timeout: Duration::from_secs(4),
+            keep_alive_interval: Duration::from_millis(1500),
+            max_exchanges: 4096,
         }
     }
 }
@@ -145,17 +145,17 @@
 
 fn transport(settings: &Settings) -> TransportConfig {
     let mut transport = TransportConfig::default();
-    let idle = VarInt::from_u32(settings.idle.as_millis() as u32);
+    let idle = VarInt::from_u32(settings.idle_timeout.as_millis() as u32);
     transport.max_idle_timeout(Some(idle.into()));
-    transport.keep_alive_interval(Some(settings.keep_alive));
-    transport.max_concurrent_bidi_streams(VarInt::from_u32(settings.exchanges));
+    transport.keep_alive_interval(Some(settings.keep_alive_interval));
+    transport.max_concurrent_bidi_streams(VarInt::from_u32(settings.max_exchanges));
     transport.max_concurrent_uni_streams(VarInt::from_u32(0));
     transport
 }
 
 fn roots(identity: &Identity) -> Result<Arc<RootCertStore>, Error> {
     let mut roots = RootCertStore::empty();
-    roots.add(identity.authority.clone()).map_err(|e| wrong("the authority", e))?;
+    roots.add(identity.authority.clone()).map_err(|e| key_error("the authority", e))?;
     Ok(Arc::new(roots))
 }
 
@@ -166,15 +166,15 @@
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let verifier = WebPkiClientVerifier::builder_with_provider(roots(identity)?, provider.clone())
         .build()
-        .map_err(|e| wrong("the authority", e))?;
+        .map_err(|e| key_error("the authority", e))?;
     let mut tls = rustls::ServerConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(|e| wrong("TLS", e))?
+        .map_err(|e| key_error("TLS", e))?
         .with_client_cert_verifier(verifier)
         .with_single_cert(vec![identity.certificate.clone()], identity.key.clone_key())
-        .map_err(|e| wrong("the certificate", e))?;
+        .map_err(|e| key_error("the certificate", e))?;
     tls.alpn_protocols = vec![ALPN.to_vec()];
-    let crypto = QuicServerConfig::try_from(tls).map_err(|e| wrong("TLS", e))?;
+    let crypto = QuicServerConfig::try_from(tls).map_err(|e| key_error("TLS", e))?;
     let mut config = ServerConfig::with_crypto(Arc::new(crypto));
     config.transport_config(transport);
     Ok(config)
@@ -187,18 +187,18 @@
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let mut tls = rustls::ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(|e| wrong("TLS", e))?
+        .map_err(|e| key_error("TLS", e))?
         .with_root_certificates(roots(identity)?)
         .with_client_auth_cert(vec![identity.certificate.clone()], identity.key.clone_key())
-        .map_err(|e| wrong("the certificate", e))?;
+        .map_err(|e| key_error("the certificate", e))?;
     tls.alpn_protocols = vec![ALPN.to_vec()];
-    let crypto = QuicClientConfig::try_from(tls).map_err(|e| wrong("TLS", e))?;
+    let crypto = QuicClientConfig::try_from(tls).map_err(|e| key_error("TLS", e))?;
     let mut config = ClientConfig::new(Arc::new(crypto));
     config.transport_config(transport);
     Ok(config)
 }
 
-fn wrong(what: &str, error: impl ToString) -> Error {
+fn key_error(what: &str, error: impl ToString) -> Error {
     Error::Key { what: what.into(), reason: error.to_string() }
 }
 
--- a/crates/wire/src/identity.rs
+++ b/crates/wire/src/identity.rs
@@ -43,18 +43,18 @@
     /// `Key` naming the text that is not PEM of its kind.
     pub fn from_pem(authority: &[u8], certificate: &[u8], key: &[u8]) -> Result<Self, Error> {
         let authority =
-            CertificateDer::from_pem_slice(authority).map_err(|e| wrong("the authority", e))?;
-        let certificate =
-            CertificateDer::from_pem_slice(certificate).map_err(|e| wrong("the certificate", e))?;
-        let key = PrivateKeyDer::from_pem_slice(key).map_err(|e| wrong("the key", e))?;
+            CertificateDer::from_pem_slice(authority).map_err(|e| key_error("the authority", e))?;
+        let certificate = CertificateDer::from_pem_slice(certificate)
+            .map_err(|e| key_error("the certificate", e))?;
+        let key = PrivateKeyDer::from_pem_slice(key).map_err(|e| key_error("the key", e))?;
         Ok(Self { authority, certificate, key })
     }
 }
 
 fn read(path: &PathBuf) -> Result<Vec<u8>, Error> {
-    fs::read(path).map_err(|error| wrong(&path.display().to_string(), error))
+    fs::read(path).map_err(|error| key_error(&path.display().to_string(), error))
 }
 
-fn wrong(what: &str, error: impl ToString) -> Error {
+fn key_error(what: &str, error: impl ToString) -> Error {
     Error::Key { what: what.into(), reason: error.to_string() }
 }
--- a/crates/wire/tests/peers.rs
+++ b/crates/wire/tests/peers.rs
@@ -47,7 +47,7 @@
 }
 
 #[async_std::test]
-async fn peers_of_one_authority_talk() {
+async fn peers_of_one_authority_exchange_frames() {
     let authority = authority::create("test").unwrap();
     let (a, b) = (endpoint(&authority, "a"), endpoint(&authority, "b"));
     echo(b.clone());
@@ -61,7 +61,7 @@
 /// Somebody on the network asks an entry for the fleet's rows.  A peer without a certificate of
 /// the authority gets nothing, whichever end it is.
 #[async_std::test]
-async fn a_stranger_gets_nothing() {
+async fn a_peer_of_another_authority_is_refused() {
     let (ours, theirs) = (authority::create("test").unwrap(), authority::create("test").unwrap());
     let (inside, outside) = (endpoint(&ours, "a"), endpoint(&theirs, "b"));
     echo(inside.clone());
@@ -78,7 +78,7 @@
 
 /// Garbage on the port neither crashes the endpoint nor keeps the next peer out.
 #[async_std::test]
-async fn garbage_on_the_port_is_survived() {
+async fn garbage_datagrams_do_not_stop_the_endpoint() {
     let authority = authority::create("test").unwrap();
     let (a, b) = (endpoint(&authority, "a"), endpoint(&authority, "b"));
     echo(b.clone());
@@ -96,7 +96,7 @@
 
 #[test]
 fn another_version_is_refused_with_its_code() {
-    let mut header = [0; codec::HEADER];
+    let mut header = [0; codec::HEADER_LEN];
     header[0] = codec::VERSION + 1;
     let error = codec::body_length(header).unwrap_err();
     assert_eq!(error.code(), Code::WireVersion);
@@ -108,24 +108,24 @@
 fn bytes_left_over_are_malformed() {
     let mut bytes = codec::encode(&Frame::Rows { since: Revision(1) });
     bytes.push(0);
-    assert_matches!(codec::decode(&bytes[codec::HEADER..]), Err(Error::Malformed { .. }));
+    assert_matches!(codec::decode(&bytes[codec::HEADER_LEN..]), Err(Error::Malformed { .. }));
 }
 
 proptest! {
     #[test]
-    fn any_body_is_answered(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn any_body_is_decoded_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = codec::decode(&bytes);
     }
 
     #[test]
-    fn what_is_encoded_decodes(since in any::<u64>(), text in "\\PC{0,40}") {
+    fn frames_round_trip(since in any::<u64>(), text in "\\PC{0,40}") {
         let frames =
             [Frame::Rows { since: Revision(since) }, Frame::Refusal { code: Code::Ok, text }];
         for frame in frames {
             let bytes = codec::encode(&frame);
-            let length = codec::body_length(bytes[..codec::HEADER].try_into().unwrap()).unwrap();
-            prop_assert_eq!(length, bytes.len() - codec::HEADER);
-            prop_assert_eq!(codec::decode(&bytes[codec::HEADER..]).unwrap(), frame);
+            let length = codec::body_length(bytes[..codec::HEADER_LEN].try_into().unwrap()).unwrap();
+            prop_assert_eq!(length, bytes.len() - codec::HEADER_LEN);
+            prop_assert_eq!(codec::decode(&bytes[codec::HEADER_LEN..]).unwrap(), frame);
         }
     }
 }
--- a/src/commands/codes.rs
+++ b/src/commands/codes.rs
@@ -37,7 +37,7 @@
             "| {} | {code} | {} | {outcome} | {} |",
             meaning.number,
             meaning.status,
-            code.exit()
+            code.exit_code()
         );
     }
     text
--- a/src/error.rs
+++ b/src/error.rs
@@ -95,7 +95,7 @@
         use strum::VariantArray;
         let number = self.number();
         let code = Code::VARIANTS.iter().find(|code| code.number() == number);
-        code.map_or(1, |code| code.exit().max(1))
+        code.map_or(1, |code| code.exit_code().max(1))
     }
 
     /// Prints the error with everything that helps to mend its cause.
