--- a/crates/model/src/code.rs
+++ b/crates/model/src/code.rs
@@ -1,13 +1,13 @@
-//! The numbered result codes.  `docs/RESULT-CODES.md` is printed from this table.
+//! The numbered result codes.  `docs/RESULT-CODES.md` is generated from this table.
 //!
-//! 1xxx answers callers, 2xxx answers operators, 3xxx is about settings and configuration
-//! files, 4xxx is between entry instances and towards the platform.
+//! 1xxx are returned to callers and 2xxx to operators; 3xxx concern settings and configuration
+//! files, and 4xxx the traffic between entry instances and with the platform.
 
 use crate::request::Outcome;
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumString, VariantArray};
 
-/// A result, by its number.
+/// A result that a caller or an operator can see.
 #[derive(
     Clone,
     Copy,
@@ -58,13 +58,13 @@
     Stopping,
     /// Claims cannot be recorded because the platform does not answer.
     ClaimUnavailable,
-    /// The same key is still running.
+    /// An earlier request with the same key is still running.
     StillRunning,
     /// The same key was used for another request.
     KeyReused,
     /// The outcome of the keyed request is not known.
     OutcomeUnknown,
-    /// The minion's answer broke off or cannot be shown to be whole.
+    /// The minion's answer was cut off, or its completeness cannot be verified.
     AnswerBroken,
     /// The minion made no progress in time.
     MinionTimeout,
@@ -72,7 +72,7 @@
     MinionLost,
     /// The transfer coding is not supported.
     UnsupportedCoding,
-    /// The answer that was kept for this key cannot be read now.
+    /// The stored answer for this key cannot be read now.
     AnswerUnavailable,
     /// The team's name is malformed.
     BadTeam,
@@ -128,18 +128,18 @@
     WireMalformed,
     /// The peer cannot be reached.
     PeerUnreachable,
-    /// The peer refused.
+    /// The peer refused the exchange.
     PeerRefused,
 }
 
-/// What goes with a code: its number, HTTP status, the outcome told, and the process exit code.
+/// What a code stands for: its number, HTTP status and the outcome reported to the caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Meaning {
     /// The stable number.
     pub number: u16,
     /// The HTTP status it is sent with.
     pub status: u16,
-    /// What a caller is told about its request, where the code alone decides it.
+    /// The outcome reported to a caller, where the code alone determines it.
     pub outcome: Option<Outcome>,
 }
 
@@ -217,10 +217,10 @@
         self.meaning().number
     }
 
-    /// The exit code of the command line: the number's group, 0 when all went well.
+    /// The exit code of the command line: 0 on success, else the thousands digit of the number.
     ///
-    /// 2 for an operator's mistake or a refusal, 3 for a wrong file, 4 for a peer, and 5 where
-    /// the platform or every entry was out of reach, so that a script may try again.
+    /// 2 is an operator's error or a refusal, 3 an invalid file, 4 an error of a peer.  5 means
+    /// that the platform or every entry was unreachable, so that a script can retry.
     pub fn exit_code(self) -> u8 {
         match self {
             Code::Ok => 0,
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -1,4 +1,4 @@
-//! An operator's configuration: a template with parameters, expanded and checked as a whole.
+//! An operator's configuration: a template with parameters, expanded and validated as a whole.
 //!
 //! The template is an INI file in which `${name}` stands for a parameter; the parameters are
 //! the `[parameters]` section of a second INI file, one for each workspace.
@@ -16,10 +16,10 @@
 
 pub use template::expand;
 
-/// Longest deadline that a caller may ask for, and default of the ceiling.
+/// Longest deadline that a caller may request and that a service may be configured with.
 pub const MAX_DEADLINE: Span = Span::secs(3600);
 
-/// A ratio between nought and one.
+/// A ratio between 0 and 1.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Ratio(pub f64);
@@ -43,23 +43,23 @@
 pub struct Service {
     /// Its name.
     pub service: id::Service,
-    /// Minions its pool should have.
+    /// Number of minions that its pool should have.
     pub minions: u32,
-    /// Minions that must be in service at every moment: the availability budget.
+    /// Minimum number of minions in service at any time: the availability budget.
     pub floor: u32,
-    /// Requests a minion runs at one moment.
+    /// Requests that a minion runs concurrently.
     pub slots: Slots,
-    /// Connections a minion accepts.
+    /// Concurrent connections that a minion accepts.
     pub connections: u32,
-    /// Deadline of a request that names none.
+    /// Default deadline of a request.
     pub deadline: Span,
-    /// Longest silence of a minion while it works on a request.
+    /// Longest time without progress of a minion that works on a request.
     pub progress: Span,
-    /// Requests that may wait at one entry for each of its slots.
+    /// Requests that may be queued at one entry, per slot.
     pub queue_per_slot: u32,
-    /// Share of requests that may be sent again.
+    /// Share of requests that may be retried.
     pub retry_ratio: Ratio,
-    /// Share of the slots that patient work is sure to get while urgent work waits.
+    /// Share of the slots guaranteed to patient work while urgent work waits.
     pub patient_share: Ratio,
     /// Largest request body.
     pub body_limit: Bytes,
@@ -72,11 +72,11 @@
 pub struct Team {
     /// Its name.
     pub team: id::Team,
-    /// Processor time its running jobs may take together.
+    /// Limit on the processor time that its running jobs use in total.
     pub cpu: Millicores,
-    /// Accelerators its running jobs may take together.
+    /// Limit on the accelerators that its running jobs use in total.
     pub accelerators: u32,
-    /// Requests it may have in flight at one entry.
+    /// Limit on its requests in flight at one entry.
     pub requests: u32,
 }
 
@@ -89,13 +89,13 @@
     pub opens: u32,
     /// Minutes after midnight, UTC, at which it closes.
     pub closes: u32,
-    /// The services it is for; none means all.
+    /// The services it applies to; empty means all.
     pub services: Vec<id::Service>,
 }
 
 impl Window {
-    /// Whether it is open at a time of day, in minutes after midnight, UTC.  One that closes
-    /// before it opens goes over midnight.
+    /// Whether it is open at a time of day, in minutes after midnight, UTC.  A window that closes
+    /// before it opens spans midnight.
     pub fn is_open(&self, minute: u32) -> bool {
         if self.opens <= self.closes {
             (self.opens..self.closes).contains(&minute)
@@ -110,20 +110,20 @@
 pub struct Zone {
     /// Its name.
     pub zone: id::Zone,
-    /// The region it lies in.
+    /// The region it is in.
     pub region: String,
 }
 
-/// A whole configuration, checked.
+/// A complete, validated configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Document {
     /// The workspace's name.
     pub workspace: String,
-    /// What to favour: 0 the smallest buffer, 1 the shortest roll-out.
+    /// Trade-off of a roll-out: 0 favours the smallest buffer, 1 the shortest duration.
     pub rollout_weight: Ratio,
-    /// Time a minion is expected to be away for a reboot.
+    /// Expected time that a minion is unavailable for a reboot.
     pub reboot: Span,
-    /// How long a keyed request's answer is kept for repeats.
+    /// How long the answer to a request with an idempotency key is stored for repeats.
     pub claim_retention: Span,
     /// Availability zones.
     pub zones: BTreeMap<id::Zone, Zone>,
@@ -151,10 +151,10 @@
 }
 
 impl Document {
-    /// Reads a template with parameters.
+    /// Parses and validates a template with its parameters.
     ///
     /// # Errors
-    /// Every mistake of both files at once.
+    /// All mistakes of both files.
     pub fn read(template: &str, parameters: &str) -> Result<Self, Vec<Mistake>> {
         let (text, mut mistakes) = expand(template, parameters);
         let mut reader = Reader::new(&text);
@@ -164,7 +164,7 @@
     }
 }
 
-/// Sections that carry a name: `[service intake]`.
+/// Kinds of sections whose header includes a name, such as `[service intake]`.
 const NAMED_SECTIONS: [&str; 4] = ["zone", "service", "team", "window"];
 
 fn is_known_section(section: &str) -> bool {
@@ -201,7 +201,7 @@
     document
 }
 
-/// The name in a section's head, with a mistake noted where it is not an id.
+/// The id in a section's header; adds a mistake if it is not a valid id.
 fn section_id<T: FromStr>(reader: &mut Reader, section: &str, name: &str) -> Option<T>
 where
     T::Err: fmt::Display,
@@ -282,7 +282,7 @@
     document.windows.push(Window { name: name.trim().into(), opens, closes, services });
 }
 
-/// A time of day such as `22:30`, as minutes after midnight.
+/// Reads a time of day such as `22:30`, as minutes after midnight.
 fn time_of_day(reader: &mut Reader, section: &str, key: &str) -> u32 {
     let Some(text) = reader.required::<String>(section, key) else { return 0 };
     let number = |text: &str| text.parse::<u32>().ok();
--- a/crates/model/src/config/template.rs
+++ b/crates/model/src/config/template.rs
@@ -4,12 +4,12 @@
 use crate::ini::{Mistake, Reader};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The parameters' one section.
+/// The only section of the parameter file.
 const PARAMETERS_SECTION: &str = "parameters";
 
-/// Puts the parameters into the template.
+/// Replaces the parameters in the template by their values.
 ///
-/// Line numbers stay those of the template, because a value never contains a line end.
+/// Line numbers stay those of the template, because a value never contains a line break.
 pub fn expand(template: &str, parameters: &str) -> (String, Vec<Mistake>) {
     let mut reader = Reader::new(parameters);
     let mut values = BTreeMap::new();
@@ -52,7 +52,7 @@
             Some(value) => expanded.push_str(value),
             None => {
                 mistakes.push(missing_parameter(name.trim(), number, "the parameter has no value"));
-                // A digit keeps the rest of the check useful: most parameters are numbers.
+                // Most parameters are numbers, so a digit avoids follow-up mistakes.
                 expanded.push('1');
             }
         }
--- a/crates/model/src/event.rs
+++ b/crates/model/src/event.rs
@@ -1,4 +1,4 @@
-//! Typed events of the time line.
+//! Typed events of the timeline.
 
 use crate::code::Code;
 use crate::fleet::Progress;
@@ -8,50 +8,50 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Something that changed state.
+/// A change of state.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Kind {
-    /// The process serves.
+    /// The process serves requests.
     Started,
     /// A graceful stop has begun.
     Stopping,
-    /// The operator's change was accepted by the table.
+    /// An operator's change was committed to the table.
     ConfigAccepted {
-        /// The new number.
+        /// The new configuration number.
         number: Revision,
         /// The change.
         change: id::Change,
     },
-    /// This process acts by the configuration from now on.
+    /// This process applies the configuration from now on.
     ConfigInForce {
         /// Its number.
         number: Revision,
     },
-    /// Slots of a minion are handed out here from now on.
+    /// This process acquired the ownership of a minion's slots.
     SlotsTaken {
         /// The minion.
         minion: id::Minion,
-        /// Whether another owner was taken over.
+        /// Whether the ownership was taken over from an owner that had not released it.
         takeover: bool,
     },
-    /// Slots of a minion are no longer handed out here.
+    /// This process released the ownership of a minion's slots.
     SlotsGiven {
         /// The minion.
         minion: id::Minion,
     },
-    /// A minion gets no new work.
+    /// A drain was started: the minion gets no new work.
     DrainBegun {
         /// The minion.
         minion: id::Minion,
-        /// At this epoch.
+        /// Its epoch.
         epoch: Epoch,
     },
     /// The owner has confirmed that a minion holds no work.
     DrainDone {
         /// The minion.
         minion: id::Minion,
-        /// At this epoch.
+        /// Its epoch.
         epoch: Epoch,
     },
     /// A minion is back in service.
@@ -63,18 +63,18 @@
         /// The new epoch.
         epoch: Epoch,
     },
-    /// Requests refused since the last event of this code.
+    /// Requests refused since the last event with this code.
     Refused {
-        /// Why.
+        /// The reason.
         code: Code,
         /// How many.
         count: u64,
     },
-    /// A minion is set aside, or tried again.
+    /// A minion was ejected from routing, or gets requests again.
     Health {
         /// The minion.
         minion: id::Minion,
-        /// Whether it gets work.
+        /// Whether it gets requests.
         healthy: bool,
     },
     /// A wave changed its progress.
@@ -91,18 +91,18 @@
         /// The stage now.
         stage: Stage,
     },
-    /// A duty is carried here from now on.
+    /// This process acquired the lease of a duty.
     LeaseTaken {
         /// The duty.
         duty: String,
         /// The fencing token.
         token: Token,
     },
-    /// A duty is no longer carried here.
+    /// This process no longer holds the lease of a duty.
     LeaseLost {
         /// The duty.
         duty: String,
-        /// The fencing token that ended.
+        /// The fencing token of the lease that ended.
         token: Token,
     },
     /// The platform stopped or started answering.
@@ -119,37 +119,37 @@
     },
 }
 
-/// A position in causal order: higher than that of every event known to have come before.
+/// A position in causal order: higher than that of every event known to have happened before.
 ///
-/// A Lamport clock whose upper part is the table's own order.  All that is agreed goes through
-/// the table, so whoever acts by a revision has seen it and stands above its statement.  The two
-/// parts are separate because a process may see its own transaction through the feed, and act by
-/// it, before the answer to the transaction arrives: with one number, what it notes then pushes
-/// the statement behind its own effects, and so do local events that raise the number beyond the
-/// table's.
+/// A Lamport clock whose upper part is the table's revision.  All agreements go through the
+/// table, so the events of a process that acts on a revision are ordered after its commit.  The
+/// two parts are separate because a process may see its own transaction through the feed, and
+/// act on it, before the reply to the transaction arrives.  With one number, events recorded
+/// meanwhile would order the commit after its own effects, and so would local events that raise
+/// the number beyond the table's.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Clock {
-    /// The newest revision of the table that was known.
+    /// The newest known revision of the table.
     #[serde(rename = "clock")]
     pub revision: Revision,
-    /// Events since; nought for the statement of the revision itself.
+    /// Number of events since; 0 for the commit of the revision itself.
     #[serde(default)]
     pub count: u64,
 }
 
 impl Clock {
-    /// The position of what a committed revision states.
+    /// The position of the commit of a revision.
     pub fn at_revision(revision: Revision) -> Self {
         Self { revision, count: 0 }
     }
 
-    /// Moves on for an event of this process, and returns its position.
+    /// Advances for an event of this process and returns its position.
     pub fn advance(&mut self) -> Self {
         self.count += 1;
         *self
     }
 
-    /// Rises to a position that was heard of.
+    /// Advances to a position received from another process, if that is higher.
     pub fn witness(&mut self, other: Self) {
         *self = (*self).max(other);
     }
@@ -161,7 +161,7 @@
     }
 }
 
-/// An event with its place in time and causal order.
+/// An event with its time and its position in causal order.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Event {
     /// The process it happened in.
@@ -169,7 +169,8 @@
     /// Its position in causal order.
     #[serde(flatten)]
     pub clock: Clock,
-    /// Milliseconds since the Unix epoch by the process's own clock; for people only.
+    /// Milliseconds since the Unix epoch by the process's own clock.  Informational: clocks of
+    /// processes differ.
     pub at: u64,
     /// What happened.
     #[serde(flatten)]
@@ -193,7 +194,7 @@
     }
 }
 
-/// Puts the events of several processes into one order that never contradicts causality.
+/// Sorts the events of several processes into one order consistent with causality.
 pub fn merge(mut events: Vec<Event>) -> Vec<Event> {
     events.sort_by(|a, b| (a.clock, a.at, &a.process).cmp(&(b.clock, b.at, &b.process)));
     events
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The rows that describe entries, minions, slots, leases and waves.
 //!
-//! Each row lives in the platform's table under the key that its `key` function gives; the
-//! view that every entry holds is made of these rows.
+//! Each row is stored in the platform's table under the key that [`key`] returns; the view of
+//! every entry consists of these rows.
 
 use crate::id;
 use crate::unit::{Epoch, Revision, Span, Token};
@@ -11,24 +11,25 @@
 use std::net::SocketAddr;
 use strum::{Display, EnumString, VariantArray};
 
-/// A row that lives under a key of the table.
+/// A row that is stored under a key of the table.
 pub trait Row: Serialize + for<'de> Deserialize<'de> {
-    /// What its keys start with, slash included.
+    /// Prefix of its keys, including the slash.
     const PREFIX: &'static str;
 }
 
-/// An entry instance that may route: written before it routes, removed when it no longer can.
+/// An entry instance that may route requests: written before it starts to route, removed when
+/// it no longer can.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Registration {
     /// The entry.
     pub entry: id::Entry,
     /// Its availability zone.
     pub zone: id::Zone,
-    /// Where its peers reach it (QUIC over UDP).
+    /// Its address for peers (QUIC over UDP).
     pub peer_address: SocketAddr,
-    /// Where operators reach it (HTTP).
+    /// Its address for operators (HTTP).
     pub operator_address: SocketAddr,
-    /// Set while it stops gracefully: it takes no new work.
+    /// Set during its graceful stop: it accepts no new work.
     pub stopping: bool,
 }
 
@@ -36,7 +37,7 @@
     const PREFIX: &'static str = "entry/";
 }
 
-/// Where a minion stands.
+/// The state of a minion.
 #[derive(
     Clone,
     Copy,
@@ -53,11 +54,11 @@
 #[strum(serialize_all = "lowercase")]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Serves its pool.
+    /// Serves requests of its pool.
     Active,
-    /// Gets no new work; its work in flight is finished.
+    /// Gets no new work and finishes the work in flight.
     Draining,
-    /// Holds no work and is being rebooted by the platform.
+    /// Has no work and is being rebooted by the platform.
     Rebooting,
 }
 
@@ -70,7 +71,7 @@
     pub target: id::Service,
 }
 
-/// A minion: the only statement of which pool it belongs to.
+/// A minion.  This row alone determines which pool it belongs to.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Minion {
     /// The minion.
@@ -79,17 +80,17 @@
     pub pool: id::Service,
     /// Its state.
     pub state: State,
-    /// Grows by one whenever it returns to service, so that older grants are recognized.
+    /// Incremented whenever it returns to service, so that grants of an earlier epoch are detected.
     pub epoch: Epoch,
     /// Its availability zone.
     pub zone: id::Zone,
     /// Its rack.
     pub rack: id::Rack,
-    /// Where it serves HTTP.
+    /// Its HTTP address.
     pub address: SocketAddr,
-    /// What it is drained for, while it is not active.
+    /// Why it is drained, while it is not active.
     pub errand: Option<Errand>,
-    /// The platform's boot count when it was drained; a higher one proves a reboot.
+    /// The platform's boot count of it when it was drained; a higher count proves a reboot.
     pub boot: u64,
 }
 
@@ -97,20 +98,21 @@
     const PREFIX: &'static str = "minion/";
 }
 
-/// Which entry hands out a minion's slots.
+/// Which entry grants a minion's slots.
 ///
-/// Exactly one entry owns a minion's slots at a time, by conditional writes of this row, so
-/// that urgency is decided in one place and the minion is never asked for more than it has.
+/// Conditional writes of this row ensure that exactly one entry owns a minion's slots at a time,
+/// so that priorities are decided in one place and the minion is never oversubscribed.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Ownership {
     /// The minion.
     pub minion: id::Minion,
-    /// The owner; none once it has been handed back.
+    /// The owner; none once the ownership is released.
     pub owner: Option<id::Entry>,
-    /// Former owners that were taken over without handing back.  Work of theirs may still be
-    /// in flight, so a drain is not complete before each is gone or has confirmed.
+    /// Former owners that did not release the ownership before the takeover.  Work of theirs may
+    /// still be in flight, so a drain is complete only when each is gone or has confirmed that
+    /// none is left.
     pub former: SmallVec<[id::Entry; 2]>,
-    /// The epoch at which the owner confirmed that no work is on the minion.
+    /// The epoch for which the owner confirmed that the minion has no work.
     pub idle_at: Option<Epoch>,
 }
 
@@ -118,14 +120,15 @@
     const PREFIX: &'static str = "slots/";
 }
 
-/// A duty that one entry carries at a time.
+/// The lease of a duty, a role that one entry has at a time.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The holder; none when given back.
+    /// The holder; none when released.
     pub holder: Option<id::Entry>,
-    /// Grows with every new holder; every write under the lease is conditional on it.
+    /// Incremented with every new holder; every write under the lease is conditional on it.
     pub token: Token,
-    /// Counted up by the holder; observers judge it by their own monotonic clocks.
+    /// Heartbeat counter, incremented by the holder.  Observers measure the time since its last
+    /// change with their own monotonic clocks.
     pub beat: u64,
 }
 
@@ -133,7 +136,7 @@
     const PREFIX: &'static str = "lease/";
 }
 
-/// How far a wave has come.
+/// The progress of a wave.
 #[derive(
     Clone,
     Copy,
@@ -152,11 +155,11 @@
 pub enum Progress {
     /// Instances are being maintained.
     Running,
-    /// Waits because a service is at its floor.
+    /// Waiting because a service is at its floor.
     Paused,
-    /// Cancelled; instances already out are returned to service.
+    /// Cancelled; instances already taken out are returned to service.
     Cancelled,
-    /// Every instance was maintained.
+    /// All instances were maintained.
     Done,
 }
 
@@ -169,23 +172,23 @@
     pub author: String,
     /// Its progress.
     pub progress: Progress,
-    /// What is still to be maintained.
+    /// The minions still to be maintained.
     pub remaining: Vec<id::Minion>,
-    /// What has been maintained.
+    /// The minions already maintained.
     pub done: Vec<id::Minion>,
     /// Milliseconds since the Unix epoch at which it was declared.
     pub declared_at: u64,
-    /// Milliseconds since the Unix epoch before which nothing is taken out.
+    /// Milliseconds since the Unix epoch before which no instance is taken out.
     #[serde(default)]
     pub starts_at: u64,
-    /// The maintenance window in which instances are taken out; any time without one.
+    /// The maintenance window in which instances are taken out; none means at any time.
     #[serde(default)]
     pub window: Option<String>,
     /// Milliseconds since the Unix epoch by which it must finish.
     pub deadline: Option<u64>,
-    /// The forecast told at declaration.
+    /// The duration forecast at declaration.
     pub forecast: Span,
-    /// Why it waits, for operators; empty while it moves.
+    /// Why it waits, for operators; empty while it makes progress.
     pub waiting_for: String,
 }
 
@@ -196,9 +199,9 @@
 /// The configuration in the table.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// Counted up by one with each accepted change.
+    /// Incremented with each accepted change.
     pub number: Revision,
-    /// The change that made it; the same id again is the same change.
+    /// The id of the change that created it; a repeated id is the same change.
     pub change: id::Change,
     /// Who applied it.
     pub author: String,
@@ -215,13 +218,13 @@
 /// The key of the configuration in force.
 pub const CONFIG_KEY: &str = "config/current";
 
-/// Minions of a service that are out by intent, counted in the transaction that takes them out.
+/// Minions of a service that are out deliberately, updated in the transaction that takes them out.
 ///
-/// Every drain of a service conditionally rewrites this one row, so two drivers, two waves or a
-/// wave and a move can never both take the last permitted instance.
+/// Every drain in a service conditionally writes this row, so two drivers, two waves or a wave
+/// and a move can never both take the last permitted instance.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Disruption {
-    /// The minions out by intent, with what took them out.
+    /// The minions that are out deliberately, with what took them out.
     pub out: BTreeMap<id::Minion, String>,
 }
 
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -1,4 +1,5 @@
-//! Ids of the things in the world.  All are short, lower-case and safe in a path.
+//! Ids of entries, minions, services, jobs and so on.  All are short, lower-case and safe in a
+//! path.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -9,7 +10,7 @@
 /// The longest id, in bytes.
 pub const MAX_LEN: usize = 64;
 
-/// Why a text is not an id.
+/// A text that is not a valid id.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display(
     "{text:?} is not an id: 1 to {MAX_LEN} of a-z, 0-9, '-', '.', '_', starting with a letter or digit"
@@ -74,7 +75,7 @@
 }
 
 ids! {
-    /// An entry instance: one `celerythreadd` process's life, never reused after a restart.
+    /// An entry instance: one run of a `celerythreadd` process, never reused after a restart.
     Entry;
     /// A minion: an instance behind a service.
     Minion;
@@ -92,8 +93,8 @@
     Worker;
     /// A maintenance wave.
     Wave;
-    /// A change that an operator asked for; the same id is the same change.
+    /// A change requested by an operator; a repeated id is the same change.
     Change;
-    /// One attempt at a keyed request or at a job.
+    /// One attempt at a request with an idempotency key or at a job.
     Attempt;
 }
--- a/crates/model/src/ini.rs
+++ b/crates/model/src/ini.rs
@@ -1,4 +1,4 @@
-//! INI files read with every mistake noted at once, each with its place and code.
+//! Reading of INI files that reports all mistakes together, each with its location and code.
 
 use crate::code::Code;
 use ini::Ini;
@@ -7,18 +7,18 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// One mistake in a file.
+/// A mistake in a file.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Mistake {
-    /// What kind of mistake.
+    /// The kind of mistake.
     pub code: Code,
     /// The section, without brackets.
     pub section: String,
-    /// The key, empty where the section itself is wrong.
+    /// The key; empty if the mistake concerns the section itself.
     pub key: String,
-    /// The line, counted from 1; 0 where something is missing.
+    /// The line, counted from 1; 0 if the section or key is missing.
     pub line: usize,
-    /// What is wrong and what would be right.
+    /// What is wrong and what is expected.
     pub text: String,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// A read file that collects mistakes while its values are taken out.
+/// A parsed file that collects mistakes while its values are read.
 pub struct Reader {
     ini: Ini,
     lines: Vec<(usize, String, String)>,
@@ -44,7 +44,7 @@
 }
 
 impl Reader {
-    /// Parses `text`.  A text that is not INI at all leaves an empty file and one mistake.
+    /// Parses `text`.  A text that is not INI results in an empty file and one mistake.
     pub fn new(text: &str) -> Self {
         let mut mistakes = Vec::new();
         let ini = Ini::load_from_str_noescape(text).unwrap_or_else(|error| {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The named sections, in order, each once.
+    /// The names of the sections, in order and without duplicates.
     pub fn sections(&self) -> Vec<String> {
         let mut names: Vec<String> = Vec::new();
         for name in self.ini.sections().flatten() {
@@ -88,7 +88,7 @@
         names
     }
 
-    /// The raw text of a key; the key counts as known from then on.
+    /// The trimmed text of a key.  Marks the key as known for [`Reader::finish`].
     pub fn text(&mut self, section: &str, key: &str) -> Option<String> {
         self.known_keys.insert((section.into(), key.into()));
         self.ini.section(Some(section))?.get(key).map(|value| value.trim().into())
@@ -102,7 +102,7 @@
         self.optional(section, key).unwrap_or(default)
     }
 
-    /// A value that may be missing.
+    /// An optional value.
     pub fn optional<T: FromStr>(&mut self, section: &str, key: &str) -> Option<T>
     where
         T::Err: fmt::Display,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A value that must be given.
+    /// A mandatory value; adds a mistake if it is missing.
     pub fn required<T: FromStr>(&mut self, section: &str, key: &str) -> Option<T>
     where
         T::Err: fmt::Display,
@@ -145,7 +145,7 @@
         values
     }
 
-    /// A value with a default that must lie between two bounds, both included.
+    /// A value with a default; adds a mistake if it is not between `low` and `high` (inclusive).
     pub fn ranged<T>(&mut self, section: &str, key: &str, default: T, low: T, high: T) -> T
     where
         T: FromStr + PartialOrd + fmt::Display,
@@ -159,7 +159,7 @@
         value
     }
 
-    /// Notes a mistake at a key.
+    /// Adds a mistake at a key.
     pub fn add_mistake(&mut self, code: Code, section: &str, key: &str, text: String) {
         let line = self.line(section, key);
         self.mistakes.push(Mistake { code, section: section.into(), key: key.into(), line, text });
@@ -170,10 +170,11 @@
         found.map_or(0, |(line, _, _)| *line)
     }
 
-    /// Reads a whole file of these sections: what `take` made of it, if there is no mistake.
+    /// Parses `text`, reads it with `read` and returns the result if there is no mistake.  Only
+    /// the sections in `sections` are known.
     ///
     /// # Errors
-    /// Every mistake at once.
+    /// All mistakes.
     pub fn read_whole<T>(
         text: &str,
         sections: &[&str],
@@ -185,7 +186,8 @@
         if mistakes.is_empty() { Ok(value) } else { Err(mistakes) }
     }
 
-    /// Ends the reading: whatever was never asked for is unknown.
+    /// Returns all mistakes by line.  Sections that aren't known and keys that were never read are
+    /// mistakes, too.
     pub fn finish(mut self, known_section: impl Fn(&str) -> bool) -> Vec<Mistake> {
         let mut unknown = Vec::new();
         for (line, section, key) in &self.lines {
@@ -217,7 +219,7 @@
     }
 }
 
-/// The place of each section head (with an empty key) and of each key.
+/// The line, section and key of each section header (with an empty key) and of each key.
 fn index_lines(text: &str) -> Vec<(usize, String, String)> {
     let mut places = Vec::new();
     let mut section = String::new();
--- a/crates/model/src/job.rs
+++ b/crates/model/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs, what they need, and the workers that run them.
+//! Jobs, their resource needs, and the workers that run them.
 
 use crate::fleet::Row;
 use crate::id;
@@ -8,7 +8,7 @@
 use std::ops::{Add, AddAssign, SubAssign};
 use strum::{Display, EnumString, VariantArray};
 
-/// What a job needs, or a worker has.
+/// Resources that a job needs or a worker has.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Size {
     /// Processor time.
@@ -27,7 +27,7 @@
             && self.accelerators <= capacity.accelerators
     }
 
-    /// What is left of this after `other`, never below nought.
+    /// The difference of this and `other`, each dimension at least 0.
     pub fn minus(&self, other: &Size) -> Size {
         Size {
             cpu: Millicores(self.cpu.0.saturating_sub(other.cpu.0)),
@@ -61,7 +61,7 @@
     }
 }
 
-/// Where a job stands.
+/// The stage of a job.
 #[derive(
     Clone,
     Debug,
@@ -78,62 +78,62 @@
 #[strum(serialize_all = "lowercase")]
 #[serde(rename_all = "lowercase")]
 pub enum Stage {
-    /// Waits for a worker.
+    /// Waiting for a worker.
     Queued,
-    /// Runs on a worker.
+    /// Running on a worker.
     Running,
-    /// Put aside with a checkpoint, waits for a worker.
+    /// Suspended with a checkpoint, waiting for a worker.
     Suspended,
     /// Finished.
     Done,
-    /// Failed for good.
+    /// Failed permanently.
     Failed,
     /// Cancelled.
     Cancelled,
-    /// A non-idempotent attempt whose outcome nobody can tell; an operator decides.
+    /// The outcome of a non-idempotent attempt cannot be determined; an operator decides.
     Unknown,
 }
 
 impl Stage {
-    /// Whether nothing more happens to the job.
+    /// Whether the stage is terminal.
     pub fn is_final(self) -> bool {
         matches!(self, Stage::Done | Stage::Failed | Stage::Cancelled | Stage::Unknown)
     }
 }
 
-/// What an operator or a team submits.
+/// A job as submitted by an operator or a team.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Spec {
     /// The job.
     pub job: id::Job,
-    /// Whose quota it counts against.
+    /// The team whose quota it counts against.
     pub team: id::Team,
     /// Urgent or patient.
     pub class: Class,
     /// Whether an attempt may be repeated.
     pub idempotence: Idempotence,
-    /// The declared size, often far off.
+    /// The declared size, often inaccurate.
     pub size: Size,
-    /// The declared run time, often far off.
+    /// The declared run time, often inaccurate.
     pub duration: Span,
-    /// The kind of work, by which sizes are learnt.
+    /// The kind of work, by which actual sizes are learnt.
     pub kind: String,
 }
 
-/// A job and its present attempt.
+/// A job and its current attempt.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Job {
     /// What was submitted.
     pub spec: Spec,
-    /// Where it stands.
+    /// Its stage.
     pub stage: Stage,
-    /// The worker of the present attempt.
+    /// The worker of the current attempt.
     pub worker: Option<id::Worker>,
-    /// Attempts so far; the worker is told it and refuses lower ones.
+    /// Number of attempts so far; sent to the worker, which refuses lower numbers.
     pub attempts: u32,
     /// The fencing token of the placer that started the attempt.
     pub token: Token,
-    /// The worker's boot count that the attempt was ordered for.
+    /// The worker's boot count for which the attempt was ordered.
     pub boot: u64,
     /// Why it failed or waits.
     pub reason: String,
@@ -145,7 +145,7 @@
     const PREFIX: &'static str = "job/";
 }
 
-/// A worker as the platform's list shows it.
+/// A worker as listed by the platform.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
     /// The worker.
@@ -154,6 +154,6 @@
     pub zone: id::Zone,
     /// Its rack.
     pub rack: id::Rack,
-    /// What it has in all.
+    /// Its total resources.
     pub size: Size,
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,10 +1,10 @@
-//! The vocabulary of celerythread: ids, units, states, table rows and result codes.
+//! The data model of celerythread: ids, units, states, table rows and result codes.
 //!
 //! Nothing here performs input or output, reads a clock or starts a task, so every other
-//! crate can share these types.  [`config`] reads an operator's template and parameters into
-//! a checked [`config::Document`]; [`fleet`] and [`job`] are the rows kept in the platform's
-//! table; [`event`] is what each process notes on its time line; [`code`] numbers every
-//! result that a caller or an operator can see.
+//! crate can share these types.  [`config`] parses an operator's template and parameters into
+//! a validated [`config::Document`]; [`fleet`] and [`job`] are the rows stored in the platform's
+//! table; [`event`] has the events that each process records on its timeline; [`code`] numbers
+//! every result that a caller or an operator can see.
 
 pub mod code;
 pub mod config;
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, and what it can be told became of it.
+//! The class, idempotence and outcome of a caller's request.
 
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumString, IntoStaticStr, VariantArray};
@@ -31,7 +31,7 @@
     Patient,
 }
 
-/// What is certain about a request that got no answer from a minion.
+/// What is known about a request that got no answer from a minion.
 #[derive(
     Clone,
     Copy,
@@ -51,19 +51,19 @@
 pub enum Outcome {
     /// A minion ran it.
     Run,
-    /// No minion has run it, nor will.
+    /// No minion has run it or will run it.
     NotRun,
     /// A minion may have run it.
     Unknown,
 }
 
-/// Whether running a request twice does the same as running it once.
+/// Whether running a request twice has the same effect as running it once.
 #[derive(
     Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize, Display, VariantArray,
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum Idempotence {
-    /// May be sent again.
+    /// May be retried.
     Idempotent,
     /// Must run at most once.
     NonIdempotent,
--- a/crates/model/src/unit.rs
+++ b/crates/model/src/unit.rs
@@ -1,4 +1,4 @@
-//! Counts, sizes and times as types of their own, each written and read as text.
+//! Types for counts, sizes and times, each with a text form.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -6,7 +6,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Why a text is not a quantity.
+/// A text that is not a valid quantity.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display("{text:?} is not {expected}"))]
 pub struct Error {
@@ -48,15 +48,15 @@
 }
 
 counts! {
-    /// The table's revision of a row: grows with every committed transaction.
+    /// A revision of the table: increases with every committed transaction.
     Revision(u64);
-    /// How often an instance has changed pools; fences stale holders.
+    /// Incremented whenever an instance returns to service; fences stale holders.
     Epoch(u64);
-    /// A lease's fencing token: grows with every change of holder.
+    /// A lease's fencing token: increases with every change of holder.
     Token(u64);
-    /// Requests that a minion can run at one moment.
+    /// Requests that a minion can run concurrently.
     Slots(u32);
-    /// Processor cores, in thousandths.
+    /// Processor time in thousandths of a core.
     Millicores(u32);
     /// Accelerators.
     Accelerators(u32);
@@ -82,7 +82,7 @@
         self.0 as usize
     }
 
-    /// Whether the size is nought.
+    /// Whether the size is 0.
     pub fn is_empty(self) -> bool {
         self.0 == 0
     }
@@ -116,7 +116,7 @@
     }
 }
 
-/// A span of time, written `250ms`, `5s`, `10m` or `2h`.
+/// A duration, written `250ms`, `5s`, `10m` or `2h`.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
--- a/crates/sync/src/lib.rs
+++ b/crates/sync/src/lib.rs
@@ -1,10 +1,10 @@
-//! What tasks of the daemons wake and wait with: [`Wake`], a signal that isn't lost when nobody
-//! waits for it yet and counts once however often it is given.
+//! [`Wake`], the notification between tasks of the daemons.  It isn't lost if no task waits for it
+//! yet, and several notifications before a wait count as one.
 
 use async_std::channel::{self, Receiver, Sender};
 use std::time::Duration;
 
-/// Wakes a loop before its next turn.
+/// Wakes a periodic task before its next iteration is due.
 pub struct Wake {
     sender: Sender<()>,
     receiver: Receiver<()>,
@@ -18,13 +18,13 @@
 }
 
 impl Wake {
-    /// Wakes; several calls before the next turn count as one.
+    /// Wakes the waiting task; several calls before its next wait count as one.
     pub fn wake(&self) {
-        // Full means that a wake-up is waiting already.
+        // A full channel means that a wake-up is already pending.
         let _ = self.sender.try_send(());
     }
 
-    /// Waits for a call, at most for `max_wait`.
+    /// Waits for a call of [`Wake::wake`], at most for `max_wait`.
     pub async fn wait(&self, max_wait: Duration) {
         let _ = async_std::future::timeout(max_wait, self.receiver.recv()).await;
     }
--- a/crates/wire/src/authority.rs
+++ b/crates/wire/src/authority.rs
@@ -6,11 +6,11 @@
     KeyUsagePurpose,
 };
 
-/// The name in every instance's certificate: peers are addressed by number and trusted by the
-/// authority, so they share one.
+/// The server name in every instance's certificate.  Peers are addressed by IP address and
+/// trusted by the authority's signature, so they share one name.
 pub const SERVER_NAME: &str = "entry.celerythread";
 
-/// A certificate and its key as PEM texts.
+/// A certificate and its private key as PEM texts.
 #[derive(Clone, Debug)]
 pub struct Pair {
     /// The certificate.
@@ -19,10 +19,10 @@
     pub key: String,
 }
 
-/// Makes a new authority.
+/// Creates a new authority with a self-signed certificate.
 ///
 /// # Errors
-/// `Key` when the key cannot be made.
+/// `Key` if the key or certificate cannot be generated.
 pub fn create(workspace: &str) -> Result<Pair, Error> {
     let mut params = CertificateParams::default();
     params.distinguished_name.push(DnType::CommonName, format!("{workspace} entry authority"));
@@ -33,10 +33,10 @@
     Ok(Pair { certificate: certificate.pem(), key: key.serialize_pem() })
 }
 
-/// Makes a key and certificate for an instance, signed by the authority.
+/// Creates a key and certificate for an instance, signed by the authority.
 ///
 /// # Errors
-/// `Key` when the authority's texts cannot be used.
+/// `Key` if the authority's PEM texts cannot be used.
 pub fn issue(authority: &Pair, instance: &str) -> Result<Pair, Error> {
     let authority_key = KeyPair::from_pem(&authority.key).map_err(key_error)?;
     let issuer =
--- a/crates/wire/src/channel.rs
+++ b/crates/wire/src/channel.rs
@@ -6,7 +6,7 @@
 use crate::frame::Frame;
 use quinn::{RecvStream, SendStream};
 
-/// One exchange.
+/// One exchange with a peer.
 pub struct Channel {
     send: SendStream,
     receive: RecvStream,
@@ -20,21 +20,22 @@
     /// Sends a frame.
     ///
     /// # Errors
-    /// `Unreachable` when the connection is gone.
+    /// `Unreachable` if the connection is lost.
     pub async fn send(&mut self, frame: &Frame) -> Result<(), Error> {
         self.send.write_all(&codec::encode(frame)).await.map_err(unreachable)
     }
 
-    /// Says that nothing more will be sent.
+    /// Ends the sending direction of the stream.
     pub fn finish(&mut self) {
-        // Only fails when the stream was reset already, which is as final.
+        // Fails only if the stream is already closed, which has the same effect.
         let _ = self.send.finish();
     }
 
-    /// Receives a frame; a refusal comes back as an error.
+    /// Receives a frame; a refusal is returned as an error.
     ///
     /// # Errors
-    /// `Closed` at the end of the exchange, `Unreachable`, `Version`, `Malformed`, `Refused`.
+    /// `Closed` if the peer ended the exchange, `Unreachable` if the connection is lost, `Version`
+    /// or `Malformed` if the frame cannot be decoded, `Refused` if the peer refused.
     pub async fn receive(&mut self) -> Result<Frame, Error> {
         let mut header = [0; codec::HEADER_LEN];
         self.read(&mut header).await?;
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,16 +1,16 @@
-//! Frames as bytes: one byte of version, four of length, then `postcard`.
+//! Encoding of frames: a version byte, a 4-byte big-endian length, then a `postcard` body.
 
 use crate::Error;
 use crate::error;
 use crate::frame::Frame;
 
-/// The version of the protocol.  A change that an older peer would misread raises it.
+/// The protocol version, incremented with every change that an older peer would misread.
 pub const VERSION: u8 = 1;
 
-/// Bytes before the body.
+/// Length of the header, in bytes.
 pub const HEADER_LEN: usize = 5;
 
-/// Largest body.
+/// Maximum length of a body, in bytes.
 pub const MAX_BODY_LEN: usize = 4 << 20;
 
 /// Encodes a frame with its header.
@@ -23,10 +23,10 @@
     bytes
 }
 
-/// The length of the body behind a header.
+/// The length in bytes of the body that follows a header.
 ///
 /// # Errors
-/// `Version` for another version, `Malformed` for a length over the limit.
+/// `Version` for another protocol version, `Malformed` for a length over the limit.
 pub fn body_length(header: [u8; HEADER_LEN]) -> Result<usize, Error> {
     let [version, length @ ..] = header;
     if version != VERSION {
@@ -34,7 +34,7 @@
     }
     let length = u32::from_be_bytes(length) as usize;
     if length > MAX_BODY_LEN {
-        let reason = format!("{length} bytes are more than {MAX_BODY_LEN}");
+        let reason = format!("body of {length} bytes is more than the limit of {MAX_BODY_LEN}");
         return error::MalformedSnafu { reason }.fail();
     }
     Ok(length)
@@ -43,11 +43,11 @@
 /// Decodes a body.
 ///
 /// # Errors
-/// `Malformed`, also when bytes are left over.
+/// `Malformed` if it is not a frame or has trailing bytes.
 pub fn decode(body: &[u8]) -> Result<Frame, Error> {
     match postcard::take_from_bytes(body) {
         Ok((frame, [])) => Ok(frame),
-        Ok(_) => error::MalformedSnafu { reason: "bytes left over" }.fail(),
+        Ok(_) => error::MalformedSnafu { reason: "bytes left over after the frame" }.fail(),
         Err(error) => error::MalformedSnafu { reason: error.to_string() }.fail(),
     }
 }
--- a/crates/wire/src/endpoint.rs
+++ b/crates/wire/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Listening for peers and dialling them.
+//! QUIC endpoint that accepts links from peers and dials them.
 
 use crate::authority::SERVER_NAME;
 use crate::channel::Channel;
@@ -12,17 +12,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Protocol name in the TLS handshake.
+/// Protocol name (ALPN) in the TLS handshake.
 const ALPN: &[u8] = b"celerythread/1";
 
-/// How a link is kept and given up.
+/// Timeouts and limits of links.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Silence after which a link counts as gone.
+    /// Time without a packet after which a link is considered lost.
     pub idle_timeout: Duration,
-    /// How often an otherwise quiet link is proved alive.
+    /// Interval of keep-alive packets on an idle link.
     pub keep_alive_interval: Duration,
-    /// Exchanges that a peer may have open at once.
+    /// Maximum number of exchanges that a peer may have open at once.
     pub max_exchanges: u32,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A socket that peers dial.
+/// A socket that accepts links from peers and dials them.
 pub struct Endpoint {
     inner: quinn::Endpoint,
     client: ClientConfig,
@@ -46,7 +46,7 @@
 #[derive(Clone)]
 pub struct Link {
     connection: quinn::Connection,
-    /// A dialled link owns its socket; dropping it closes that.
+    /// The socket of a dialled link; dropping it closes the socket.
     _socket: Option<quinn::Endpoint>,
 }
 
@@ -54,7 +54,7 @@
     /// Listens at `address`.
     ///
     /// # Errors
-    /// `Key` when the identity cannot be used, `Unreachable` when the address cannot be bound.
+    /// `Key` if the identity cannot be used, `Unreachable` if the address cannot be bound.
     pub fn bind(
         address: SocketAddr,
         identity: &Identity,
@@ -70,18 +70,19 @@
     /// The address it listens at.
     ///
     /// # Errors
-    /// `Unreachable` when the socket is gone.
+    /// `Unreachable` if the socket is closed.
     pub fn local_address(&self) -> Result<SocketAddr, Error> {
         self.inner.local_addr().map_err(unreachable)
     }
 
-    /// Dials a peer from a socket of its own.
+    /// Dials a peer from a new socket.
     ///
-    /// Something between two instances can lose track of a flow for good while new ones work;
-    /// a new socket is a new flow, so dialling again always gets past that.
+    /// A middlebox between two instances can drop a flow permanently while new flows work.  A new
+    /// socket is a new flow, so dialling again recovers from that.
     ///
     /// # Errors
-    /// `Unreachable`, also when the peer's certificate is not of our authority.
+    /// `Unreachable` if the peer does not answer or its certificate is not signed by the
+    /// authority.
     pub async fn dial(&self, address: SocketAddr) -> Result<Link, Error> {
         let any: IpAddr = match address {
             SocketAddr::V4(_) => Ipv4Addr::UNSPECIFIED.into(),
@@ -94,7 +95,7 @@
         Ok(Link { connection, _socket: Some(socket) })
     }
 
-    /// The next peer that dialled and proved itself; none once the endpoint is closed.
+    /// Accepts the next link of an authenticated peer; none once the endpoint is closed.
     pub async fn accept(&self) -> Option<Result<Link, Error>> {
         let incoming = self.inner.accept().await?;
         Some(match incoming.await {
@@ -113,20 +114,20 @@
     /// Opens an exchange.
     ///
     /// # Errors
-    /// `Unreachable` when the link is gone.
+    /// `Unreachable` if the link is lost.
     pub async fn open(&self) -> Result<Channel, Error> {
         self.connection.open_bi().await.map(Channel::new).map_err(unreachable)
     }
 
-    /// The next exchange that the peer opens.
+    /// Accepts the next exchange that the peer opens.
     ///
     /// # Errors
-    /// `Unreachable` when the link is gone.
+    /// `Unreachable` if the link is lost.
     pub async fn accept(&self) -> Result<Channel, Error> {
         self.connection.accept_bi().await.map(Channel::new).map_err(unreachable)
     }
 
-    /// Whether the link is gone.
+    /// Whether the link is closed or lost.
     pub fn is_closed(&self) -> bool {
         self.connection.close_reason().is_some()
     }
@@ -137,7 +138,7 @@
         (stats.udp_tx.bytes, stats.udp_rx.bytes)
     }
 
-    /// Gives the link up.
+    /// Closes the link.
     pub fn close(&self) {
         self.connection.close(VarInt::from_u32(0), b"given up");
     }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,19 +1,19 @@
-//! How an exchange with a peer fails.
+//! Errors of an exchange with a peer.
 
 use celerythread_model::code::Code;
 use snafu::Snafu;
 
-/// A failed exchange.
+/// An error of an exchange with a peer or of an identity.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// The peer speaks another version.
+    /// The peer uses another version of the protocol.
     #[snafu(display("the peer speaks version {version} of the protocol"))]
     Version {
-        /// Its version.
+        /// The peer's version.
         version: u8,
     },
-    /// The bytes are not a frame.
+    /// The bytes cannot be decoded as a frame.
     #[snafu(display("malformed frame: {reason}"))]
     Malformed {
         /// What is wrong.
@@ -25,29 +25,29 @@
     /// The peer cannot be reached.
     #[snafu(display("the peer cannot be reached: {reason}"))]
     Unreachable {
-        /// What happened.
+        /// The cause.
         reason: String,
     },
-    /// The peer refused.
+    /// The peer refused the exchange.
     #[snafu(display("the peer refused with {code}: {text}"))]
     Refused {
-        /// Its code.
+        /// The peer's result code.
         code: Code,
-        /// Its words.
+        /// The peer's explanation.
         text: String,
     },
     /// A key or certificate cannot be used.
-    #[snafu(display("{what}: {reason}"))]
+    #[snafu(display("cannot use {what}: {reason}"))]
     Key {
-        /// Which.
+        /// The file, text or step concerned.
         what: String,
-        /// Why.
+        /// The cause.
         reason: String,
     },
 }
 
 impl Error {
-    /// The numbered code.
+    /// The result code.
     pub fn code(&self) -> Code {
         match self {
             Error::Version { .. } => Code::WireVersion,
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! The vocabulary between entry instances.
+//! The messages between entry instances.
 
 use crate::job;
 use celerythread_model::code::Code;
@@ -13,82 +13,83 @@
 /// One message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// How the sender is; answered by the receiver's own.
+    /// A heartbeat with the sender's state; answered with the receiver's.
     Beat(Beat),
-    /// Asks for the rows changed after a revision, for a view cut off from the platform.
+    /// Requests the rows changed after a revision, for an entry that cannot reach the platform.
     Rows {
-        /// After this revision.
+        /// The last revision that the sender has.
         since: Revision,
     },
-    /// Rows, and the revision up to which they are complete.
+    /// Changed rows, complete up to a revision.
     RowsReply {
-        /// The rows.
+        /// The changed rows.
         rows: Vec<Row>,
-        /// Complete up to here.
+        /// The revision up to which they are complete.
         upto: Revision,
     },
-    /// Asks the owner of a service's minions for a slot.
+    /// Requests a slot from an owner of the service's minions.
     Ask(Ask),
-    /// A slot, held until `Finish` is sent on the same channel.
+    /// Grants a slot until `Finish` is sent on the same channel.
     Grant(Grant),
-    /// No slot is free, and the sender did not want to wait or would wait too long.
+    /// No slot is free, and the requester does not want to wait or would wait too long.
     Busy {
-        /// Milliseconds after which asking again makes sense.
+        /// Milliseconds after which a retry makes sense.
         retry_after_ms: u64,
     },
-    /// The slot is no longer used.
+    /// Releases the slot.
     Finish {
-        /// What became of the dispatch.
+        /// The result of the dispatch.
         verdict: Verdict,
-        /// Milliseconds it took.
+        /// Duration of the dispatch in milliseconds.
         took_ms: u64,
     },
     /// The exchange is refused.
     Refusal {
-        /// Why, by number.
+        /// The reason as a result code.
         code: Code,
-        /// Why, in words.
+        /// The reason as text.
         text: String,
     },
-    /// Asks or tells the owner of a service's jobs something.
+    /// A request or notification to the owner of a service's jobs.
     JobQuestion(job::Question),
     /// The owner's answer.
     JobAnswer(job::Answer),
 }
 
-/// How an entry is, as it tells its peers.
+/// A heartbeat: the state of an entry as sent to its peers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Beat {
     /// The sender.
     pub entry: id::Entry,
     /// The sender's position in causal order.
     pub clock: event::Clock,
-    /// The number of the configuration that it acts by.
+    /// The number of the configuration in force at the sender.
     pub config: Revision,
     /// The revision up to which its view is complete.
     pub view: Revision,
-    /// Whether it takes no new work any more.
+    /// Whether it is stopping and accepts no new work.
     pub stopping: bool,
-    /// What it could hand out, by service.
+    /// The slots that it can grant, by service.
     pub room: Vec<Room>,
     /// Grants of the receiver that the sender still uses.
     pub holding: Vec<u64>,
-    /// Work outstanding on each minion that the sender owns; a successor reserves for it.
+    /// Work outstanding on each minion that the sender owns; an entry that takes the minion over
+    /// reserves slots for it.
     pub load: Vec<Load>,
-    /// Minions that the sender owns and has set aside: they count as failed.
+    /// Minions that the sender owns and has ejected from routing: they count as failed.
     pub ejected: Vec<id::Minion>,
 }
 
-/// What an entry has of a service.
+/// Slots and queue of a service at one entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Room {
     /// The service.
     pub service: id::Service,
-    /// Slots it hands out.
+    /// Slots that the entry owns.
     pub slots: u32,
-    /// Slots free just now.
+    /// Slots that are free.
     pub free: u32,
-    /// Requests waiting for them.
+    /// Requests queued for a slot.
     pub waiting: u32,
 }
 
@@ -104,42 +105,42 @@
 /// A request for a slot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Who asks.
+    /// The requesting entry.
     pub entry: id::Entry,
-    /// Of which service.
+    /// The service.
     pub service: id::Service,
-    /// How urgent.
+    /// The class of the request.
     pub class: Class,
     /// Milliseconds until the request's deadline.
     pub left_ms: u64,
     /// Whether to wait in the owner's queue.
     pub wait: bool,
-    /// A minion that just failed the request and should be avoided.
+    /// A minion to avoid because it has just failed the request.
     pub avoid: Option<id::Minion>,
 }
 
 /// A slot on a minion.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The owner's number for it.
+    /// The owner's number of the grant.
     pub grant: u64,
     /// The minion.
     pub minion: id::Minion,
-    /// Where it serves.
+    /// The minion's HTTP address.
     pub address: SocketAddr,
-    /// Its epoch.
+    /// The minion's epoch.
     pub epoch: Epoch,
 }
 
-/// What became of a dispatch, for the owner's judgement of the minion.
+/// The result of a dispatch, from which the owner derives the minion's health.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Verdict {
     /// The minion answered.
     Answered,
-    /// The minion failed it.
+    /// The minion failed the request.
     Failed,
-    /// The minion says that it is leaving or full.
+    /// The minion reported that it is leaving or full.
     Leaving,
-    /// It was not sent, for a reason that is not the minion's.
+    /// The request was not sent, for a reason unrelated to the minion.
     Unused,
 }
--- a/crates/wire/src/identity.rs
+++ b/crates/wire/src/identity.rs
@@ -1,4 +1,4 @@
-//! An instance's key, its certificate, and the authority its peers must come from.
+//! An instance's key and certificate, and the authority that must have signed its peers'.
 
 use crate::Error;
 use rustls::pki_types::pem::PemObject;
@@ -6,7 +6,7 @@
 use std::fs;
 use std::path::PathBuf;
 
-/// The PEM files of an instance.
+/// Paths of an instance's PEM files.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// The certificate of the authority.
@@ -17,7 +17,7 @@
     pub key: PathBuf,
 }
 
-/// Loaded keys.
+/// A loaded key with its certificate and the authority's.
 pub struct Identity {
     pub(crate) authority: CertificateDer<'static>,
     pub(crate) certificate: CertificateDer<'static>,
@@ -28,7 +28,7 @@
     /// Loads the files.
     ///
     /// # Errors
-    /// `Key` naming the file that cannot be read.
+    /// `Key` with the file that cannot be read or is not PEM of its kind.
     pub fn load(settings: &Settings) -> Result<Self, Error> {
         Self::from_pem(
             &read(&settings.authority)?,
@@ -37,10 +37,10 @@
         )
     }
 
-    /// Takes the keys from PEM texts.
+    /// Parses the PEM texts.
     ///
     /// # Errors
-    /// `Key` naming the text that is not PEM of its kind.
+    /// `Key` with the text that is not PEM of its kind.
     pub fn from_pem(authority: &[u8], certificate: &[u8], key: &[u8]) -> Result<Self, Error> {
         let authority =
             CertificateDer::from_pem_slice(authority).map_err(|e| key_error("the authority", e))?;
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -1,13 +1,13 @@
-//! Questions to the owner of a service's jobs, and its answers.
+//! Messages to the owner of a service's jobs, and its replies.
 
 use celerythread_engine::job::{Id, Origin, State};
 use celerythread_engine::pools::Load;
 use serde::{Deserialize, Serialize};
 
-/// What the owner of a service's jobs is asked or told.
+/// A request or notification to the owner of a service's jobs, or to any peer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Question {
-    /// A job was accepted, and its row is written.
+    /// A job was accepted, and its row is stored.
     Accepted {
         /// Its service.
         service: String,
@@ -16,30 +16,30 @@
         /// Its row.
         row: Vec<u8>,
     },
-    /// A job was cancelled, and that is written.
+    /// A job was cancelled, and the cancellation is stored.
     Cancelled {
         /// Its service.
         service: String,
         /// The job.
         id: Id,
     },
-    /// In which state a job is.
+    /// Requests the state of a job.
     State {
         /// Its service.
         service: String,
         /// The job.
         id: Id,
-        /// Who asks.
+        /// The origin of the caller's request.
         origin: Origin,
     },
-    /// How many jobs of a queue wait for their first task.
+    /// Requests the number of jobs of a queue whose first task has not started.
     Pending {
         /// Its service.
         service: String,
         /// The queue.
         queue: String,
     },
-    /// Has a job's row written by an entry that can reach the store.
+    /// Requests that an entry that can reach the store writes a job's row.
     Submit {
         /// Its service.
         service: String,
@@ -48,27 +48,27 @@
         /// Its row.
         row: Vec<u8>,
     },
-    /// What the demand is and which minions could be given away.
+    /// Requests the demand and the minions that the service can release.
     Load {
         /// The service.
         service: String,
     },
-    /// Which configuration is the newest one, from an entry that the store doesn't tell.
+    /// Requests the newest configuration, from an entry that cannot read it from the store.
     Configuration {
-        /// The version in force at the asking entry.
+        /// The version in force at the requesting entry.
         version: u64,
     },
-    /// Machines are to be emptied, and that is written.
+    /// Machines are to be emptied, and the request for it is stored.
     Release {
         /// Their service.
         service: String,
-        /// The machines with their minions.
+        /// Pairs of machine and minion.
         machines: Vec<(String, String)>,
     },
 }
 
 impl Question {
-    /// The service that it is about; empty for a question about none.
+    /// The service concerned; empty if it concerns none.
     pub fn service(&self) -> &str {
         match self {
             Question::Accepted { service, .. }
@@ -83,40 +83,40 @@
     }
 }
 
-/// What became of a job that a peer was to write.
+/// The result of a job's submission through a peer.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Submission {
-    /// It is written, by this request or an earlier one.
+    /// The job is stored, by this request or an earlier one.
     Accepted {
-        /// The row as it is stored.
+        /// The stored row.
         row: Vec<u8>,
     },
-    /// It is certainly not written.
+    /// The job is certainly not stored.
     Refused,
-    /// Nobody knows.
+    /// Whether the job is stored is not known.
     Unknown,
 }
 
-/// What the owner answers.
+/// The reply to a [`Question`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// It took note.
+    /// The notification was processed.
     Noted,
-    /// The job's state; none for a job that the owner doesn't know.
+    /// The job's state; none if the owner doesn't know the job.
     State(Option<State>),
-    /// How many jobs wait.
+    /// The number of jobs waiting.
     Pending(u32),
-    /// The demand.
+    /// The demand and the minions that can be released.
     Load(Load),
-    /// What became of a job that was to be written.
+    /// The result of a submission.
     Submitted(Submission),
-    /// What the receiver has in force.
+    /// The configuration in force at the receiver.
     Configuration {
         /// Its version.
         version: u64,
-        /// Milliseconds since it was certain to be the newest one.
+        /// Milliseconds since it was last confirmed as the newest.
         age_ms: u32,
-        /// As operators wrote it, if the asking entry's is older.
+        /// The configuration as operators wrote it, if the requesting entry's is older.
         body: Option<Vec<u8>>,
     },
     /// The receiver doesn't own the service, or doesn't know its jobs yet.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! What entry instances say to each other, over QUIC with mutual TLS.
+//! The protocol between entry instances, over QUIC with mutual TLS.
 //!
-//! [`frame`] is the vocabulary, [`codec`] its bytes: a version, a length and a `postcard`
-//! body.  [`identity`] loads an instance's key and the authority that its peers must come
-//! from.  [`endpoint`] listens and dials; each exchange is a [`channel::Channel`] of its own.
+//! [`frame`] defines the messages and [`codec`] their encoding: a version, a length and a
+//! `postcard` body.  [`identity`] loads an instance's key and the authority that must have signed
+//! its peers' certificates.  [`endpoint`] accepts and dials links; each exchange is a
+//! [`channel::Channel`] of its own.
 
 pub mod authority;
 pub mod channel;
