--- a/crates/model/tests/config.rs
+++ b/crates/model/tests/config.rs
@@ -1,4 +1,4 @@
-//! Templates, parameters, and every mistake at once.
+//! Expansion and validation of templates with parameters.
 
 use celerythread_model::code::Code;
 use celerythread_model::config::Document;
@@ -29,8 +29,8 @@
     assert_eq!((document.windows[0].opens, document.windows[0].closes), (1320, 330));
 }
 
-/// An operator sends a file with ten mistakes, mends the one that is shown, and sends it again:
-/// ten times over, at night.  The cause would be a reader that stops at the first mistake.
+/// Guards against a reader that stops at the first mistake: an operator would have to correct and
+/// resend a file once for each of its mistakes.
 #[test]
 fn all_mistakes_are_reported_at_once() {
     let template = "\
@@ -69,7 +69,7 @@
         (Code::MissingKey, 0),
         (Code::Contradiction, 17),
         (Code::UnknownSection, 18),
-        // In the parameters.
+        // In the parameter file.
         (Code::UnknownKey, 2),
     ] {
         assert!(found.contains(&expected), "{expected:?} is not in {mistakes:#?}");
@@ -112,7 +112,7 @@
 }
 
 proptest! {
-    /// Whatever bytes an operator sends, the reader answers and does not panic.
+    /// The reader returns a result for any text and does not panic.
     #[test]
     fn any_text_is_read_without_panic(template in "\\PC{0,300}", parameters in "\\PC{0,100}") {
         let _ = Document::read(&template, &parameters);
--- a/crates/model/tests/event.rs
+++ b/crates/model/tests/event.rs
@@ -34,8 +34,8 @@
 }
 
 proptest! {
-    /// Whatever the order of commits, feeds and beats: an event stands above the statements of
-    /// all revisions that its process knew of, and above all events of its process before it.
+    /// Whatever the order of commits, feeds and heartbeats: an event is ordered after the commits
+    /// of all revisions known to its process, and after all earlier events of its process.
     #[test]
     fn no_event_precedes_a_known_position(steps in prop::collection::vec(step(), 1..60)) {
         let mut clocks = [Clock::default(); 3];
--- a/crates/wire/tests/peers.rs
+++ b/crates/wire/tests/peers.rs
@@ -58,8 +58,8 @@
     assert_eq!(channel.receive().await.unwrap(), frame);
 }
 
-/// Somebody on the network asks an entry for the fleet's rows.  A peer without a certificate of
-/// the authority gets nothing, whichever end it is.
+/// Guards against disclosure of the fleet's rows to anybody on the network: a peer whose
+/// certificate is not signed by the authority gets no answer.
 #[async_std::test]
 async fn a_peer_of_another_authority_is_refused() {
     let (ours, theirs) = (authority::create("test").unwrap(), authority::create("test").unwrap());
@@ -76,7 +76,7 @@
     assert_matches!(got, Err(_) | Ok(Err(Error::Unreachable { .. })));
 }
 
-/// Garbage on the port neither crashes the endpoint nor keeps the next peer out.
+/// Malformed datagrams neither crash the endpoint nor block the next peer.
 #[async_std::test]
 async fn garbage_datagrams_do_not_stop_the_endpoint() {
     let authority = authority::create("test").unwrap();
