--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -120,7 +120,7 @@
     const PREFIX: &'static str = "slots/";
 }
 
-/// The lease of a duty, a role that one entry has at a time.
+/// The lease of a duty: a singleton role that one entry holds at a time.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
     /// The holder; none when released.
