--- a/crates/model/src/ini.rs
+++ b/crates/model/src/ini.rs
@@ -1,4 +1,4 @@
-//! INI files read with every mistake noted at once, each with its place and code.
+//! Reading of INI files that reports all mistakes together, each with its location and code.
 
 use crate::code::Code;
 use ini::Ini;
@@ -7,18 +7,18 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// One mistake in a file.
+/// A mistake in a file.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Mistake {
-    /// What kind of mistake.
+    /// The kind of mistake.
     pub code: Code,
     /// The section, without brackets.
     pub section: String,
-    /// The key, empty where the section itself is wrong.
+    /// The key; empty if the mistake concerns the section itself.
     pub key: String,
-    /// The line, counted from 1; 0 where something is missing.
+    /// The line, counted from 1; 0 if the section or key is missing.
     pub line: usize,
-    /// What is wrong and what would be right.
+    /// What is wrong and what is expected.
     pub text: String,
 }
 
@@ -35,16 +35,16 @@
     }
 }
 
-/// A read file that collects mistakes while its values are taken out.
+/// A parsed file that collects mistakes while its values are read.
 pub struct Reader {
     ini: Ini,
     lines: Vec<(usize, String, String)>,
-    taken: BTreeSet<(String, String)>,
+    known_keys: BTreeSet<(String, String)>,
     mistakes: Vec<Mistake>,
 }
 
 impl Reader {
-    /// Parses `text`.  A text that is not INI at all leaves an empty file and one mistake.
+    /// Parses `text`.  A text that is not INI results in an empty file and one mistake.
     pub fn new(text: &str) -> Self {
         let mut mistakes = Vec::new();
         let ini = Ini::load_from_str_noescape(text).unwrap_or_else(|error| {
@@ -57,27 +57,27 @@
             });
             Ini::new()
         });
-        let lines = index(text);
-        let mut reader = Self { ini, lines, taken: BTreeSet::new(), mistakes };
-        reader.note_duplicates();
+        let lines = index_lines(text);
+        let mut reader = Self { ini, lines, known_keys: BTreeSet::new(), mistakes };
+        reader.add_duplicates();
         reader
     }
 
-    fn note_duplicates(&mut self) {
+    fn add_duplicates(&mut self) {
         let mut seen = BTreeSet::new();
-        let mut doubled = Vec::new();
+        let mut duplicates = Vec::new();
         for (line, section, key) in &self.lines {
             if !seen.insert((section.clone(), key.clone())) {
-                doubled.push((*line, section.clone(), key.clone()));
+                duplicates.push((*line, section.clone(), key.clone()));
             }
         }
-        for (line, section, key) in doubled {
+        for (line, section, key) in duplicates {
             let text = "given more than once".into();
             self.mistakes.push(Mistake { code: Code::DuplicateKey, section, key, line, text });
         }
     }
 
-    /// The named sections, in order, each once.
+    /// The names of the sections, in order and without duplicates.
     pub fn sections(&self) -> Vec<String> {
         let mut names: Vec<String> = Vec::new();
         for name in self.ini.sections().flatten() {
@@ -88,9 +88,9 @@
         names
     }
 
-    /// The raw text of a key; the key counts as known from then on.
+    /// The trimmed text of a key.  Marks the key as known for [`Reader::finish`].
     pub fn text(&mut self, section: &str, key: &str) -> Option<String> {
-        self.taken.insert((section.into(), key.into()));
+        self.known_keys.insert((section.into(), key.into()));
         self.ini.section(Some(section))?.get(key).map(|value| value.trim().into())
     }
 
@@ -102,7 +102,7 @@
         self.optional(section, key).unwrap_or(default)
     }
 
-    /// A value that may be missing.
+    /// An optional value.
     pub fn optional<T: FromStr>(&mut self, section: &str, key: &str) -> Option<T>
     where
         T::Err: fmt::Display,
@@ -111,19 +111,19 @@
         match text.parse() {
             Ok(value) => Some(value),
             Err(error) => {
-                self.note(Code::BadValue, section, key, error.to_string());
+                self.add_mistake(Code::BadValue, section, key, error.to_string());
                 None
             }
         }
     }
 
-    /// A value that must be given.
+    /// A mandatory value; adds a mistake if it is missing.
     pub fn required<T: FromStr>(&mut self, section: &str, key: &str) -> Option<T>
     where
         T::Err: fmt::Display,
     {
         if self.text(section, key).is_none() {
-            self.note(Code::MissingKey, section, key, "must be given".into());
+            self.add_mistake(Code::MissingKey, section, key, "must be given".into());
             return None;
         }
         self.optional(section, key)
@@ -139,13 +139,13 @@
         for part in text.split(',').map(str::trim).filter(|part| !part.is_empty()) {
             match part.parse::<T>() {
                 Ok(value) => values.push(value),
-                Err(error) => self.note(Code::BadValue, section, key, error.to_string()),
+                Err(error) => self.add_mistake(Code::BadValue, section, key, error.to_string()),
             }
         }
         values
     }
 
-    /// A value with a default that must lie between two bounds, both included.
+    /// A value with a default; adds a mistake if it is not between `low` and `high` (inclusive).
     pub fn ranged<T>(&mut self, section: &str, key: &str, default: T, low: T, high: T) -> T
     where
         T: FromStr + PartialOrd + fmt::Display,
@@ -154,13 +154,13 @@
         let value = self.value(section, key, default);
         if value < low || value > high {
             let text = format!("{value} is not between {low} and {high}");
-            self.note(Code::OutOfRange, section, key, text);
+            self.add_mistake(Code::OutOfRange, section, key, text);
         }
         value
     }
 
-    /// Notes a mistake at a key.
-    pub fn note(&mut self, code: Code, section: &str, key: &str, text: String) {
+    /// Adds a mistake at a key.
+    pub fn add_mistake(&mut self, code: Code, section: &str, key: &str, text: String) {
         let line = self.line(section, key);
         self.mistakes.push(Mistake { code, section: section.into(), key: key.into(), line, text });
     }
@@ -170,22 +170,24 @@
         found.map_or(0, |(line, _, _)| *line)
     }
 
-    /// Reads a whole file of these sections: what `take` made of it, if there is no mistake.
+    /// Parses `text`, reads it with `read` and returns the result if there is no mistake.  Only
+    /// the sections in `sections` are known.
     ///
     /// # Errors
-    /// Every mistake at once.
+    /// All mistakes.
     pub fn read_whole<T>(
         text: &str,
         sections: &[&str],
-        take: impl FnOnce(&mut Reader) -> T,
+        read: impl FnOnce(&mut Reader) -> T,
     ) -> Result<T, Vec<Mistake>> {
         let mut reader = Reader::new(text);
-        let taken = take(&mut reader);
+        let value = read(&mut reader);
         let mistakes = reader.finish(|section| sections.contains(&section));
-        if mistakes.is_empty() { Ok(taken) } else { Err(mistakes) }
+        if mistakes.is_empty() { Ok(value) } else { Err(mistakes) }
     }
 
-    /// Ends the reading: whatever was never asked for is unknown.
+    /// Returns all mistakes by line.  Sections that aren't known and keys that were never read are
+    /// mistakes, too.
     pub fn finish(mut self, known_section: impl Fn(&str) -> bool) -> Vec<Mistake> {
         let mut unknown = Vec::new();
         for (line, section, key) in &self.lines {
@@ -193,7 +195,8 @@
                 if key.is_empty() {
                     unknown.push((Code::UnknownSection, *line, section, key, "is not a section"));
                 }
-            } else if !key.is_empty() && !self.taken.contains(&(section.clone(), key.clone())) {
+            } else if !key.is_empty() && !self.known_keys.contains(&(section.clone(), key.clone()))
+            {
                 unknown.push((
                     Code::UnknownKey,
                     *line,
@@ -216,8 +219,8 @@
     }
 }
 
-/// The place of each section head (with an empty key) and of each key.
-fn index(text: &str) -> Vec<(usize, String, String)> {
+/// The line, section and key of each section header (with an empty key) and of each key.
+fn index_lines(text: &str) -> Vec<(usize, String, String)> {
     let mut places = Vec::new();
     let mut section = String::new();
     for (number, line) in text.lines().enumerate() {
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -163,21 +163,21 @@
                 "takeover_after {} is less than three renewals of {}; a healthy entry would lose its cells",
                 self.takeover_after, self.renew
             );
-            reader.note(Code::Contradiction, "peer", "takeover_after", text);
+            reader.add_mistake(Code::Contradiction, "peer", "takeover_after", text);
         }
         if !self.orders_per_s.is_finite() || self.orders_per_s < 1.0 {
             let text = format!(
                 "orders_per_s {} is not a finite number of at least 1; no machine would be moved",
                 self.orders_per_s
             );
-            reader.note(Code::Contradiction, "maintenance", "orders_per_s", text);
+            reader.add_mistake(Code::Contradiction, "maintenance", "orders_per_s", text);
         }
         if self.run_lease.0 < self.takeover_after.0 {
             let text = format!(
                 "lease {} is less than takeover_after {}; runs would end when their owner is lost",
                 self.run_lease, self.takeover_after
             );
-            reader.note(Code::Contradiction, "run", "lease", text);
+            reader.add_mistake(Code::Contradiction, "run", "lease", text);
         }
     }
 }
--- a/crates/wire/src/endpoint.rs
+++ b/crates/wire/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Listening for peers and dialling them.
+//! QUIC endpoint that accepts links from peers and dials them.
 
 use crate::authority::SERVER_NAME;
 use crate::channel::Channel;
@@ -12,31 +12,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Protocol name in the TLS handshake.
+/// Protocol name (ALPN) in the TLS handshake.
 const ALPN: &[u8] = b"celerythread/1";
 
-/// How a link is kept and given up.
+/// Timeouts and limits of links.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Silence after which a link counts as gone.
-    pub idle: Duration,
-    /// How often an otherwise quiet link is proved alive.
-    pub keep_alive: Duration,
-    /// Exchanges that a peer may have open at once.
-    pub exchanges: u32,
+    /// Time without a packet after which a link is considered lost.
+    pub idle_timeout: Duration,
+    /// Interval of keep-alive packets on an idle link.
+    pub keep_alive_interval: Duration,
+    /// Maximum number of exchanges that a peer may have open at once.
+    pub max_exchanges: u32,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            idle: Duration::from_secs(4),
-            keep_alive: Duration::from_millis(1500),
-            exchanges: 4096,
+            idle_timeout: Duration::from_secs(4),
+            keep_alive_interval: Duration::from_millis(1500),
+            max_exchanges: 4096,
         }
     }
 }
 
-/// A socket that peers dial.
+/// A socket that accepts links from peers and dials them.
 pub struct Endpoint {
     inner: quinn::Endpoint,
     client: ClientConfig,
@@ -46,7 +46,7 @@
 #[derive(Clone)]
 pub struct Link {
     connection: quinn::Connection,
-    /// A dialled link owns its socket; dropping it closes that.
+    /// The socket of a dialled link; dropping it closes the socket.
     _socket: Option<quinn::Endpoint>,
 }
 
@@ -54,7 +54,7 @@
     /// Listens at `address`.
     ///
     /// # Errors
-    /// `Key` when the identity cannot be used, `Unreachable` when the address cannot be bound.
+    /// `Key` if the identity cannot be used, `Unreachable` if the address cannot be bound.
     pub fn bind(
         address: SocketAddr,
         identity: &Identity,
@@ -70,18 +70,19 @@
     /// The address it listens at.
     ///
     /// # Errors
-    /// `Unreachable` when the socket is gone.
+    /// `Unreachable` if the socket is closed.
     pub fn local_address(&self) -> Result<SocketAddr, Error> {
         self.inner.local_addr().map_err(unreachable)
     }
 
-    /// Dials a peer from a socket of its own.
+    /// Dials a peer from a new socket.
     ///
-    /// Something between two instances can lose track of a flow for good while new ones work;
-    /// a new socket is a new flow, so dialling again always gets past that.
+    /// A middlebox between two instances can drop a flow permanently while new flows work.  A new
+    /// socket is a new flow, so dialling again recovers from that.
     ///
     /// # Errors
-    /// `Unreachable`, also when the peer's certificate is not of our authority.
+    /// `Unreachable` if the peer does not answer or its certificate is not signed by the
+    /// authority.
     pub async fn dial(&self, address: SocketAddr) -> Result<Link, Error> {
         let any: IpAddr = match address {
             SocketAddr::V4(_) => Ipv4Addr::UNSPECIFIED.into(),
@@ -94,7 +95,7 @@
         Ok(Link { connection, _socket: Some(socket) })
     }
 
-    /// The next peer that dialled and proved itself; none once the endpoint is closed.
+    /// Accepts the next link of an authenticated peer; none once the endpoint is closed.
     pub async fn accept(&self) -> Option<Result<Link, Error>> {
         let incoming = self.inner.accept().await?;
         Some(match incoming.await {
@@ -113,20 +114,20 @@
     /// Opens an exchange.
     ///
     /// # Errors
-    /// `Unreachable` when the link is gone.
+    /// `Unreachable` if the link is lost.
     pub async fn open(&self) -> Result<Channel, Error> {
         self.connection.open_bi().await.map(Channel::new).map_err(unreachable)
     }
 
-    /// The next exchange that the peer opens.
+    /// Accepts the next exchange that the peer opens.
     ///
     /// # Errors
-    /// `Unreachable` when the link is gone.
+    /// `Unreachable` if the link is lost.
     pub async fn accept(&self) -> Result<Channel, Error> {
         self.connection.accept_bi().await.map(Channel::new).map_err(unreachable)
     }
 
-    /// Whether the link is gone.
+    /// Whether the link is closed or lost.
     pub fn is_closed(&self) -> bool {
         self.connection.close_reason().is_some()
     }
@@ -137,7 +138,7 @@
         (stats.udp_tx.bytes, stats.udp_rx.bytes)
     }
 
-    /// Gives the link up.
+    /// Closes the link.
     pub fn close(&self) {
         self.connection.close(VarInt::from_u32(0), b"given up");
     }
@@ -145,17 +146,17 @@
 
 fn transport(settings: &Settings) -> TransportConfig {
     let mut transport = TransportConfig::default();
-    let idle = VarInt::from_u32(settings.idle.as_millis() as u32);
+    let idle = VarInt::from_u32(settings.idle_timeout.as_millis() as u32);
     transport.max_idle_timeout(Some(idle.into()));
-    transport.keep_alive_interval(Some(settings.keep_alive));
-    transport.max_concurrent_bidi_streams(VarInt::from_u32(settings.exchanges));
+    transport.keep_alive_interval(Some(settings.keep_alive_interval));
+    transport.max_concurrent_bidi_streams(VarInt::from_u32(settings.max_exchanges));
     transport.max_concurrent_uni_streams(VarInt::from_u32(0));
     transport
 }
 
 fn roots(identity: &Identity) -> Result<Arc<RootCertStore>, Error> {
     let mut roots = RootCertStore::empty();
-    roots.add(identity.authority.clone()).map_err(|e| wrong("the authority", e))?;
+    roots.add(identity.authority.clone()).map_err(|e| key_error("the authority", e))?;
     Ok(Arc::new(roots))
 }
 
@@ -166,15 +167,15 @@
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let verifier = WebPkiClientVerifier::builder_with_provider(roots(identity)?, provider.clone())
         .build()
-        .map_err(|e| wrong("the authority", e))?;
+        .map_err(|e| key_error("the authority", e))?;
     let mut tls = rustls::ServerConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(|e| wrong("TLS", e))?
+        .map_err(|e| key_error("TLS", e))?
         .with_client_cert_verifier(verifier)
         .with_single_cert(vec![identity.certificate.clone()], identity.key.clone_key())
-        .map_err(|e| wrong("the certificate", e))?;
+        .map_err(|e| key_error("the certificate", e))?;
     tls.alpn_protocols = vec![ALPN.to_vec()];
-    let crypto = QuicServerConfig::try_from(tls).map_err(|e| wrong("TLS", e))?;
+    let crypto = QuicServerConfig::try_from(tls).map_err(|e| key_error("TLS", e))?;
     let mut config = ServerConfig::with_crypto(Arc::new(crypto));
     config.transport_config(transport);
     Ok(config)
@@ -187,18 +188,18 @@
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let mut tls = rustls::ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(|e| wrong("TLS", e))?
+        .map_err(|e| key_error("TLS", e))?
         .with_root_certificates(roots(identity)?)
         .with_client_auth_cert(vec![identity.certificate.clone()], identity.key.clone_key())
-        .map_err(|e| wrong("the certificate", e))?;
+        .map_err(|e| key_error("the certificate", e))?;
     tls.alpn_protocols = vec![ALPN.to_vec()];
-    let crypto = QuicClientConfig::try_from(tls).map_err(|e| wrong("TLS", e))?;
+    let crypto = QuicClientConfig::try_from(tls).map_err(|e| key_error("TLS", e))?;
     let mut config = ClientConfig::new(Arc::new(crypto));
     config.transport_config(transport);
     Ok(config)
 }
 
-fn wrong(what: &str, error: impl ToString) -> Error {
+fn key_error(what: &str, error: impl ToString) -> Error {
     Error::Key { what: what.into(), reason: error.to_string() }
 }
 
