--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -25,19 +25,19 @@
 use std::time::Duration;
 
 /// Most writes in one transaction.
-const BATCH: usize = 128;
+const MAX_BATCH_WRITES: usize = 128;
 
 /// Operations that may wait for the next transactions.
-const BACKLOG: usize = 4096;
+const MAX_QUEUED_WRITES: usize = 4096;
 
 /// Times a batch whose answer was lost is read back before its claims are given up.
-const READ_BACKS: u32 = 3;
+const MAX_READ_BACK_ATTEMPTS: u32 = 3;
 
 /// Wait between two tries while the platform does not answer.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Largest body kept in the claim's row; a larger one goes to the object store.
-const INLINE_LIMIT: usize = 8 * 1024;
+const MAX_INLINE_BODY_BYTES: usize = 8 * 1024;
 
 /// The way to the task that commits.
 pub(crate) struct Claims {
@@ -52,12 +52,12 @@
     key: String,
     expected: Revision,
     claim: Option<Claim>,
-    reply: oneshot::Sender<Result<Revision, Trouble>>,
+    reply: oneshot::Sender<Result<Revision, WriteError>>,
 }
 
 /// Why a write was not made.
 #[derive(Debug)]
-enum Trouble {
+enum WriteError {
     /// Another row stands under the key.
     Conflict(Row),
     /// The platform did not answer; nothing of ours stays in the table for good.
@@ -66,25 +66,25 @@
 
 /// A claim that is ours.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct OwnedClaim {
     key: String,
     revision: Revision,
     claim: Claim,
 }
 
 /// What to do with a keyed request.
-pub(crate) enum Verdict {
+pub(crate) enum ClaimResult {
     /// Run it, then settle the claim.
-    Run(Held),
+    Run(OwnedClaim),
     /// Another run decides.
-    Settled(Decision),
+    Exists(Decision),
     /// Claims cannot be recorded now.
     Unavailable,
 }
 
 impl Claims {
     pub(crate) fn new() -> Self {
-        let (sender, receiver) = async_std::channel::bounded(BACKLOG);
+        let (sender, receiver) = async_std::channel::bounded(MAX_QUEUED_WRITES);
         Self { sender, receiver, unsettled: AtomicUsize::new(0) }
     }
 
@@ -98,13 +98,13 @@
         key: &str,
         expected: Revision,
         claim: Option<Claim>,
-    ) -> Result<Revision, Trouble> {
+    ) -> Result<Revision, WriteError> {
         let (reply, answer) = oneshot::channel();
         let operation = Operation { key: key.into(), expected, claim, reply };
         if self.sender.send(operation).await.is_err() {
-            return Err(Trouble::Unavailable);
+            return Err(WriteError::Unavailable);
         }
-        answer.await.unwrap_or(Err(Trouble::Unavailable))
+        answer.await.unwrap_or(Err(WriteError::Unavailable))
     }
 }
 
@@ -133,7 +133,7 @@
     service: &id::Service,
     key: &str,
     fingerprint: String,
-) -> Verdict {
+) -> ClaimResult {
     let key = row_key(service, key);
     let attempt = format!("{:016x}", rand::random::<u64>());
     let claim = Claim {
@@ -146,14 +146,15 @@
     match node.claims.submit(&key, Revision(0), Some(claim.clone())).await {
         Ok(revision) => {
             node.count(Counter::Claims);
-            Verdict::Run(Held { key, revision, claim })
+            ClaimResult::Run(OwnedClaim { key, revision, claim })
         }
-        Err(Trouble::Unavailable) => Verdict::Unavailable,
-        Err(Trouble::Conflict(row)) => {
-            let Some(standing) = row.decode::<Claim>() else { return Verdict::Unavailable };
-            let alive = |entry: &id::Entry| node.view.read().entries().contains_key(entry);
-            let decision = claim::decide(&standing, &claim.attempt, &claim.fingerprint, alive);
-            Verdict::Settled(decision)
+        Err(WriteError::Unavailable) => ClaimResult::Unavailable,
+        Err(WriteError::Conflict(row)) => {
+            let Some(existing) = row.decode::<Claim>() else { return ClaimResult::Unavailable };
+            let is_registered = |entry: &id::Entry| node.view.read().entries().contains_key(entry);
+            let decision =
+                claim::decide(&existing, &claim.attempt, &claim.fingerprint, is_registered);
+            ClaimResult::Exists(decision)
         }
     }
 }
@@ -162,26 +163,26 @@
 /// already, and a repeat is told "still running" until this is committed.
 pub(crate) fn settle(
     node: &Arc<Node>,
-    held: Held,
+    owned: OwnedClaim,
     outcome: Outcome,
     answer: Option<(Answer, Vec<u8>)>,
 ) {
     node.claims.unsettled.fetch_add(1, Ordering::SeqCst);
     let node = node.clone();
     async_std::task::spawn(async move {
-        settle_until_done(&node, held, outcome, answer).await;
+        settle_until_done(&node, owned, outcome, answer).await;
         node.claims.unsettled.fetch_sub(1, Ordering::SeqCst);
     });
 }
 
 async fn settle_until_done(
     node: &Arc<Node>,
-    held: Held,
+    owned: OwnedClaim,
     outcome: Outcome,
     answer: Option<(Answer, Vec<u8>)>,
 ) {
     let answer = match answer {
-        Some((answer, body)) => Some(store_body(node, &held, answer, body).await),
+        Some((answer, body)) => Some(store_body(node, &owned, answer, body).await),
         None => None,
     };
     let settlement = claim::settle(outcome, answer);
@@ -190,13 +191,13 @@
         Settlement::Mark => Some(Stage::Unknown),
         Settlement::Release => None,
     };
-    let claim = stage.map(|stage| Claim { stage, ..held.claim.clone() });
+    let claim = stage.map(|stage| Claim { stage, ..owned.claim.clone() });
     loop {
-        match node.claims.submit(&held.key, held.revision, claim.clone()).await {
+        match node.claims.submit(&owned.key, owned.revision, claim.clone()).await {
             // A conflict means that the row has changed hands, which only an operator can do.
-            Ok(_) | Err(Trouble::Conflict(_)) => return,
-            Err(Trouble::Unavailable) => {
-                if !node.pause(RETRY).await {
+            Ok(_) | Err(WriteError::Conflict(_)) => return,
+            Err(WriteError::Unavailable) => {
+                if !node.pause(RETRY_DELAY).await {
                     return;
                 }
             }
@@ -205,13 +206,13 @@
 }
 
 /// Puts a body where repeats find it.
-async fn store_body(node: &Arc<Node>, held: &Held, answer: Answer, body: Vec<u8>) -> Answer {
-    if body.len() <= INLINE_LIMIT {
+async fn store_body(node: &Arc<Node>, owned: &OwnedClaim, answer: Answer, body: Vec<u8>) -> Answer {
+    if body.len() <= MAX_INLINE_BODY_BYTES {
         return Answer { body: Some(BASE64_STANDARD.encode(&body)), ..answer };
     }
-    let name = format!("answer-{}", held.claim.attempt);
+    let name = format!("answer-{}", owned.claim.attempt);
     while node.platform.objects.put(&name, body.clone()).await.is_err() {
-        if !node.pause(RETRY).await {
+        if !node.pause(RETRY_DELAY).await {
             break;
         }
     }
@@ -219,7 +220,7 @@
 }
 
 /// Fetches the body of a kept answer; none while the object store does not answer.
-pub(crate) async fn kept_body(node: &Node, answer: &Answer) -> Option<Vec<u8>> {
+pub(crate) async fn stored_body(node: &Node, answer: &Answer) -> Option<Vec<u8>> {
     if let Some(text) = &answer.body {
         return BASE64_STANDARD.decode(text).ok();
     }
@@ -241,9 +242,9 @@
             let Ok(first) = node.claims.receiver.recv().await else { return };
             backlog.push_back(first);
         }
-        let early = last.map(|last| interval.saturating_sub(node.clock.now().since(last)));
-        if let Some(early) = early.filter(|early| !early.is_zero()) {
-            async_std::task::sleep(early).await;
+        let delay = last.map(|last| interval.saturating_sub(node.clock.now().since(last)));
+        if let Some(delay) = delay.filter(|delay| !delay.is_zero()) {
+            async_std::task::sleep(delay).await;
         }
         last = Some(node.clock.now());
         while let Ok(next) = node.claims.receiver.try_recv() {
@@ -260,7 +261,7 @@
     let mut batch = Vec::new();
     let mut later = VecDeque::new();
     while let Some(operation) = backlog.pop_front() {
-        if batch.len() < BATCH && keys.insert(operation.key.clone()) {
+        if batch.len() < MAX_BATCH_WRITES && keys.insert(operation.key.clone()) {
             batch.push(operation);
         } else {
             later.push_back(operation);
@@ -286,7 +287,7 @@
             Err(Error::Lost { .. }) => batch = read_back(node, batch).await,
             Err(_) => {
                 for operation in batch {
-                    let _ = operation.reply.send(Err(Trouble::Unavailable));
+                    let _ = operation.reply.send(Err(WriteError::Unavailable));
                 }
                 return;
             }
@@ -313,7 +314,7 @@
     for operation in batch {
         match rows.remove(&operation.key) {
             Some(row) => {
-                let _ = operation.reply.send(Err(Trouble::Conflict(row)));
+                let _ = operation.reply.send(Err(WriteError::Conflict(row)));
             }
             None => left.push(operation),
         }
@@ -327,15 +328,15 @@
 /// would refuse the request as not run, and every repeat would be told "still running".
 async fn read_back(node: &Arc<Node>, batch: Vec<Operation>) -> Vec<Operation> {
     let keys: Vec<String> = batch.iter().map(|operation| operation.key.clone()).collect();
-    for _ in 0..READ_BACKS {
+    for _ in 0..MAX_READ_BACK_ATTEMPTS {
         let Ok(rows) = node.platform.table.read(Space::Claim, &keys).await else {
-            node.pause(RETRY / 5).await;
+            node.pause(RETRY_DELAY / 5).await;
             continue;
         };
         let mut left = Vec::new();
         for (operation, row) in batch.into_iter().zip(rows) {
-            let standing: Option<Claim> = row.decode();
-            if standing == operation.claim {
+            let existing: Option<Claim> = row.decode();
+            if existing == operation.claim {
                 let _ = operation.reply.send(Ok(row.revision));
             } else {
                 // Not committed.  Should another have changed the row meanwhile, the
@@ -346,15 +347,15 @@
         return left;
     }
     for operation in batch {
-        abandon(node, &operation);
-        let _ = operation.reply.send(Err(Trouble::Unavailable));
+        remove_uncertain_claim(node, &operation);
+        let _ = operation.reply.send(Err(WriteError::Unavailable));
     }
     Vec::new()
 }
 
 /// Removes a claim that may have been made although its request was refused, as soon as the
 /// platform answers again.
-fn abandon(node: &Arc<Node>, operation: &Operation) {
+fn remove_uncertain_claim(node: &Arc<Node>, operation: &Operation) {
     let Some(claim) = operation.claim.clone().filter(|claim| claim.stage == Stage::Running) else {
         return;
     };
@@ -362,15 +363,15 @@
     let key = operation.key.clone();
     node.claims.unsettled.fetch_add(1, Ordering::SeqCst);
     async_std::task::spawn(async move {
-        while node.pause(RETRY).await {
+        while node.pause(RETRY_DELAY).await {
             let Ok(rows) = node.platform.table.read(Space::Claim, std::slice::from_ref(&key)).await
             else {
                 continue;
             };
-            let ours = rows.first().filter(|row| {
-                row.decode::<Claim>().is_some_and(|standing| standing.attempt == claim.attempt)
+            let own_row = rows.first().filter(|row| {
+                row.decode::<Claim>().is_some_and(|existing| existing.attempt == claim.attempt)
             });
-            let Some(row) = ours else { break };
+            let Some(row) = own_row else { break };
             let removal = Transaction::new()
                 .check(Space::Claim, &*key, row.revision)
                 .delete(Space::Claim, &*key);
--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -9,10 +9,10 @@
 
 /// Connections kept to one minion.  Nine entries with two idle ones each, and the eight slots,
 /// stay far below a minion's 64.
-const IDLE_LIMIT: usize = 2;
+const MAX_IDLE_PER_MINION: usize = 2;
 
 /// Longest wait for a connection to a minion.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The connections.
 #[derive(Default)]
@@ -28,7 +28,7 @@
         address: SocketAddr,
         left: Duration,
     ) -> Result<Connection, Fault> {
-        while let Some(mut connection) = self.take(address) {
+        while let Some(mut connection) = self.pop_idle(address) {
             if !connection.is_stale().await {
                 return Ok(connection);
             }
@@ -46,24 +46,24 @@
         address: SocketAddr,
         left: Duration,
     ) -> Result<Connection, Fault> {
-        Connection::open(address, left.min(CONNECT_LIMIT)).await
+        Connection::open(address, left.min(CONNECT_TIMEOUT)).await
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Connection> {
+    fn pop_idle(&self, address: SocketAddr) -> Option<Connection> {
         self.idle.lock().get_mut(&address)?.pop()
     }
 
     /// Keeps a connection whose last answer was read whole.
-    pub(crate) fn keep(&self, address: SocketAddr, connection: Connection) {
+    pub(crate) fn add_idle(&self, address: SocketAddr, connection: Connection) {
         let mut idle = self.idle.lock();
-        let kept = idle.entry(address).or_default();
-        if kept.len() < IDLE_LIMIT {
-            kept.push(connection);
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE_PER_MINION {
+            connections.push(connection);
         }
     }
 
     /// Closes the idle connections to a minion.
-    pub(crate) fn forget(&self, address: SocketAddr) {
+    pub(crate) fn close_idle(&self, address: SocketAddr) {
         self.idle.lock().remove(&address);
     }
 }
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -6,7 +6,7 @@
 use crate::connections::Connections;
 use crate::duty::{self, Duty};
 use crate::follow;
-use crate::front::Front;
+use crate::front::CallerHandler;
 use crate::membership::{self, Addresses};
 use crate::metrics::Metrics;
 use crate::node::Node;
@@ -15,7 +15,7 @@
 use crate::peers::{self, Peers};
 use crate::router::Router;
 use crate::settings::Settings;
-use crate::table::Counted;
+use crate::table::InstrumentedTable;
 use crate::timeline::Timeline;
 use async_std::future::timeout;
 use async_std::net::TcpListener;
@@ -168,7 +168,7 @@
     }
 
     fn serve_callers(&self, listener: TcpListener) {
-        let handler = Arc::new(Front::new(self.node.clone()));
+        let handler = Arc::new(CallerHandler::new(self.node.clone()));
         let limits = self.node.settings.caller_limits.clone();
         let stop = Stop { closing: self.closing.token(), ended: self.ended.token() };
         let connections = self.connections.clone();
@@ -256,7 +256,7 @@
     let me = new_id(&settings.name);
     let metrics = Arc::new(Metrics::new(&settings));
     let timeline = Arc::new(Timeline::new(me.clone(), settings.events));
-    let table = Counted {
+    let table = InstrumentedTable {
         inner: platform.table.clone(),
         metrics: metrics.clone(),
         timeline: timeline.clone(),
@@ -267,7 +267,7 @@
     let longest_beat = settings.beat.0.max(settings.far_beat.0);
     Node {
         me,
-        memory: bounded::Pool::new(settings.memory.0),
+        memory: bounded::MemoryBudget::new(settings.memory.0),
         settings,
         clock,
         platform: Platform { table: Arc::new(table), ..platform },
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -2,7 +2,7 @@
 
 use crate::metrics::Counter;
 use crate::node::Node;
-use crate::router::{self, Denied, Slot, Want};
+use crate::router::{self, Denied, Slot, SlotRequest};
 use celerythread_http::Fault;
 use celerythread_http::body;
 use celerythread_http::client::{self, Answer, Connection, Failure};
@@ -25,22 +25,22 @@
 
 /// Answers up to this size are received whole before the caller gets their first byte, so that
 /// a broken one can still be fetched again or told as broken.
-const WHOLE_LIMIT: usize = 1 << 20;
+const MAX_BUFFERED_ANSWER_BYTES: usize = 1 << 20;
 
 /// Largest answer that can be kept for a keyed request.
-const KEPT_LIMIT: usize = 32 << 20;
+const MAX_STORED_ANSWER_BYTES: usize = 32 << 20;
 
 /// Most attempts at one request, whatever the budget says.
 const MAX_ATTEMPTS: u32 = 3;
 
 /// Pieces of a long answer that wait for a slow caller.
-const PIECES: usize = 8;
+const MAX_QUEUED_CHUNKS: usize = 8;
 
 /// Retry budgets by service.
 pub(crate) type Budgets = Mutex<HashMap<id::Service, Budget>>;
 
 /// A request to be carried.
-pub(crate) struct Task {
+pub(crate) struct PreparedRequest {
     pub(crate) service: Service,
     pub(crate) class: Class,
     pub(crate) deadline: Moment,
@@ -54,13 +54,13 @@
 }
 
 /// A minion's answer.
-pub(crate) struct Delivered {
+pub(crate) struct MinionAnswer {
     pub(crate) head: Response,
-    pub(crate) body: Received,
+    pub(crate) body: AnswerBody,
 }
 
 /// A body as it was received.
-pub(crate) enum Received {
+pub(crate) enum AnswerBody {
     /// All of it.
     Whole(Vec<u8>),
     /// More than is held in memory; it follows while the minion sends it.
@@ -69,7 +69,7 @@
 
 /// A request given up on.
 #[derive(Debug)]
-pub(crate) struct Failed {
+pub(crate) struct DispatchError {
     pub(crate) code: Code,
     pub(crate) outcome: Outcome,
     pub(crate) retry_after: Option<Duration>,
@@ -77,7 +77,7 @@
 }
 
 /// One failed attempt.
-struct Miss {
+struct FailedAttempt {
     code: Code,
     phase: Phase,
     /// What is certain, where the phase alone does not say it.
@@ -93,61 +93,67 @@
 pub(crate) async fn run(
     node: &Arc<Node>,
     budgets: &Budgets,
-    task: &Task,
-) -> Result<Delivered, Failed> {
-    earn(budgets, task);
-    let mut want = Want {
-        service: task.service.service.clone(),
-        class: task.class,
-        deadline: task.deadline,
+    prepared: &PreparedRequest,
+) -> Result<MinionAnswer, DispatchError> {
+    deposit_retry(budgets, prepared);
+    let mut request = SlotRequest {
+        service: prepared.service.service.clone(),
+        class: prepared.class,
+        deadline: prepared.deadline,
         avoid: None,
     };
     let mut outcome = None;
     let mut attempts = 0;
     loop {
-        let slot = match router::acquire(node, &want).await {
+        let slot = match router::acquire(node, &request).await {
             Ok(slot) => slot,
-            Err(denied) => return Err(give_up_waiting(denied, outcome)),
+            Err(denied) => return Err(no_slot_error(denied, outcome)),
         };
         attempts += 1;
         node.count(Counter::Dispatches);
-        let miss = match attempt(node, task, slot).await {
-            Ok(delivered) => return Ok(delivered),
-            Err(miss) => miss,
+        let failed_attempt = match attempt(node, prepared, slot).await {
+            Ok(minion_answer) => return Ok(minion_answer),
+            Err(failed_attempt) => failed_attempt,
         };
         node.count(Counter::DispatchFailures);
-        let verdict = phase::judge(miss.phase, task.idempotence);
-        outcome = Some(phase::join(outcome, miss.outcome.unwrap_or(verdict.outcome)));
-        let in_time = task.deadline > node.clock.now();
+        let verdict = phase::judge(failed_attempt.phase, prepared.idempotence);
+        outcome = Some(phase::join(outcome, failed_attempt.outcome.unwrap_or(verdict.outcome)));
+        let in_time = prepared.deadline > node.clock.now();
         let may_resend = verdict.resend && in_time && attempts < MAX_ATTEMPTS;
-        if !may_resend || !spend(node, budgets, task) {
+        if !may_resend || !try_withdraw_retry(node, budgets, prepared) {
             let outcome = outcome.unwrap_or(Outcome::Unknown);
-            let code = failure_code(miss.code, outcome);
-            return Err(Failed { code, outcome, retry_after: None, detail: miss.detail });
+            let code = failure_code(failed_attempt.code, outcome);
+            return Err(DispatchError {
+                code,
+                outcome,
+                retry_after: None,
+                detail: failed_attempt.detail,
+            });
         }
         node.count(Counter::Resends);
-        want.avoid = Some(miss.minion);
+        request.avoid = Some(failed_attempt.minion);
     }
 }
 
-fn earn(budgets: &Budgets, task: &Task) {
+fn deposit_retry(budgets: &Budgets, prepared: &PreparedRequest) {
     let mut budgets = budgets.lock();
-    let ratio = task.service.retry_ratio;
-    let budget = budgets.entry(task.service.service.clone()).or_insert_with(|| Budget::new(ratio));
+    let ratio = prepared.service.retry_ratio;
+    let budget =
+        budgets.entry(prepared.service.service.clone()).or_insert_with(|| Budget::new(ratio));
     budget.set_ratio(ratio);
     budget.earn();
 }
 
-fn spend(node: &Node, budgets: &Budgets, task: &Task) -> bool {
-    let spent = budgets.lock().get_mut(&task.service.service).is_some_and(Budget::spend);
+fn try_withdraw_retry(node: &Node, budgets: &Budgets, prepared: &PreparedRequest) -> bool {
+    let spent = budgets.lock().get_mut(&prepared.service.service).is_some_and(Budget::spend);
     if !spent {
         node.count(Counter::ResendsDenied);
     }
     spent
 }
 
-fn give_up_waiting(denied: Denied, earlier: Option<Outcome>) -> Failed {
-    Failed {
+fn no_slot_error(denied: Denied, earlier: Option<Outcome>) -> DispatchError {
+    DispatchError {
         code: denied.code,
         outcome: phase::join(earlier, Outcome::NotRun),
         retry_after: denied.retry_after,
@@ -161,36 +167,40 @@
     if outcome == Outcome::NotRun { Code::NoMinion } else { code }
 }
 
-async fn attempt(node: &Arc<Node>, task: &Task, slot: Slot) -> Result<Delivered, Miss> {
-    let left = task.deadline.since(node.clock.now());
-    let opened = match task.idempotence {
+async fn attempt(
+    node: &Arc<Node>,
+    prepared: &PreparedRequest,
+    slot: Slot,
+) -> Result<MinionAnswer, FailedAttempt> {
+    let left = prepared.deadline.since(node.clock.now());
+    let opened = match prepared.idempotence {
         Idempotence::Idempotent => node.connections.reuse(slot.address, left).await,
         Idempotence::NonIdempotent => node.connections.open(slot.address, left).await,
     };
     let connection = match opened {
         Ok(connection) => connection,
-        Err(fault) => return Err(miss(slot, Code::NoMinion, Phase::Unconnected, &fault)),
+        Err(fault) => return Err(failed_attempt(slot, Code::NoMinion, Phase::Unconnected, &fault)),
     };
-    exchange(node, task, slot, connection).await
+    exchange(node, prepared, slot, connection).await
 }
 
-fn miss(slot: Slot, code: Code, phase: Phase, fault: &Fault) -> Miss {
+fn failed_attempt(slot: Slot, code: Code, phase: Phase, fault: &Fault) -> FailedAttempt {
     let minion = slot.minion.clone();
     slot.finish(Verdict::Failed);
-    Miss { code, phase, outcome: None, detail: format!("{minion}: {fault}"), minion }
+    FailedAttempt { code, phase, outcome: None, detail: format!("{minion}: {fault}"), minion }
 }
 
 async fn exchange(
     node: &Arc<Node>,
-    task: &Task,
+    prepared: &PreparedRequest,
     slot: Slot,
     mut connection: Connection,
-) -> Result<Delivered, Miss> {
-    let progress = task.service.progress.0;
-    let left = task.deadline.since(node.clock.now());
-    let request = match outgoing(task, &slot) {
+) -> Result<MinionAnswer, FailedAttempt> {
+    let progress = prepared.service.progress.0;
+    let left = prepared.deadline.since(node.clock.now());
+    let request = match build_request(prepared, &slot) {
         Ok(request) => request,
-        Err(fault) => return Err(miss(slot, Code::BadRequest, Phase::Connected, &fault)),
+        Err(fault) => return Err(failed_attempt(slot, Code::BadRequest, Phase::Connected, &fault)),
     };
     let sent = async_std::future::timeout(left, connection.send(request, progress.min(left)));
     let answer = match sent.await {
@@ -201,30 +211,30 @@
                 _ if phase == client::Phase::AnswerBegun => Code::AnswerBroken,
                 _ => Code::MinionLost,
             };
-            return Err(miss(slot, code, translate(phase), &fault));
+            return Err(failed_attempt(slot, code, policy_phase(phase), &fault));
         }
         Err(_) => {
             let fault = Fault::Timeout { doing: "waiting for the answer until the deadline" };
-            return Err(miss(slot, Code::MinionTimeout, Phase::AllWritten, &fault));
+            return Err(failed_attempt(slot, Code::MinionTimeout, Phase::AllWritten, &fault));
         }
     };
     if answer.length == Length::UntilClose {
         // Nobody can tell such an answer from one that was cut.
         let fault = Fault::Truncated;
-        let miss = miss(slot, Code::AnswerBroken, Phase::AnswerBegun, &fault);
-        return Err(Miss { outcome: Some(Outcome::Run), ..miss });
+        let failed_attempt = failed_attempt(slot, Code::AnswerBroken, Phase::AnswerBegun, &fault);
+        return Err(FailedAttempt { outcome: Some(Outcome::Run), ..failed_attempt });
     }
-    if answer.head.status() == 503 && task.idempotence == Idempotence::Idempotent {
+    if answer.head.status() == 503 && prepared.idempotence == Idempotence::Idempotent {
         return Err(unavailable(slot));
     }
-    receive(node, task, slot, connection, answer).await
+    receive_body(node, prepared, slot, connection, answer).await
 }
 
 /// A minion that answers 503 is leaving or full; idempotent work goes elsewhere.
-fn unavailable(slot: Slot) -> Miss {
+fn unavailable(slot: Slot) -> FailedAttempt {
     let minion = slot.minion.clone();
     slot.finish(Verdict::Leaving);
-    Miss {
+    FailedAttempt {
         code: Code::NoMinion,
         phase: Phase::AnswerBegun,
         outcome: Some(Outcome::Unknown),
@@ -233,7 +243,7 @@
     }
 }
 
-fn translate(phase: client::Phase) -> Phase {
+fn policy_phase(phase: client::Phase) -> Phase {
     match phase {
         client::Phase::Connecting => Phase::Unconnected,
         client::Phase::Connected => Phase::Connected,
@@ -243,78 +253,80 @@
     }
 }
 
-fn outgoing(task: &Task, slot: &Slot) -> Result<http_types::Request, Fault> {
-    let mut request = client::request(task.method, slot.address, &task.target)?;
-    for (name, value) in &task.headers {
+fn build_request(prepared: &PreparedRequest, slot: &Slot) -> Result<http_types::Request, Fault> {
+    let mut request = client::request(prepared.method, slot.address, &prepared.target)?;
+    for (name, value) in &prepared.headers {
         request.append_header(name.as_str(), value.as_str());
     }
-    request.set_body(task.body.clone());
+    request.set_body(prepared.body.clone());
     Ok(request)
 }
 
-async fn receive(
+async fn receive_body(
     node: &Arc<Node>,
-    task: &Task,
+    prepared: &PreparedRequest,
     slot: Slot,
     connection: Connection,
     answer: Answer,
-) -> Result<Delivered, Miss> {
-    let progress = task.service.progress.0;
-    let limit = if task.keyed { KEPT_LIMIT } else { WHOLE_LIMIT };
+) -> Result<MinionAnswer, FailedAttempt> {
+    let progress = prepared.service.progress.0;
+    let limit = if prepared.keyed { MAX_STORED_ANSWER_BYTES } else { MAX_BUFFERED_ANSWER_BYTES };
     let mut reader = body::Reader::new(answer.length, progress);
     let mut stream = connection.into_stream();
     let mut received = Vec::new();
     while received.len() <= limit {
         match reader.next(&mut stream).await {
-            Ok(Some(piece)) => received.extend_from_slice(&piece),
+            Ok(Some(chunk)) => received.extend_from_slice(&chunk),
             Ok(None) => {
                 if answer.keep_alive {
-                    node.connections.keep(slot.address, Connection::new(stream));
+                    node.connections.add_idle(slot.address, Connection::new(stream));
                 } else {
-                    node.connections.forget(slot.address);
+                    node.connections.close_idle(slot.address);
                 }
                 slot.finish(Verdict::Answered);
-                let body = Received::Whole(received);
-                return Ok(Delivered { head: answer.head, body });
+                let body = AnswerBody::Whole(received);
+                return Ok(MinionAnswer { head: answer.head, body });
             }
             Err(fault) => {
                 // The minion answered, so it ran the request; only its words are lost.
-                let miss = miss(slot, Code::AnswerBroken, Phase::AnswerBegun, &fault);
-                return Err(Miss { outcome: Some(Outcome::Run), ..miss });
+                let failed_attempt =
+                    failed_attempt(slot, Code::AnswerBroken, Phase::AnswerBegun, &fault);
+                return Err(FailedAttempt { outcome: Some(Outcome::Run), ..failed_attempt });
             }
         }
     }
-    if task.keyed {
+    if prepared.keyed {
         let fault = Fault::BodyTooLarge { limit: limit as u64 };
-        let miss = miss(slot, Code::AnswerBroken, Phase::AnswerBegun, &fault);
-        return Err(Miss { outcome: Some(Outcome::Run), ..miss });
+        let failed_attempt = failed_attempt(slot, Code::AnswerBroken, Phase::AnswerBegun, &fault);
+        return Err(FailedAttempt { outcome: Some(Outcome::Run), ..failed_attempt });
     }
     let length = match answer.length {
         Length::Exact(length) => usize::try_from(length).ok(),
         _ => None,
     };
-    let body = stream_on(slot, received, reader, stream, length);
-    Ok(Delivered { head: answer.head, body: Received::Streaming(body) })
+    let body = stream_body(slot, received, reader, stream, length);
+    Ok(MinionAnswer { head: answer.head, body: AnswerBody::Streaming(body) })
 }
 
 /// Passes a long answer on while it comes.  When the minion breaks off, so does the caller's
 /// connection: a cut answer is never made to look whole.
-fn stream_on(
+fn stream_body(
     slot: Slot,
     received: Vec<u8>,
     mut reader: body::Reader,
     mut stream: Stream,
     length: Option<usize>,
 ) -> Body {
-    let (sender, receiver) = async_std::channel::bounded::<std::io::Result<Vec<u8>>>(PIECES);
+    let (sender, receiver) =
+        async_std::channel::bounded::<std::io::Result<Vec<u8>>>(MAX_QUEUED_CHUNKS);
     async_std::task::spawn(async move {
         if sender.send(Ok(received)).await.is_err() {
             return;
         }
         loop {
             match reader.next(&mut stream).await {
-                Ok(Some(piece)) => {
-                    if sender.send(Ok(piece)).await.is_err() {
+                Ok(Some(chunk)) => {
+                    if sender.send(Ok(chunk)).await.is_err() {
                         // The caller has gone; the rest of the answer is of no use.
                         return slot.finish(Verdict::Answered);
                     }
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -14,7 +14,7 @@
 pub(crate) async fn follow_forever(node: Arc<Node>) {
     loop {
         if once(&node).await.is_err() {
-            peers::relay(&node).await;
+            peers::fetch_missing_rows(&node).await;
         }
         node.wake.wait(node.settings.poll.0).await;
         if !node.pause(std::time::Duration::ZERO).await {
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -8,8 +8,8 @@
 //! | `Celerythread-Team` | whose quota it counts against |
 //! | `Idempotency-Key` | makes a repeat get the first run's answer |
 
-use crate::claims::{self, Held, Verdict};
-use crate::dispatch::{self, Budgets, Delivered, Failed, Received, Task};
+use crate::claims::{self, ClaimResult, OwnedClaim};
+use crate::dispatch::{self, AnswerBody, Budgets, DispatchError, MinionAnswer, PreparedRequest};
 use crate::metrics::Counter;
 use crate::node::Node;
 use crate::problem::Problem;
@@ -30,19 +30,19 @@
 use std::time::Duration;
 
 /// When to come back while claims cannot be recorded, or a run is still going on.
-const CLAIM_RETRY: Duration = Duration::from_secs(2);
+const CLAIM_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// When to come back to another instance while this one stops.
-const STOPPING_RETRY: Duration = Duration::from_millis(200);
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Longest idempotency key.
-const MAX_KEY: usize = 128;
+const MAX_KEY_BYTES: usize = 128;
 
 /// Least urgent value of `Priority`'s `u` that still counts as urgent.
-const LAST_URGENT: u8 = 3;
+const MAX_URGENT_PRIORITY: u8 = 3;
 
 /// Headers that belong to one connection and are not passed on, and our own.
-const NOT_PASSED_ON: [&str; 14] = [
+const NOT_FORWARDED: [&str; 14] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -60,20 +60,20 @@
 ];
 
 /// The handler of callers' requests.
-pub(crate) struct Front {
+pub(crate) struct CallerHandler {
     node: Arc<Node>,
     budgets: Budgets,
     quota: Mutex<Quota>,
 }
 
 /// A checked request.
-struct Checked {
-    task: Task,
+struct CheckedRequest {
+    prepared: PreparedRequest,
     team: Option<id::Team>,
     key: Option<String>,
 }
 
-impl Front {
+impl CallerHandler {
     pub(crate) fn new(node: Arc<Node>) -> Self {
         Self { node, budgets: Mutex::default(), quota: Mutex::default() }
     }
@@ -81,79 +81,92 @@
     async fn answer(&self, request: Request) -> Result<Response, Problem> {
         if self.node.is_stopping() {
             let problem = Problem::new(Code::Stopping, "this instance is stopping");
-            return Err(problem.retry_after(STOPPING_RETRY));
+            return Err(problem.retry_after(STOPPING_RETRY_AFTER));
         }
         let size = request.body.len() as u64;
-        let Some(_memory) = self.node.memory.take(size) else {
+        let Some(_memory) = self.node.memory.reserve(size) else {
             let problem = Problem::new(Code::Overloaded, "too many request bodies in memory");
             return Err(problem.retry_after(Duration::from_secs(1)));
         };
         let document = self.node.view.read().document().clone();
-        let checked = check(&self.node, &document, request)?;
-        let _quota = self.enter(&checked, &document)?;
+        let checked = check_request(&self.node, &document, request)?;
+        let _quota = self.acquire_quota(&checked, &document)?;
         match &checked.key {
-            Some(key) => self.keyed(&checked.task, key).await,
+            Some(key) => self.answer_keyed(&checked.prepared, key).await,
             None => {
-                let run = dispatch::run(&self.node, &self.budgets, &checked.task).await;
-                run.map(|delivered| self.deliver(delivered)).map_err(problem)
+                let run = dispatch::run(&self.node, &self.budgets, &checked.prepared).await;
+                run.map(|minion_answer| self.deliver(minion_answer)).map_err(problem)
             }
         }
     }
 
-    fn enter(&self, checked: &Checked, document: &Document) -> Result<Entered<'_>, Problem> {
-        let Some(team) = &checked.team else { return Ok(Entered { front: self, team: None }) };
+    fn acquire_quota(
+        &self,
+        checked: &CheckedRequest,
+        document: &Document,
+    ) -> Result<QuotaGuard<'_>, Problem> {
+        let Some(team) = &checked.team else { return Ok(QuotaGuard { handler: self, team: None }) };
         if !self.quota.lock().enter(team, document) {
             let detail = format!("team {team} has its quota of requests in flight");
             let problem = Problem::new(Code::QuotaExceeded, detail);
             return Err(problem.retry_after(Duration::from_secs(1)));
         }
-        Ok(Entered { front: self, team: Some(team.clone()) })
+        Ok(QuotaGuard { handler: self, team: Some(team.clone()) })
     }
 
-    fn deliver(&self, delivered: Delivered) -> Response {
+    fn deliver(&self, minion_answer: MinionAnswer) -> Response {
         self.node.count(Counter::Answers);
-        let mut response = delivered.head;
-        strip(&mut response);
-        match delivered.body {
-            Received::Whole(body) => response.set_body(body),
-            Received::Streaming(body) => response.set_body(body),
+        let mut response = minion_answer.head;
+        remove_unforwarded_headers(&mut response);
+        match minion_answer.body {
+            AnswerBody::Whole(body) => response.set_body(body),
+            AnswerBody::Streaming(body) => response.set_body(body),
         }
         response
     }
 
-    async fn keyed(&self, task: &Task, key: &str) -> Result<Response, Problem> {
-        let fingerprint = claims::fingerprint(task.method.as_ref(), &task.target, &task.body);
-        let service = &task.service.service;
+    async fn answer_keyed(
+        &self,
+        prepared: &PreparedRequest,
+        key: &str,
+    ) -> Result<Response, Problem> {
+        let fingerprint =
+            claims::fingerprint(prepared.method.as_ref(), &prepared.target, &prepared.body);
+        let service = &prepared.service.service;
         match claims::claim(&self.node, service, key, fingerprint).await {
-            Verdict::Run(held) => self.run_claimed(task, held).await,
-            Verdict::Settled(decision) => self.repeat(decision).await,
-            Verdict::Unavailable => {
+            ClaimResult::Run(owned) => self.run_claimed(prepared, owned).await,
+            ClaimResult::Exists(decision) => self.answer_repeat(decision).await,
+            ClaimResult::Unavailable => {
                 let detail = "keyed requests cannot be recorded now, so this one was not run";
-                Err(Problem::new(Code::ClaimUnavailable, detail).retry_after(CLAIM_RETRY))
+                Err(Problem::new(Code::ClaimUnavailable, detail).retry_after(CLAIM_RETRY_AFTER))
             }
         }
     }
 
-    async fn run_claimed(&self, task: &Task, held: Held) -> Result<Response, Problem> {
-        match dispatch::run(&self.node, &self.budgets, task).await {
-            Ok(delivered) => {
-                let kept = kept(&delivered);
-                claims::settle(&self.node, held, Outcome::Run, kept);
-                Ok(self.deliver(delivered))
+    async fn run_claimed(
+        &self,
+        prepared: &PreparedRequest,
+        owned: OwnedClaim,
+    ) -> Result<Response, Problem> {
+        match dispatch::run(&self.node, &self.budgets, prepared).await {
+            Ok(minion_answer) => {
+                let storable = storable_answer(&minion_answer);
+                claims::settle(&self.node, owned, Outcome::Run, storable);
+                Ok(self.deliver(minion_answer))
             }
             Err(failed) => {
-                claims::settle(&self.node, held, failed.outcome, None);
+                claims::settle(&self.node, owned, failed.outcome, None);
                 Err(problem(failed))
             }
         }
     }
 
-    async fn repeat(&self, decision: Decision) -> Result<Response, Problem> {
+    async fn answer_repeat(&self, decision: Decision) -> Result<Response, Problem> {
         match decision {
             Decision::Replay(answer) => self.replay(answer).await,
             Decision::StillRunning => {
                 let detail = "the first request with this key is still running";
-                Err(Problem::new(Code::StillRunning, detail).retry_after(CLAIM_RETRY))
+                Err(Problem::new(Code::StillRunning, detail).retry_after(CLAIM_RETRY_AFTER))
             }
             Decision::KeyReused => {
                 let detail = "this key was used for another request";
@@ -168,9 +181,11 @@
     }
 
     async fn replay(&self, answer: Answer) -> Result<Response, Problem> {
-        let Some(body) = claims::kept_body(&self.node, &answer).await else {
+        let Some(body) = claims::stored_body(&self.node, &answer).await else {
             let detail = "the kept answer cannot be read now";
-            return Err(Problem::new(Code::AnswerUnavailable, detail).retry_after(CLAIM_RETRY));
+            return Err(
+                Problem::new(Code::AnswerUnavailable, detail).retry_after(CLAIM_RETRY_AFTER)
+            );
         };
         self.node.count(Counter::Replays);
         let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::Ok);
@@ -185,40 +200,40 @@
 }
 
 /// A team's request, counted until it is dropped.
-struct Entered<'a> {
-    front: &'a Front,
+struct QuotaGuard<'a> {
+    handler: &'a CallerHandler,
     team: Option<id::Team>,
 }
 
-impl Drop for Entered<'_> {
+impl Drop for QuotaGuard<'_> {
     fn drop(&mut self) {
         if let Some(team) = &self.team {
-            self.front.quota.lock().leave(team);
+            self.handler.quota.lock().leave(team);
         }
     }
 }
 
 #[async_trait]
-impl Handler for Front {
+impl Handler for CallerHandler {
     async fn handle(&self, request: Request) -> Response {
         self.node.count(Counter::Requests);
         self.node.flying.fetch_add(1, Ordering::SeqCst);
         let answer = self.answer(request).await;
         self.node.flying.fetch_sub(1, Ordering::SeqCst);
         answer.unwrap_or_else(|problem| {
-            self.node.metrics.refuse(problem.code);
+            self.node.metrics.count_refusal(problem.code);
             problem.response()
         })
     }
 
     fn refuse(&self, fault: &Fault) -> Response {
         let code = fault.request_code();
-        self.node.metrics.refuse(code);
+        self.node.metrics.count_refusal(code);
         Problem::new(code, fault.to_string()).response()
     }
 }
 
-fn problem(failed: Failed) -> Problem {
+fn problem(failed: DispatchError) -> Problem {
     let problem = Problem::new(failed.code, failed.detail).outcome(failed.outcome);
     match failed.retry_after {
         Some(wait) => problem.retry_after(wait),
@@ -227,26 +242,30 @@
 }
 
 /// What a repeat will be told.
-fn kept(delivered: &Delivered) -> Option<(Answer, Vec<u8>)> {
-    let Received::Whole(body) = &delivered.body else { return None };
+fn storable_answer(minion_answer: &MinionAnswer) -> Option<(Answer, Vec<u8>)> {
+    let AnswerBody::Whole(body) = &minion_answer.body else { return None };
     let mut headers = Vec::new();
-    for (name, values) in &delivered.head {
-        if !NOT_PASSED_ON.contains(&name.as_str()) {
+    for (name, values) in &minion_answer.head {
+        if !NOT_FORWARDED.contains(&name.as_str()) {
             headers.push((name.as_str().to_owned(), values.last().as_str().to_owned()));
         }
     }
-    let status = delivered.head.status().into();
+    let status = minion_answer.head.status().into();
     Some((Answer { status, headers, body: None, object: None }, body.clone()))
 }
 
-fn strip(response: &mut Response) {
-    for name in NOT_PASSED_ON {
+fn remove_unforwarded_headers(response: &mut Response) {
+    for name in NOT_FORWARDED {
         response.remove_header(name);
     }
 }
 
 /// Checks a request against the configuration in force.
-fn check(node: &Node, document: &Document, request: Request) -> Result<Checked, Problem> {
+fn check_request(
+    node: &Node,
+    document: &Document,
+    request: Request,
+) -> Result<CheckedRequest, Problem> {
     let service = service(document, &request)?;
     let class = class(request.header("priority"))?;
     let deadline = deadline(&request, service)?;
@@ -265,7 +284,7 @@
         Some(query) => format!("{}?{query}", url.path()),
         None => url.path().to_owned(),
     };
-    let task = Task {
+    let prepared = PreparedRequest {
         service: service.clone(),
         class,
         deadline: node.clock.now() + deadline.0,
@@ -273,10 +292,10 @@
         keyed: key.is_some(),
         method,
         target,
-        headers: passed_on(&request),
+        headers: forwarded_headers(&request),
         body: request.body,
     };
-    Ok(Checked { task, team, key })
+    Ok(CheckedRequest { prepared, team, key })
 }
 
 fn service<'a>(document: &'a Document, request: &Request) -> Result<&'a Service, Problem> {
@@ -296,7 +315,7 @@
         if let Some(urgency) = part.strip_prefix("u=") {
             let urgency: u8 = urgency.parse().map_err(|_| wrong())?;
             return match urgency {
-                0..=LAST_URGENT => Ok(Class::Urgent),
+                0..=MAX_URGENT_PRIORITY => Ok(Class::Urgent),
                 4..=7 => Ok(Class::Patient),
                 _ => Err(wrong()),
             };
@@ -323,9 +342,9 @@
     let Some(header) = header else { return Ok(None) };
     let key = header.trim().trim_matches('"');
     let valid =
-        !key.is_empty() && key.len() <= MAX_KEY && key.chars().all(|c| c.is_ascii_graphic());
+        !key.is_empty() && key.len() <= MAX_KEY_BYTES && key.chars().all(|c| c.is_ascii_graphic());
     if !valid {
-        let detail = format!("an idempotency key is 1 to {MAX_KEY} visible characters");
+        let detail = format!("an idempotency key is 1 to {MAX_KEY_BYTES} visible characters");
         return Err(Problem::new(Code::BadKey, detail));
     }
     Ok(Some(key.into()))
@@ -338,10 +357,10 @@
     Ok(Some(id))
 }
 
-fn passed_on(request: &Request) -> Vec<(String, String)> {
+fn forwarded_headers(request: &Request) -> Vec<(String, String)> {
     let mut headers = Vec::new();
     for (name, values) in &request.head {
-        if NOT_PASSED_ON.contains(&name.as_str()) {
+        if NOT_FORWARDED.contains(&name.as_str()) {
             continue;
         }
         for value in values.iter() {
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -90,7 +90,7 @@
     }
 
     /// Counts a refusal by its code.
-    pub fn refuse(&self, code: Code) {
+    pub fn count_refusal(&self, code: Code) {
         *self.refused.lock().entry(code.number()).or_default() += 1;
     }
 
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -55,7 +55,7 @@
     /// Counters.
     pub(crate) metrics: Arc<Metrics>,
     /// Memory for request bodies.
-    pub(crate) memory: bounded::Pool,
+    pub(crate) memory: bounded::MemoryBudget,
     /// Whether the balancer may send callers here.
     pub(crate) ready: AtomicBool,
     /// Notices when this process stood still.
@@ -73,7 +73,7 @@
 impl Node {
     /// Notes an event on the time line.
     pub(crate) fn note(&self, kind: Kind) {
-        self.timeline.note(self.clock.wall_ms(), kind);
+        self.timeline.record(self.clock.wall_ms(), kind);
     }
 
     /// Whether no new work is taken any more.
--- a/crates/entry/src/operator/config.rs
+++ b/crates/entry/src/operator/config.rs
@@ -111,7 +111,7 @@
             Ok(revision) => {
                 let (number, change) = (config.number, config.change.clone());
                 let kind = Kind::ConfigAccepted { number, change };
-                node.timeline.note_at(node.clock.wall_ms(), revision, kind);
+                node.timeline.record_committed(node.clock.wall_ms(), revision, kind);
                 return accepted(node, config).await;
             }
             // Somebody was faster, or nobody knows: the next round finds out which.
--- a/crates/entry/src/operator/status.rs
+++ b/crates/entry/src/operator/status.rs
@@ -47,7 +47,7 @@
         let myself = row.entry == node.me;
         let peer = peers.get(&row.entry);
         let beat = peer.and_then(|peer| peer.beat.as_ref());
-        let heard = peer.map_or_else(Default::default, |peer| peer.heard);
+        let heard = peer.map_or_else(Default::default, |peer| peer.last_heard);
         Entry {
             entry: row.entry.clone(),
             zone: row.zone.clone(),
--- a/crates/entry/src/owner.rs
+++ b/crates/entry/src/owner.rs
@@ -100,7 +100,7 @@
         let myself = row.entry == node.me;
         let peer = peers.get(&row.entry);
         // A peer never heard counts from our own start.
-        let heard = peer.map_or_else(Default::default, |peer| peer.heard);
+        let heard = peer.map_or_else(Default::default, |peer| peer.last_heard);
         let silence = node.silence(heard, now);
         let stopping = if myself { node.is_stopping() } else { row.stopping };
         let answers = myself || peer.is_some_and(|peer| peer.beat.is_some());
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -18,15 +18,15 @@
 use stop_token::future::FutureExt;
 
 /// A peer that was not heard for so long, or for so many beats, gets no requests for slots.
-const FRESH: Duration = Duration::from_secs(3);
-const FRESH_BEATS: u32 = 3;
+const MIN_PEER_TIMEOUT: Duration = Duration::from_secs(3);
+const PEER_TIMEOUT_BEATS: u32 = 3;
 
 /// Longest wait for a dial, a beat or rows.
-const EXCHANGE_LIMIT: Duration = Duration::from_secs(2);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A grant whose exchange broke is settled by a beat that comes at least so long after, so that
 /// one still on its way is either listed by then or was refused by the asker.
-const SETTLE_AFTER: Duration = Duration::from_secs(2);
+const SETTLE_DELAY: Duration = Duration::from_secs(2);
 
 /// What is known of a peer.
 #[derive(Default)]
@@ -35,9 +35,9 @@
     /// Its last beat.
     pub(crate) beat: Option<Beat>,
     /// When it was last heard.
-    pub(crate) heard: Moment,
+    pub(crate) last_heard: Moment,
     /// Grants lent to it whose exchange broke before it said `Finish`, and when.
-    broken: Vec<(Grant, Moment)>,
+    broken_grants: Vec<(Grant, Moment)>,
     /// Work on each of its minions, the highest of the last two beats.
     load: HashMap<id::Minion, u32>,
     zone: Option<id::Zone>,
@@ -46,13 +46,13 @@
 /// All peers.
 pub(crate) struct Peers {
     all: BTreeMap<id::Entry, Peer>,
-    fresh: Duration,
+    timeout: Duration,
 }
 
 impl Peers {
     /// No peers yet; `beat` is the longest time between two beats.
     pub(crate) fn new(beat: Duration) -> Self {
-        Self { all: BTreeMap::new(), fresh: FRESH.max(beat * FRESH_BEATS) }
+        Self { all: BTreeMap::new(), timeout: MIN_PEER_TIMEOUT.max(beat * PEER_TIMEOUT_BEATS) }
     }
 
     /// The peer's link, if it has one.
@@ -70,39 +70,43 @@
         self.all.iter()
     }
 
-    fn fresh(&self, now: Moment) -> impl Iterator<Item = (&id::Entry, &Peer, &Beat)> {
+    fn reachable(&self, now: Moment) -> impl Iterator<Item = (&id::Entry, &Peer, &Beat)> {
         self.all.iter().filter_map(move |(entry, peer)| {
             let beat = peer.beat.as_ref()?;
-            let usable = now.since(peer.heard) < self.fresh && !beat.stopping;
+            let usable = now.since(peer.last_heard) < self.timeout && !beat.stopping;
             usable.then_some((entry, peer, beat))
         })
     }
 
     /// Peers that showed free slots of a service, those of the own zone first, then most free.
-    pub(crate) fn with_room(
+    pub(crate) fn with_free_slots(
         &self,
         service: &id::Service,
         zone: &id::Zone,
         now: Moment,
     ) -> Vec<id::Entry> {
         let mut found: Vec<(bool, u32, &id::Entry)> = self
-            .fresh(now)
+            .reachable(now)
             .filter_map(|(entry, peer, beat)| {
                 let room = beat.room.iter().find(|room| room.service == *service)?;
-                let far = peer.zone.as_ref() != Some(zone);
-                (room.free > 0).then_some((far, room.free, entry))
+                let other_zone = peer.zone.as_ref() != Some(zone);
+                (room.free > 0).then_some((other_zone, room.free, entry))
             })
             .collect();
-        found.sort_by_key(|(far, free, _)| (*far, u32::MAX - free));
+        found.sort_by_key(|(other_zone, free, _)| (*other_zone, u32::MAX - free));
         found.into_iter().map(|(_, _, entry)| entry.clone()).collect()
     }
 
     /// The peer with the shortest queue for its slots of a service, and how long that is: the
     /// requests that wait, with one more, for each slot.
-    pub(crate) fn shortest(&self, service: &id::Service, now: Moment) -> Option<(f64, id::Entry)> {
-        let with_slots = self.fresh(now).filter_map(|(entry, _, beat)| {
+    pub(crate) fn shortest_queue(
+        &self,
+        service: &id::Service,
+        now: Moment,
+    ) -> Option<(f64, id::Entry)> {
+        let with_slots = self.reachable(now).filter_map(|(entry, _, beat)| {
             let room = beat.room.iter().find(|room| room.service == *service)?;
-            (room.slots > 0).then(|| (queue_length(room.waiting, room.slots), entry))
+            (room.slots > 0).then(|| (waiting_per_slot(room.waiting, room.slots), entry))
         });
         let best = with_slots.min_by(|a, b| a.0.total_cmp(&b.0));
         best.map(|(length, entry)| (length, entry.clone()))
@@ -111,7 +115,7 @@
     /// Keeps up with what this entry itself has asked of a peer since its last beat: beats come
     /// once a second, and without this a peer that could lend hundreds of slots in that time
     /// would be asked for no more than the few that it showed.
-    pub(crate) fn note_use(&mut self, entry: &id::Entry, service: &id::Service, change: Use) {
+    pub(crate) fn record_use(&mut self, entry: &id::Entry, service: &id::Service, change: SlotUse) {
         let Some(beat) = self.all.get_mut(entry).and_then(|peer| peer.beat.as_mut()) else {
             return;
         };
@@ -119,17 +123,17 @@
             return;
         };
         match change {
-            Use::Waits => room.waiting += 1,
-            Use::WaitsNoMore => room.waiting = room.waiting.saturating_sub(1),
-            Use::Borrowed => room.free = room.free.saturating_sub(1),
-            Use::Returned => room.free = (room.free + 1).min(room.slots),
+            SlotUse::Queued => room.waiting += 1,
+            SlotUse::Dequeued => room.waiting = room.waiting.saturating_sub(1),
+            SlotUse::Borrowed => room.free = room.free.saturating_sub(1),
+            SlotUse::Returned => room.free = (room.free + 1).min(room.slots),
             // Do not ask again before its next beat, or before something was returned to it.
-            Use::Full => room.free = 0,
+            SlotUse::Full => room.free = 0,
         }
     }
 
     /// A peer does not hand out the service any more: do not ask again before its next beat.
-    pub(crate) fn note_none(&mut self, entry: &id::Entry, service: &id::Service) {
+    pub(crate) fn record_no_slots(&mut self, entry: &id::Entry, service: &id::Service) {
         if let Some(beat) = self.all.get_mut(entry).and_then(|peer| peer.beat.as_mut()) {
             beat.room.retain(|room| room.service != *service);
         }
@@ -141,9 +145,9 @@
         peer.and_then(|peer| peer.load.get(minion)).copied().unwrap_or(0)
     }
 
-    fn take_beat(&mut self, beat: Beat, link: Option<&Link>, now: Moment) -> Heard {
+    fn apply_beat(&mut self, beat: Beat, link: Option<&Link>, now: Moment) -> BeatEffects {
         let peer = self.all.entry(beat.entry.clone()).or_default();
-        let anew = peer.beat.is_none() || now.since(peer.heard) >= self.fresh;
+        let reappeared = peer.beat.is_none() || now.since(peer.last_heard) >= self.timeout;
         let earlier: HashMap<id::Minion, u32> = peer
             .beat
             .iter()
@@ -158,30 +162,30 @@
                 (load.minion.clone(), load.outstanding.max(before))
             })
             .collect();
-        peer.heard = now;
+        peer.last_heard = now;
         peer.beat = Some(beat);
         if let Some(link) = link {
             peer.link = Some(link.clone());
         }
         let held = peer.beat.as_ref().map(|beat| beat.holding.as_slice()).unwrap_or_default();
-        let is_over = |(grant, since): &(Grant, Moment)| {
-            now.since(*since) >= SETTLE_AFTER && !held.contains(&grant.0)
+        let is_unused = |(grant, since): &(Grant, Moment)| {
+            now.since(*since) >= SETTLE_DELAY && !held.contains(&grant.0)
         };
-        let (over, broken) = peer.broken.drain(..).partition(is_over);
-        peer.broken = broken;
-        Heard { anew, over }
+        let (unused, broken_grants) = peer.broken_grants.drain(..).partition(is_unused);
+        peer.broken_grants = broken_grants;
+        BeatEffects { reappeared, unused }
     }
 
     /// The exchange of a grant lent to a peer broke: whether it still uses the slot shows in its
     /// beats.  That the link is lost is only one of the causes; an asker that gave up waiting
     /// just when it was granted the slot is another.
-    pub(crate) fn note_broken(&mut self, entry: &id::Entry, grant: Grant, now: Moment) {
+    pub(crate) fn record_broken_grant(&mut self, entry: &id::Entry, grant: Grant, now: Moment) {
         if let Some(peer) = self.all.get_mut(entry) {
-            peer.broken.push((grant, now));
+            peer.broken_grants.push((grant, now));
         }
     }
 
-    fn lose_link(&mut self, entry: &id::Entry) {
+    fn remove_link(&mut self, entry: &id::Entry) {
         if let Some(peer) = self.all.get_mut(entry) {
             peer.link = None;
         }
@@ -190,11 +194,11 @@
 
 /// What this entry does with a peer's slots.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Use {
+pub(crate) enum SlotUse {
     /// A request waits in its queue.
-    Waits,
+    Queued,
     /// It does not wait any more.
-    WaitsNoMore,
+    Dequeued,
     /// A slot was borrowed.
     Borrowed,
     /// It was given back.
@@ -204,19 +208,19 @@
 }
 
 /// The requests that would wait for each slot, with one more.
-pub(crate) fn queue_length(waiting: u32, slots: u32) -> f64 {
+pub(crate) fn waiting_per_slot(waiting: u32, slots: u32) -> f64 {
     f64::from(waiting + 1) / f64::from(slots.max(1))
 }
 
 /// What follows from a beat.
-struct Heard {
-    anew: bool,
+struct BeatEffects {
+    reappeared: bool,
     /// Grants that the peer does not use any more.
-    over: Vec<(Grant, Moment)>,
+    unused: Vec<(Grant, Moment)>,
 }
 
 /// This entry's own beat, for one peer.
-pub(crate) fn beat(node: &Node, to: &id::Entry) -> Beat {
+pub(crate) fn own_beat(node: &Node, to: &id::Entry) -> Beat {
     let now = node.clock.now();
     let (config, view) = {
         let view = node.view.read();
@@ -250,16 +254,16 @@
     }
 }
 
-fn hear(node: &Node, beat: Beat, link: Option<&Link>) {
+fn process_beat(node: &Node, beat: Beat, link: Option<&Link>) {
     node.count(Counter::Beats);
     node.timeline.witness(beat.clock);
     let now = node.clock.now();
     let entry = beat.entry.clone();
-    let heard = node.peers.write().take_beat(beat, link, now);
-    for (grant, since) in heard.over {
-        router::finish_own(node, grant, Verdict::Unused, now.since(since));
+    let effects = node.peers.write().apply_beat(beat, link, now);
+    for (grant, since) in effects.unused {
+        router::finish_grant(node, grant, Verdict::Unused, now.since(since));
     }
-    if heard.anew {
+    if effects.reappeared {
         node.note(Kind::Peer { peer: entry, reachable: true });
     }
 }
@@ -271,8 +275,8 @@
     let tick = node.settings.beat.0 / 2;
     while node.pause(tick).await {
         let now = node.clock.now();
-        let registered = note_zones(&node);
-        settle_unregistered(&node, now);
+        let registered = update_zones(&node);
+        reclaim_from_unregistered(&node, now);
         last.retain(|entry, _| registered.iter().any(|(known, _, _)| known == entry));
         for (entry, address, zone) in registered {
             let interval = if zone == node.settings.zone {
@@ -286,12 +290,12 @@
                 async_std::task::spawn(beat_once(node.clone(), endpoint.clone(), entry, address));
             }
         }
-        note_silent(&node, now);
+        expire_silent(&node, now);
     }
 }
 
 /// The registered peers, with their zones noted.
-fn note_zones(node: &Node) -> Vec<(id::Entry, SocketAddr, id::Zone)> {
+fn update_zones(node: &Node) -> Vec<(id::Entry, SocketAddr, id::Zone)> {
     let view = node.view.read();
     let mut peers = node.peers.write();
     let entries = view.entries();
@@ -307,7 +311,7 @@
 
 /// Takes back the slots lent to entries that have left the registry: they are gone for certain,
 /// and nobody else could say that they no longer use them.
-fn settle_unregistered(node: &Node, now: Moment) {
+fn reclaim_from_unregistered(node: &Node, now: Moment) {
     let view = node.view.read();
     let mut router = node.router.lock();
     let gone: Vec<id::Entry> = router
@@ -325,13 +329,13 @@
 }
 
 /// Notes peers that have just become silent.
-fn note_silent(node: &Node, now: Moment) {
+fn expire_silent(node: &Node, now: Moment) {
     let mut silent = Vec::new();
     {
         let mut peers = node.peers.write();
-        let fresh = peers.fresh;
+        let timeout = peers.timeout;
         for (entry, peer) in &mut peers.all {
-            if peer.beat.is_some() && now.since(peer.heard) >= fresh {
+            if peer.beat.is_some() && now.since(peer.last_heard) >= timeout {
                 // Its figures are worth nothing any more.
                 peer.beat = None;
                 silent.push(entry.clone());
@@ -350,7 +354,7 @@
     address: SocketAddr,
 ) {
     let done = async_std::future::timeout(
-        EXCHANGE_LIMIT,
+        EXCHANGE_TIMEOUT,
         exchange_beats(&node, &endpoint, &entry, address),
     );
     if !matches!(done.await, Ok(Ok(()))) {
@@ -360,7 +364,7 @@
             link.close();
             node.count(Counter::LinksLost);
         }
-        node.peers.write().lose_link(&entry);
+        node.peers.write().remove_link(&entry);
     }
 }
 
@@ -380,10 +384,10 @@
         }
     };
     let mut channel = link.open().await?;
-    channel.send(&Frame::Beat(beat(node, entry))).await?;
+    channel.send(&Frame::Beat(own_beat(node, entry))).await?;
     channel.finish();
     if let Frame::Beat(beat) = channel.receive().await? {
-        hear(node, beat, Some(&link));
+        process_beat(node, beat, Some(&link));
     }
     Ok(())
 }
@@ -408,12 +412,12 @@
 }
 
 async fn serve_exchange(node: Arc<Node>, link: Link, mut channel: Channel) {
-    let first = async_std::future::timeout(EXCHANGE_LIMIT, channel.receive()).await;
+    let first = async_std::future::timeout(EXCHANGE_TIMEOUT, channel.receive()).await;
     let reply = match first {
         Ok(Ok(Frame::Beat(theirs))) => {
             let to = theirs.entry.clone();
-            hear(&node, theirs, Some(&link));
-            Frame::Beat(beat(&node, &to))
+            process_beat(&node, theirs, Some(&link));
+            Frame::Beat(own_beat(&node, &to))
         }
         Ok(Ok(Frame::Rows { since })) => {
             let view = node.view.read();
@@ -434,17 +438,17 @@
 }
 
 /// Asks the peer that knows most for the rows we lack.  Tells whether it had any.
-pub(crate) async fn relay(node: &Arc<Node>) -> bool {
+pub(crate) async fn fetch_missing_rows(node: &Arc<Node>) -> bool {
     let since = node.view.read().upto();
-    let Some((link, _)) = best_informed(node, since) else { return false };
-    let fetched = async_std::future::timeout(EXCHANGE_LIMIT, fetch_rows(&link, since)).await;
+    let Some((link, _)) = most_advanced_peer(node, since) else { return false };
+    let fetched = async_std::future::timeout(EXCHANGE_TIMEOUT, fetch_rows(&link, since)).await;
     let Ok(Ok((rows, upto))) = fetched else { return false };
     node.metrics.add(Counter::RelayedRows, rows.len() as u64);
     crate::follow::apply(node, &rows, upto);
     true
 }
 
-fn best_informed(node: &Node, since: Revision) -> Option<(Link, Revision)> {
+fn most_advanced_peer(node: &Node, since: Revision) -> Option<(Link, Revision)> {
     let peers = node.peers.read();
     let ahead = peers.all.iter().filter_map(|(entry, peer)| {
         let upto = peer.beat.as_ref()?.view;
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -11,7 +11,7 @@
 
 use crate::metrics::Counter;
 use crate::node::Node;
-use crate::peers::{self, Use};
+use crate::peers::{self, SlotUse};
 use celerythread_model::code::Code;
 use celerythread_model::id;
 use celerythread_model::request::Class;
@@ -27,27 +27,27 @@
 use std::time::Duration;
 
 /// How often a waiting request looks for a peer with room.
-const LOOK_AROUND: Duration = Duration::from_millis(100);
+const PEER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Longest wait for a peer's answer when it need not queue.
-const ASK_LIMIT: Duration = Duration::from_millis(500);
+const ASK_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A peer's queue must be this much shorter than the own one to be joined instead.
-const FAR_SHORTER: f64 = 2.0;
+const MIN_QUEUE_RATIO: f64 = 2.0;
 
 /// Peers asked before a request waits.
-const ASKED_PEERS: usize = 2;
+const MAX_PEERS_ASKED: usize = 2;
 
 /// How long slots may be between two owners before a request is refused, and how often it looks.
-const HAND_OVER: Duration = Duration::from_secs(2);
-const HAND_OVER_LOOK: Duration = Duration::from_millis(20);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
+const HANDOVER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// When to come back while no minion can be reached at all.
-const NO_MINION_RETRY: Duration = Duration::from_secs(1);
+const NO_MINION_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What a request needs.
 #[derive(Clone, Debug)]
-pub(crate) struct Want {
+pub(crate) struct SlotRequest {
     pub(crate) service: id::Service,
     pub(crate) class: Class,
     pub(crate) deadline: Moment,
@@ -94,34 +94,34 @@
     }
 
     /// Takes a slot now, unless others wait for it already.
-    fn take(&mut self, want: &Want, holder: Holder, now: Moment) -> Option<Permit> {
-        if self.waiting(&want.service) > 0 {
+    fn try_grant(&mut self, request: &SlotRequest, holder: Holder, now: Moment) -> Option<Permit> {
+        if self.waiting(&request.service) > 0 {
             return None;
         }
-        self.ledger.grant(&want.service, holder, want.avoid.as_ref(), now)
+        self.ledger.grant(&request.service, holder, request.avoid.as_ref(), now)
     }
 
     /// Puts a request into the queue.
     fn enqueue(
         &mut self,
-        want: &Want,
+        request: &SlotRequest,
         holder: Holder,
         now: Moment,
     ) -> Result<oneshot::Receiver<Permit>, Refusal> {
         let (reply, receiver) = oneshot::channel();
-        let mut bounds = self.bounds(&want.service);
-        let slots = self.ledger.room(&want.service, now).slots as usize;
+        let mut bounds = self.bounds(&request.service);
+        let slots = self.ledger.room(&request.service, now).slots as usize;
         bounds.limit *= slots.max(1);
-        let item = Waiter { reply, holder, avoid: want.avoid.clone() };
-        let waiting = Waiting { item, class: want.class, deadline: want.deadline };
-        let queue = self.queues.entry(want.service.clone()).or_default();
+        let item = Waiter { reply, holder, avoid: request.avoid.clone() };
+        let waiting = Waiting { item, class: request.class, deadline: request.deadline };
+        let queue = self.queues.entry(request.service.clone()).or_default();
         queue.push(waiting, now, bounds, rand::random())?;
-        self.pump(&want.service, now);
+        self.serve_queue(&request.service, now);
         Ok(receiver)
     }
 
     /// Hands free slots to those who wait.
-    pub(crate) fn pump(&mut self, service: &id::Service, now: Moment) {
+    pub(crate) fn serve_queue(&mut self, service: &id::Service, now: Moment) {
         let share = self.bounds(service).patient_share;
         let Some(queue) = self.queues.get_mut(service) else { return };
         while !queue.is_empty() && self.ledger.room(service, now).free > 0 {
@@ -148,7 +148,7 @@
                 queue.expire(now);
                 queue.remove(|waiter| waiter.reply.is_canceled());
             }
-            self.pump(&service, now);
+            self.serve_queue(&service, now);
         }
     }
 
@@ -175,7 +175,7 @@
     started: Moment,
     lender: Option<Lender>,
     grant: Grant,
-    over: bool,
+    finished: bool,
 }
 
 /// The peer that lent a slot.
@@ -188,37 +188,37 @@
 impl Slot {
     /// Ends the use of the slot with what became of the dispatch.
     pub(crate) fn finish(mut self, verdict: Verdict) {
-        self.end(verdict);
+        self.finish_once(verdict);
     }
 
-    fn end(&mut self, verdict: Verdict) {
-        if self.over {
+    fn finish_once(&mut self, verdict: Verdict) {
+        if self.finished {
             return;
         }
-        self.over = true;
+        self.finished = true;
         let took = self.node.clock.now().since(self.started);
         match self.lender.take() {
-            None => finish_own(&self.node, self.grant, verdict, took),
-            Some(lender) => give_back(&self.node, lender, self.grant, verdict, took),
+            None => finish_grant(&self.node, self.grant, verdict, took),
+            Some(lender) => return_to_lender(&self.node, lender, self.grant, verdict, took),
         }
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.end(Verdict::Unused);
+        self.finish_once(Verdict::Unused);
     }
 }
 
 /// Ends an own grant and serves the next in line.
-pub(crate) fn finish_own(node: &Node, grant: Grant, verdict: Verdict, took: Duration) {
+pub(crate) fn finish_grant(node: &Node, grant: Grant, verdict: Verdict, took: Duration) {
     let now = node.clock.now();
     let changed = {
         let mut router = node.router.lock();
         let changed = router.ledger.finish(grant, verdict, took, now);
         let services: Vec<id::Service> = router.queues.keys().cloned().collect();
         for service in services {
-            router.pump(&service, now);
+            router.serve_queue(&service, now);
         }
         changed
     };
@@ -230,7 +230,13 @@
     }
 }
 
-fn give_back(node: &Arc<Node>, lender: Lender, grant: Grant, verdict: Verdict, took: Duration) {
+fn return_to_lender(
+    node: &Arc<Node>,
+    lender: Lender,
+    grant: Grant,
+    verdict: Verdict,
+    took: Duration,
+) {
     let node = node.clone();
     let verdict = match verdict {
         Verdict::Answered => frame::Verdict::Answered,
@@ -246,12 +252,12 @@
         if channel.send(&Frame::Finish { verdict, took_ms }).await.is_ok() {
             channel.finish();
         }
-        node.peers.write().note_use(&entry, &service, Use::Returned);
-        release(&node, &entry, grant.0);
+        node.peers.write().record_use(&entry, &service, SlotUse::Returned);
+        release_grant(&node, &entry, grant.0);
     });
 }
 
-fn release(node: &Node, owner: &id::Entry, grant: u64) {
+fn release_grant(node: &Node, owner: &id::Entry, grant: u64) {
     if let Some(held) = node.holding.lock().get_mut(owner) {
         held.remove(&grant);
     }
@@ -261,67 +267,70 @@
 ///
 /// # Errors
 /// `Denied` with the code: overloaded, deadline passed, or no minion.
-pub(crate) async fn acquire(node: &Arc<Node>, want: &Want) -> Result<Slot, Denied> {
-    if let Some(permit) = take_own(node, want) {
+pub(crate) async fn acquire(node: &Arc<Node>, request: &SlotRequest) -> Result<Slot, Denied> {
+    if let Some(permit) = try_own_slot(node, request) {
         return Ok(permit);
     }
-    if let Some(slot) = borrow(node, want, ASKED_PEERS).await {
+    if let Some(slot) = borrow(node, request, MAX_PEERS_ASKED).await {
         return Ok(slot);
     }
-    wait(node, want).await
+    wait_for_slot(node, request).await
 }
 
 /// Waits where the service's slots are, which may change meanwhile: owners hand minions over
 /// when entries come and go.
-async fn wait(node: &Arc<Node>, want: &Want) -> Result<Slot, Denied> {
-    let mut seen = node.clock.now();
+async fn wait_for_slot(node: &Arc<Node>, request: &SlotRequest) -> Result<Slot, Denied> {
+    let mut slots_seen_at = node.clock.now();
     loop {
         let now = node.clock.now();
-        if now >= want.deadline {
+        if now >= request.deadline {
             return Err(Denied { code: Code::DeadlinePassed, retry_after: None });
         }
-        let here = own_queue(node, want, now);
-        let there = node.peers.read().shortest(&want.service, now);
-        let waited = match (here, there) {
-            (Some(here), Some((length, peer))) if length * FAR_SHORTER <= here => {
-                wait_there(node, want, &peer).await
+        let own = own_waiting_per_slot(node, request, now);
+        let best_peer = node.peers.read().shortest_queue(&request.service, now);
+        let result = match (own, best_peer) {
+            (Some(own), Some((length, peer))) if length * MIN_QUEUE_RATIO <= own => {
+                wait_in_peer_queue(node, request, &peer).await
             }
-            (Some(_), _) => wait_here(node, want).await,
-            (None, Some((_, peer))) => wait_there(node, want, &peer).await,
+            (Some(_), _) => wait_in_own_queue(node, request).await,
+            (None, Some((_, peer))) => wait_in_peer_queue(node, request, &peer).await,
             // For a moment nobody may have the service's slots: they are being handed over, or
             // this entry has not heard its peers yet.
-            (None, None) if now.since(seen) < HAND_OVER => {
-                async_std::task::sleep(HAND_OVER_LOOK).await;
+            (None, None) if now.since(slots_seen_at) < HANDOVER_TIMEOUT => {
+                async_std::task::sleep(HANDOVER_POLL_INTERVAL).await;
                 continue;
             }
             (None, None) => {
-                return Err(Denied { code: Code::NoMinion, retry_after: Some(NO_MINION_RETRY) });
+                return Err(Denied {
+                    code: Code::NoMinion,
+                    retry_after: Some(NO_MINION_RETRY_AFTER),
+                });
             }
         };
-        match waited {
-            Waited::Granted(slot) => return Ok(slot),
-            Waited::Denied(denied) => return Err(denied),
-            Waited::Moved => seen = node.clock.now(),
+        match result {
+            WaitResult::Granted(slot) => return Ok(slot),
+            WaitResult::Denied(denied) => return Err(denied),
+            WaitResult::Moved => slots_seen_at = node.clock.now(),
         }
     }
 }
 
 /// How long the own queue is for the own slots; none without any.
-fn own_queue(node: &Node, want: &Want, now: Moment) -> Option<f64> {
+fn own_waiting_per_slot(node: &Node, request: &SlotRequest, now: Moment) -> Option<f64> {
     let router = node.router.lock();
-    let slots = router.ledger.room(&want.service, now).slots;
-    (slots > 0).then(|| peers::queue_length(router.waiting(&want.service) as u32, slots))
+    let slots = router.ledger.room(&request.service, now).slots;
+    (slots > 0).then(|| peers::waiting_per_slot(router.waiting(&request.service) as u32, slots))
 }
 
 /// How a wait in a queue ended.
-enum Waited {
+enum WaitResult {
     Granted(Slot),
     Denied(Denied),
     /// The slots are elsewhere now.
     Moved,
 }
 
-fn own_slot(node: &Arc<Node>, permit: Permit) -> Slot {
+fn slot_from_permit(node: &Arc<Node>, permit: Permit) -> Slot {
     Slot {
         node: node.clone(),
         minion: permit.minion,
@@ -329,47 +338,47 @@
         started: node.clock.now(),
         lender: None,
         grant: permit.grant,
-        over: false,
+        finished: false,
     }
 }
 
-fn take_own(node: &Arc<Node>, want: &Want) -> Option<Slot> {
+fn try_own_slot(node: &Arc<Node>, request: &SlotRequest) -> Option<Slot> {
     let now = node.clock.now();
-    let permit = node.router.lock().take(want, Holder::Own, now)?;
-    Some(own_slot(node, permit))
+    let permit = node.router.lock().try_grant(request, Holder::Own, now)?;
+    Some(slot_from_permit(node, permit))
 }
 
-async fn wait_here(node: &Arc<Node>, want: &Want) -> Waited {
+async fn wait_in_own_queue(node: &Arc<Node>, request: &SlotRequest) -> WaitResult {
     let queued = {
         let now = node.clock.now();
-        node.router.lock().enqueue(want, Holder::Own, now)
+        node.router.lock().enqueue(request, Holder::Own, now)
     };
     let mut receiver = match queued {
         Ok(receiver) => receiver,
         Err(refusal) => {
             let retry_after = Some(refusal.retry_after);
-            return Waited::Denied(Denied { code: Code::Overloaded, retry_after });
+            return WaitResult::Denied(Denied { code: Code::Overloaded, retry_after });
         }
     };
     loop {
-        let left = want.deadline.since(node.clock.now());
+        let left = request.deadline.since(node.clock.now());
         if left.is_zero() {
-            return Waited::Moved;
+            return WaitResult::Moved;
         }
-        let turn = async_std::future::timeout(left.min(LOOK_AROUND), &mut receiver).await;
-        match turn {
-            Ok(Ok(permit)) => return Waited::Granted(own_slot(node, permit)),
-            Ok(Err(_)) => return Waited::Moved,
+        let granted = async_std::future::timeout(left.min(PEER_POLL_INTERVAL), &mut receiver).await;
+        match granted {
+            Ok(Ok(permit)) => return WaitResult::Granted(slot_from_permit(node, permit)),
+            Ok(Err(_)) => return WaitResult::Moved,
             Err(_) => {}
         }
-        if let Some(slot) = borrow(node, want, 1).await {
+        if let Some(slot) = borrow(node, request, 1).await {
             return_late_permit(node, &mut receiver);
-            return Waited::Granted(slot);
+            return WaitResult::Granted(slot);
         }
         let now = node.clock.now();
-        if node.router.lock().ledger.room(&want.service, now).slots == 0 {
+        if node.router.lock().ledger.room(&request.service, now).slots == 0 {
             return_late_permit(node, &mut receiver);
-            return Waited::Moved;
+            return WaitResult::Moved;
         }
     }
 }
@@ -378,44 +387,48 @@
 fn return_late_permit(node: &Arc<Node>, receiver: &mut oneshot::Receiver<Permit>) {
     receiver.close();
     if let Ok(Some(permit)) = receiver.try_recv() {
-        drop(own_slot(node, permit));
+        drop(slot_from_permit(node, permit));
     }
 }
 
 /// Waits in the queue of a peer that has slots of the service.
-async fn wait_there(node: &Arc<Node>, want: &Want, peer: &id::Entry) -> Waited {
-    let left = want.deadline.since(node.clock.now());
-    note_use(node, peer, want, Use::Waits);
-    let answer = async_std::future::timeout(left, ask(node, peer, want, true)).await;
-    note_use(node, peer, want, Use::WaitsNoMore);
+async fn wait_in_peer_queue(
+    node: &Arc<Node>,
+    request: &SlotRequest,
+    peer: &id::Entry,
+) -> WaitResult {
+    let left = request.deadline.since(node.clock.now());
+    record_use(node, peer, request, SlotUse::Queued);
+    let answer = async_std::future::timeout(left, ask_peer(node, peer, request, true)).await;
+    record_use(node, peer, request, SlotUse::Dequeued);
     match answer {
-        Ok(Reply::Granted(slot)) => Waited::Granted(slot),
+        Ok(Reply::Granted(slot)) => WaitResult::Granted(slot),
         Ok(Reply::Busy(wait)) => {
             let retry_after = Some(wait);
-            Waited::Denied(Denied { code: Code::Overloaded, retry_after })
+            WaitResult::Denied(Denied { code: Code::Overloaded, retry_after })
         }
         Ok(Reply::Gone) => {
-            node.peers.write().note_none(peer, &want.service);
-            Waited::Moved
+            node.peers.write().record_no_slots(peer, &request.service);
+            WaitResult::Moved
         }
-        Err(_) => Waited::Moved,
+        Err(_) => WaitResult::Moved,
     }
 }
 
-fn note_use(node: &Node, peer: &id::Entry, want: &Want, change: Use) {
-    node.peers.write().note_use(peer, &want.service, change);
+fn record_use(node: &Node, peer: &id::Entry, request: &SlotRequest, change: SlotUse) {
+    node.peers.write().record_use(peer, &request.service, change);
 }
 
 /// Borrows a slot from a peer that showed room.
-async fn borrow(node: &Arc<Node>, want: &Want, most: usize) -> Option<Slot> {
+async fn borrow(node: &Arc<Node>, request: &SlotRequest, max_peers: usize) -> Option<Slot> {
     let now = node.clock.now();
     let zone = &node.settings.zone;
-    let candidates = node.peers.read().with_room(&want.service, zone, now);
-    for peer in candidates.into_iter().take(most) {
-        let limit = want.deadline.since(node.clock.now()).min(ASK_LIMIT);
-        match async_std::future::timeout(limit, ask(node, &peer, want, false)).await {
+    let candidates = node.peers.read().with_free_slots(&request.service, zone, now);
+    for peer in candidates.into_iter().take(max_peers) {
+        let limit = request.deadline.since(node.clock.now()).min(ASK_TIMEOUT);
+        match async_std::future::timeout(limit, ask_peer(node, &peer, request, false)).await {
             Ok(Reply::Granted(slot)) => return Some(slot),
-            _ => note_use(node, &peer, want, Use::Full),
+            _ => record_use(node, &peer, request, SlotUse::Full),
         }
     }
     None
@@ -427,16 +440,16 @@
     Gone,
 }
 
-async fn ask(node: &Arc<Node>, peer: &id::Entry, want: &Want, wait: bool) -> Reply {
+async fn ask_peer(node: &Arc<Node>, peer: &id::Entry, request: &SlotRequest, wait: bool) -> Reply {
     let Some(link) = node.peers.read().link(peer) else { return Reply::Gone };
     let Ok(mut channel) = link.open().await else { return Reply::Gone };
     let question = Frame::Ask(frame::Ask {
         entry: node.me.clone(),
-        service: want.service.clone(),
-        class: want.class,
-        left_ms: want.deadline.since(node.clock.now()).as_millis() as u64,
+        service: request.service.clone(),
+        class: request.class,
+        left_ms: request.deadline.since(node.clock.now()).as_millis() as u64,
         wait,
-        avoid: want.avoid.clone(),
+        avoid: request.avoid.clone(),
     });
     if channel.send(&question).await.is_err() {
         return Reply::Gone;
@@ -451,18 +464,18 @@
     node.holding.lock().entry(peer.clone()).or_default().insert(grant.grant);
     if link.is_closed() {
         // The owner has lost this link and may already have counted the slot as free.
-        release(node, peer, grant.grant);
+        release_grant(node, peer, grant.grant);
         return Reply::Gone;
     }
     node.count(Counter::SlotsBorrowed);
-    note_use(node, peer, want, Use::Borrowed);
+    record_use(node, peer, request, SlotUse::Borrowed);
     Reply::Granted(Slot {
         node: node.clone(),
         minion: grant.minion,
         address: grant.address,
         started: node.clock.now(),
-        lender: Some(Lender { entry: peer.clone(), service: want.service.clone(), channel }),
+        lender: Some(Lender { entry: peer.clone(), service: request.service.clone(), channel }),
         grant: Grant(grant.grant),
-        over: false,
+        finished: false,
     })
 }
--- a/crates/entry/src/router/lend.rs
+++ b/crates/entry/src/router/lend.rs
@@ -1,6 +1,6 @@
 //! Lending slots to peers.
 
-use super::{NO_MINION_RETRY, Waiter, Want, finish_own};
+use super::{NO_MINION_RETRY_AFTER, SlotRequest, Waiter, finish_grant};
 use crate::metrics::Counter;
 use crate::node::Node;
 use celerythread_model::code::Code;
@@ -14,14 +14,14 @@
 /// Answers a peer that asks for a slot, and holds it until the peer is done with it.
 pub(crate) async fn lend(node: &Arc<Node>, ask: frame::Ask, mut channel: Channel) {
     let now = node.clock.now();
-    let want = Want {
+    let request = SlotRequest {
         service: ask.service,
         class: ask.class,
         deadline: now + Duration::from_millis(ask.left_ms),
         avoid: ask.avoid,
     };
     let holder = Holder::Peer(ask.entry.clone());
-    let permit = match grant_to_peer(node, &want, holder, ask.wait).await {
+    let permit = match grant_to_peer(node, &request, holder, ask.wait).await {
         Ok(permit) => permit,
         Err(refusal) => {
             if channel.send(&refusal).await.is_ok() {
@@ -49,38 +49,38 @@
             frame::Verdict::Leaving => Verdict::Leaving,
             frame::Verdict::Unused => Verdict::Unused,
         };
-        return finish_own(node, grant, verdict, Duration::from_millis(took_ms));
+        return finish_grant(node, grant, verdict, Duration::from_millis(took_ms));
     }
-    node.peers.write().note_broken(&ask.entry, grant, node.clock.now());
+    node.peers.write().record_broken_grant(&ask.entry, grant, node.clock.now());
 }
 
 async fn grant_to_peer(
     node: &Arc<Node>,
-    want: &Want,
+    request: &SlotRequest,
     holder: Holder,
     wait: bool,
 ) -> Result<Permit, Frame> {
     let now = node.clock.now();
     let queued = {
         let mut router = node.router.lock();
-        if let Some(permit) = router.take(want, holder.clone(), now) {
+        if let Some(permit) = router.try_grant(request, holder.clone(), now) {
             return Ok(permit);
         }
-        if router.ledger.room(&want.service, now).slots == 0 {
+        if router.ledger.room(&request.service, now).slots == 0 {
             let text = "no slots of the service are handed out here".into();
             return Err(Frame::Refusal { code: Code::NoMinion, text });
         }
         let empty = Queue::<Waiter>::default();
-        let queue = router.queues.get(&want.service).unwrap_or(&empty);
+        let queue = router.queues.get(&request.service).unwrap_or(&empty);
         if !wait {
             return Err(busy(queue.retry_after(rand::random())));
         }
-        router.enqueue(want, holder, now).map_err(|refusal| busy(refusal.retry_after))?
+        router.enqueue(request, holder, now).map_err(|refusal| busy(refusal.retry_after))?
     };
-    let left = want.deadline.since(now);
+    let left = request.deadline.since(now);
     match async_std::future::timeout(left, queued).await {
         Ok(Ok(permit)) => Ok(permit),
-        _ => Err(busy(NO_MINION_RETRY)),
+        _ => Err(busy(NO_MINION_RETRY_AFTER)),
     }
 }
 
--- a/crates/entry/src/table.rs
+++ b/crates/entry/src/table.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 /// A table that counts.
-pub(crate) struct Counted {
+pub(crate) struct InstrumentedTable {
     pub(crate) inner: Arc<dyn Table>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) timeline: Arc<Timeline>,
@@ -20,25 +20,25 @@
     pub(crate) reachable: AtomicBool,
 }
 
-impl Counted {
-    fn note<T>(&self, result: &Result<T, Error>) {
+impl InstrumentedTable {
+    fn record_result<T>(&self, result: &Result<T, Error>) {
         let failed = matches!(result, Err(Error::Unavailable { .. } | Error::Lost { .. }));
         if failed {
             self.metrics.count(Counter::PlatformFailures);
         }
-        let before = self.reachable.swap(!failed, Ordering::Relaxed);
-        if before == failed {
-            self.timeline.note(self.clock.wall_ms(), Kind::Platform { reachable: !failed });
+        let was_reachable = self.reachable.swap(!failed, Ordering::Relaxed);
+        if was_reachable == failed {
+            self.timeline.record(self.clock.wall_ms(), Kind::Platform { reachable: !failed });
         }
     }
 }
 
 #[async_trait]
-impl Table for Counted {
+impl Table for InstrumentedTable {
     async fn commit(&self, transaction: Transaction) -> Result<Revision, Error> {
         self.metrics.count(Counter::TableWrites);
         let result = self.inner.commit(transaction).await;
-        self.note(&result);
+        self.record_result(&result);
         if let Ok(revision) = &result {
             self.timeline.witness(event::Clock::statement(*revision));
         }
@@ -48,14 +48,14 @@
     async fn read(&self, space: Space, keys: &[String]) -> Result<Vec<Row>, Error> {
         self.metrics.count(Counter::TableReads);
         let result = self.inner.read(space, keys).await;
-        self.note(&result);
+        self.record_result(&result);
         result
     }
 
     async fn changes(&self, space: Space, since: Revision) -> Result<Changes, Error> {
         self.metrics.count(Counter::TableReads);
         let result = self.inner.changes(space, since).await;
-        self.note(&result);
+        self.record_result(&result);
         result
     }
 }
--- a/crates/entry/src/timeline.rs
+++ b/crates/entry/src/timeline.rs
@@ -27,19 +27,19 @@
     }
 
     /// Notes an event, and writes it as a log line: each is a change of state.
-    pub fn note(&self, at: u64, kind: Kind) {
+    pub fn record(&self, at: u64, kind: Kind) {
         let clock = self.state.lock().clock.advance();
-        self.keep(clock, at, kind);
+        self.append(clock, at, kind);
     }
 
     /// Notes an event that a committed revision is the statement of.
-    pub fn note_at(&self, at: u64, revision: Revision, kind: Kind) {
+    pub fn record_committed(&self, at: u64, revision: Revision, kind: Kind) {
         let clock = Clock::statement(revision);
         self.witness(clock);
-        self.keep(clock, at, kind);
+        self.append(clock, at, kind);
     }
 
-    fn keep(&self, clock: Clock, at: u64, kind: Kind) {
+    fn append(&self, clock: Clock, at: u64, kind: Kind) {
         let event = Event { process: self.process.clone(), clock, at, kind };
         log::info!(process = self.process.as_str(), clock = clock.to_string().as_str(); "{event}");
         let mut state = self.state.lock();
--- a/crates/entry/tests/timeline.rs
+++ b/crates/entry/tests/timeline.rs
@@ -22,9 +22,9 @@
 
     for entry in [&writer, &other] {
         entry.witness(Clock::statement(committed));
-        entry.note(0, Kind::ConfigInForce { number: NUMBER });
+        entry.record(0, Kind::ConfigInForce { number: NUMBER });
     }
-    writer.note_at(0, committed, accepted.clone());
+    writer.record_committed(0, committed, accepted.clone());
 
     let merged = merge([writer.events(), other.events()].concat());
     let kinds: Vec<_> = merged.iter().map(|event| &event.kind).collect();
@@ -40,10 +40,10 @@
     let [writer, other] = ["a", "b"].map(timeline);
     let accepted = Kind::ConfigAccepted { number: NUMBER, change: "c1".parse().unwrap() };
 
-    (0..100).for_each(|_| writer.note(0, Kind::Platform { reachable: true }));
-    writer.note_at(0, committed, accepted.clone());
+    (0..100).for_each(|_| writer.record(0, Kind::Platform { reachable: true }));
+    writer.record_committed(0, committed, accepted.clone());
     other.witness(Clock::statement(committed));
-    other.note(0, Kind::ConfigInForce { number: NUMBER });
+    other.record(0, Kind::ConfigInForce { number: NUMBER });
 
     let merged = merge([writer.events(), other.events()].concat());
     let last_two: Vec<_> = merged.iter().rev().take(2).map(|event| event.kind.clone()).collect();
--- a/tests/all/faults.rs
+++ b/tests/all/faults.rs
@@ -272,12 +272,12 @@
             ),
             (
                 "a grant whose exchange broke is taken back once its borrower's beats do not list it",
-                "entry::peers::Peers::note_broken",
+                "entry::peers::Peers::record_broken_grant",
                 "a_slot_granted_to_one_who_gave_up_comes_back",
             ),
             (
                 "slots lent to an entry that left the registry are taken back",
-                "entry::peers::settle_unregistered",
+                "entry::peers::reclaim_from_unregistered",
                 "a_dead_borrower_gives_its_slots_back",
             ),
         ],
