--- a/crates/entry/src/bounded.rs
+++ b/crates/entry/src/bounded.rs
@@ -1,13 +1,13 @@
-//! Memory held by request bodies, bounded over all connections of the process.
+//! A limit on the memory held by request bodies over all connections of the process.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The bytes that are left.
+/// The bytes that can still be reserved.
 #[derive(Clone, Debug)]
 pub(crate) struct MemoryBudget(Arc<AtomicU64>);
 
-/// Bytes taken out of the pool, until it is dropped.
+/// Reserved bytes, released on drop.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     budget: MemoryBudget,
@@ -19,7 +19,7 @@
         Self(Arc::new(AtomicU64::new(bytes)))
     }
 
-    /// Takes `bytes` out, or nothing when they are not there.
+    /// Reserves `bytes`; none when fewer are available.
     pub(crate) fn reserve(&self, bytes: u64) -> Option<Reservation> {
         let taken = self
             .0
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,8 +1,8 @@
-//! Keyed requests' claims, committed several to a transaction.
+//! Claims of keyed requests, committed in batches.
 //!
-//! The table takes several hundred writes a second in all, far fewer than there may be keyed
-//! requests.  So claims and settlements that arrive while one transaction is on its way go
-//! together into the next.
+//! The table sustains several hundred writes a second over all entries, fewer than there may be
+//! keyed requests.  So claims and settlements that arrive while a transaction is in progress are
+//! batched into the next one.
 
 use crate::metrics::Counter;
 use crate::node::Node;
@@ -24,26 +24,27 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Most writes in one transaction.
+/// Maximum number of writes in one transaction.
 const MAX_BATCH_WRITES: usize = 128;
 
-/// Operations that may wait for the next transactions.
+/// Maximum number of operations queued for later transactions; submitters wait beyond it.
 const MAX_QUEUED_WRITES: usize = 4096;
 
-/// Times a batch whose answer was lost is read back before its claims are given up.
+/// Maximum number of attempts to read back a batch whose answer was lost, before its operations
+/// fail.
 const MAX_READ_BACK_ATTEMPTS: u32 = 3;
 
-/// Wait between two tries while the platform does not answer.
+/// Delay before a call that failed is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Largest body kept in the claim's row; a larger one goes to the object store.
+/// Largest body stored in the claim's row; a larger one goes to the object store.
 const MAX_INLINE_BODY_BYTES: usize = 8 * 1024;
 
-/// The way to the task that commits.
+/// The queue to the task that commits claims.
 pub(crate) struct Claims {
     sender: Sender<Operation>,
     receiver: Receiver<Operation>,
-    /// Settlements not yet committed; a graceful stop waits for them.
+    /// Settlements and removals not yet committed; a graceful stop waits for them.
     unsettled: AtomicUsize,
 }
 
@@ -55,16 +56,17 @@
     reply: oneshot::Sender<Result<Revision, WriteError>>,
 }
 
-/// Why a write was not made.
+/// Why a write failed.
 #[derive(Debug)]
 enum WriteError {
-    /// Another row stands under the key.
+    /// The row's revision is not the expected one; this is the current row.
     Conflict(Row),
-    /// The platform did not answer; nothing of ours stays in the table for good.
+    /// The platform did not answer.  A claim that may have been committed all the same is removed
+    /// in the background.
     Unavailable,
 }
 
-/// A claim that is ours.
+/// A claim that this process has made.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnedClaim {
     key: String,
@@ -72,11 +74,11 @@
     claim: Claim,
 }
 
-/// What to do with a keyed request.
+/// The result of claiming a key.
 pub(crate) enum ClaimResult {
-    /// Run it, then settle the claim.
+    /// The key is claimed: run the request, then settle the claim.
     Run(OwnedClaim),
-    /// Another run decides.
+    /// The key has a claim already, which decides the answer.
     Exists(Decision),
     /// Claims cannot be recorded now.
     Unavailable,
@@ -88,7 +90,7 @@
         Self { sender, receiver, unsettled: AtomicUsize::new(0) }
     }
 
-    /// Settlements not yet committed.
+    /// Settlements and removals not yet committed.
     pub(crate) fn unsettled(&self) -> usize {
         self.unsettled.load(Ordering::SeqCst)
     }
@@ -108,7 +110,7 @@
     }
 }
 
-/// The row's key for a caller's key.
+/// The key of the claim's row for a caller's key.
 fn row_key(service: &id::Service, key: &str) -> String {
     format!("claim/{service}/{}", hex(&Sha256::digest(key.as_bytes())))
 }
@@ -117,7 +119,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A digest of what a key was used for.
+/// A digest of the request that a key is used for.
 pub(crate) fn fingerprint(method: &str, path: &str, body: &[u8]) -> String {
     let mut digest = Sha256::new();
     for part in [method.as_bytes(), path.as_bytes(), body] {
@@ -137,7 +139,7 @@
     let key = row_key(service, key);
     let attempt = format!("{:016x}", rand::random::<u64>());
     let claim = Claim {
-        attempt: attempt.parse().expect("hexadecimal digits are an id"),
+        attempt: attempt.parse().expect("hexadecimal digits form a valid id"),
         entry: node.me.clone(),
         fingerprint,
         stage: Stage::Running,
@@ -159,8 +161,8 @@
     }
 }
 
-/// Records what became of a claimed request, in the background: the caller has its answer
-/// already, and a repeat is told "still running" until this is committed.
+/// Records the outcome of a claimed request in the background, so that the caller's answer does
+/// not wait for it.  A repeat is answered "still running" until this is committed.
 pub(crate) fn settle(
     node: &Arc<Node>,
     owned: OwnedClaim,
@@ -194,7 +196,7 @@
     let claim = stage.map(|stage| Claim { stage, ..owned.claim.clone() });
     loop {
         match node.claims.submit(&owned.key, owned.revision, claim.clone()).await {
-            // A conflict means that the row has changed hands, which only an operator can do.
+            // A conflict: an earlier try was committed after all, or an operator changed the row.
             Ok(_) | Err(WriteError::Conflict(_)) => return,
             Err(WriteError::Unavailable) => {
                 if !node.pause(RETRY_DELAY).await {
@@ -205,7 +207,7 @@
     }
 }
 
-/// Puts a body where repeats find it.
+/// Stores a body for repeats: in the answer itself, or in the object store if it is large.
 async fn store_body(node: &Arc<Node>, owned: &OwnedClaim, answer: Answer, body: Vec<u8>) -> Answer {
     if body.len() <= MAX_INLINE_BODY_BYTES {
         return Answer { body: Some(BASE64_STANDARD.encode(&body)), ..answer };
@@ -219,7 +221,7 @@
     Answer { object: Some(name), ..answer }
 }
 
-/// Fetches the body of a kept answer; none while the object store does not answer.
+/// Fetches the body of a stored answer; none while the object store does not answer.
 pub(crate) async fn stored_body(node: &Node, answer: &Answer) -> Option<Vec<u8>> {
     if let Some(text) = &answer.body {
         return BASE64_STANDARD.decode(text).ok();
@@ -228,11 +230,11 @@
     node.platform.objects.get(name).await.ok().flatten()
 }
 
-/// Commits what is submitted, until the process ends.
+/// Commits submitted operations until the process ends.
 ///
 /// Transactions begin at least `claim_interval` apart, so that all entries together stay within
-/// the table's several hundred writes a second however many keyed requests there are.  The
-/// first after a pause goes at once.
+/// the table's several hundred writes a second however many keyed requests there are.  The first
+/// one after an idle time begins at once.
 pub(crate) async fn commit_forever(node: Arc<Node>) {
     let mut backlog: VecDeque<Operation> = VecDeque::new();
     let interval = node.settings.claim_interval.0;
@@ -255,7 +257,8 @@
     }
 }
 
-/// The next operations, no two on one key: the second's condition needs the first's revision.
+/// Takes the next operations, at most one per key: the condition of a second one depends on the
+/// revision that the first one gets.
 fn next_batch(backlog: &mut VecDeque<Operation>) -> Vec<Operation> {
     let mut keys = BTreeSet::new();
     let mut batch = Vec::new();
@@ -281,8 +284,8 @@
                 }
                 return;
             }
-            // Those whose condition failed are answered, and the others go again: a conflict
-            // on one key must not fail the requests that happened to share its transaction.
+            // Operations whose condition failed are answered, and the others are retried: a
+            // conflict on one key must not fail the requests that share its transaction.
             Err(Error::Conflict { rows }) => batch = answer_conflicts(batch, rows),
             Err(Error::Lost { .. }) => batch = read_back(node, batch).await,
             Err(_) => {
@@ -322,10 +325,11 @@
     left
 }
 
-/// After a lost answer: finds out whether the transaction was committed.
+/// Finds out whether a transaction whose answer was lost was committed, and returns the
+/// operations to retry.
 ///
-/// Without this a claim could stand in the table that its own maker takes for not made: it
-/// would refuse the request as not run, and every repeat would be told "still running".
+/// Without this, a claim could be in the table although this process assumes that it isn't: the
+/// request would be refused as not run, and every repeat would be answered "still running".
 async fn read_back(node: &Arc<Node>, batch: Vec<Operation>) -> Vec<Operation> {
     let keys: Vec<String> = batch.iter().map(|operation| operation.key.clone()).collect();
     for _ in 0..MAX_READ_BACK_ATTEMPTS {
@@ -339,8 +343,8 @@
             if existing == operation.claim {
                 let _ = operation.reply.send(Ok(row.revision));
             } else {
-                // Not committed.  Should another have changed the row meanwhile, the
-                // condition tells when the operation goes again.
+                // Not committed.  If another process has changed the row meanwhile, the retry
+                // fails on its condition.
                 left.push(operation);
             }
         }
@@ -353,8 +357,8 @@
     Vec::new()
 }
 
-/// Removes a claim that may have been made although its request was refused, as soon as the
-/// platform answers again.
+/// Removes, once the platform answers again, a claim that may have been committed although its
+/// request was refused.
 fn remove_uncertain_claim(node: &Arc<Node>, operation: &Operation) {
     let Some(claim) = operation.claim.clone().filter(|claim| claim.stage == Stage::Running) else {
         return;
--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -7,22 +7,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Connections kept to one minion.  Nine entries with two idle ones each, and the eight slots,
-/// stay far below a minion's 64.
+/// Maximum number of idle connections to one minion.  Two from each of nine entries, and those
+/// of the eight slots, stay far below a minion's limit of 64.
 const MAX_IDLE_PER_MINION: usize = 2;
 
-/// Longest wait for a connection to a minion.
+/// Longest time to connect to a minion.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The connections.
+/// A cache of idle connections by minion address.
 #[derive(Default)]
 pub(crate) struct Connections {
     idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
 impl Connections {
-    /// A connection for a request that may be sent again: an idle one that shows no sign of
-    /// having been closed, else a new one.
+    /// Returns a connection for a request that may be resent: an idle one that shows no sign of
+    /// having been closed, or else a new one.
     pub(crate) async fn reuse(
         &self,
         address: SocketAddr,
@@ -36,10 +36,10 @@
         self.open(address, left).await
     }
 
-    /// A new connection.
+    /// Opens a new connection.
     ///
-    /// A request that must run at most once goes only onto a new one: an idle connection may
-    /// have been forgotten by something in between, and then nobody can tell whether the
+    /// A request that must run at most once is sent on a new connection only: a firewall or NAT
+    /// in between may have dropped its state of an idle one, and then it is unknown whether the
     /// request arrived.
     pub(crate) async fn open(
         &self,
@@ -53,7 +53,7 @@
         self.idle.lock().get_mut(&address)?.pop()
     }
 
-    /// Keeps a connection whose last answer was read whole.
+    /// Adds a connection whose last answer was read to its end, unless the minion has enough.
     pub(crate) fn add_idle(&self, address: SocketAddr, connection: Connection) {
         let mut idle = self.idle.lock();
         let connections = idle.entry(address).or_default();
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Carrying one request to a minion, and to another one where that is allowed.
+//! Sends a request to a minion, and resends it to another one where that is allowed.
 
 use crate::metrics::Counter;
 use crate::node::Node;
@@ -23,29 +23,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Answers up to this size are received whole before the caller gets their first byte, so that
-/// a broken one can still be fetched again or told as broken.
+/// Answers up to this size are buffered before the caller gets the first byte.  If such an answer
+/// breaks off, the request can still be resent or the failure reported.
 const MAX_BUFFERED_ANSWER_BYTES: usize = 1 << 20;
 
-/// Largest answer that can be kept for a keyed request.
+/// Largest answer that can be stored for a keyed request.
 const MAX_STORED_ANSWER_BYTES: usize = 32 << 20;
 
-/// Most attempts at one request, whatever the budget says.
+/// Maximum number of attempts at one request, whatever the retry budget allows.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// Pieces of a long answer that wait for a slow caller.
+/// Maximum number of chunks of a streamed answer buffered for a slow caller.
 const MAX_QUEUED_CHUNKS: usize = 8;
 
-/// Retry budgets by service.
+/// Retry budgets of the services.
 pub(crate) type Budgets = Mutex<HashMap<id::Service, Budget>>;
 
-/// A request to be carried.
+/// A checked request, ready to be sent to a minion.
 pub(crate) struct PreparedRequest {
     pub(crate) service: Service,
     pub(crate) class: Class,
     pub(crate) deadline: Moment,
     pub(crate) idempotence: Idempotence,
-    /// Whether the whole answer is to be kept.
+    /// Whether the answer is to be stored for repeats, so that all of it must be buffered.
     pub(crate) keyed: bool,
     pub(crate) method: Method,
     pub(crate) target: String,
@@ -59,15 +59,15 @@
     pub(crate) body: AnswerBody,
 }
 
-/// A body as it was received.
+/// The body of a minion's answer.
 pub(crate) enum AnswerBody {
-    /// All of it.
+    /// The whole body.
     Whole(Vec<u8>),
-    /// More than is held in memory; it follows while the minion sends it.
+    /// A body too large to buffer, streamed while the minion sends it.
     Streaming(Body),
 }
 
-/// A request given up on.
+/// Why a request has no answer from a minion.
 #[derive(Debug)]
 pub(crate) struct DispatchError {
     pub(crate) code: Code,
@@ -80,16 +80,16 @@
 struct FailedAttempt {
     code: Code,
     phase: Phase,
-    /// What is certain, where the phase alone does not say it.
+    /// The outcome, where it doesn't follow from the phase.
     outcome: Option<Outcome>,
     detail: String,
     minion: id::Minion,
 }
 
-/// Carries a request until it is answered or given up on.
+/// Sends a request to minions until one answers or it may not be resent.
 ///
 /// # Errors
-/// `Failed` with the code and what is certain about the request.
+/// `DispatchError` with the code and the request's outcome as far as it is known.
 pub(crate) async fn run(
     node: &Arc<Node>,
     budgets: &Budgets,
@@ -161,8 +161,8 @@
     }
 }
 
-/// A failure before anything was sent is told as "no minion", so that its code and its outcome
-/// say the same.
+/// Replaces the code of a failure before anything was sent by "no minion", so that code and
+/// outcome agree.
 fn failure_code(code: Code, outcome: Outcome) -> Code {
     if outcome == Outcome::NotRun { Code::NoMinion } else { code }
 }
@@ -219,7 +219,7 @@
         }
     };
     if answer.length == Length::UntilClose {
-        // Nobody can tell such an answer from one that was cut.
+        // Such an answer can't be told from a truncated one.
         let fault = Fault::Truncated;
         let failed_attempt = failed_attempt(slot, Code::AnswerBroken, Phase::AnswerBegun, &fault);
         return Err(FailedAttempt { outcome: Some(Outcome::Run), ..failed_attempt });
@@ -230,7 +230,7 @@
     receive_body(node, prepared, slot, connection, answer).await
 }
 
-/// A minion that answers 503 is leaving or full; idempotent work goes elsewhere.
+/// A minion that answers 503 is leaving or overloaded; idempotent requests go to another one.
 fn unavailable(slot: Slot) -> FailedAttempt {
     let minion = slot.minion.clone();
     slot.finish(Verdict::Leaving);
@@ -288,7 +288,7 @@
                 return Ok(MinionAnswer { head: answer.head, body });
             }
             Err(fault) => {
-                // The minion answered, so it ran the request; only its words are lost.
+                // The minion began to answer, so it ran the request; only the answer is lost.
                 let failed_attempt =
                     failed_attempt(slot, Code::AnswerBroken, Phase::AnswerBegun, &fault);
                 return Err(FailedAttempt { outcome: Some(Outcome::Run), ..failed_attempt });
@@ -308,8 +308,8 @@
     Ok(MinionAnswer { head: answer.head, body: AnswerBody::Streaming(body) })
 }
 
-/// Passes a long answer on while it comes.  When the minion breaks off, so does the caller's
-/// connection: a cut answer is never made to look whole.
+/// Streams a long answer to the caller.  If the minion's answer is truncated, the caller's
+/// connection is aborted, so that the answer never looks complete.
 fn stream_body(
     slot: Slot,
     received: Vec<u8>,
@@ -327,7 +327,7 @@
             match reader.next(&mut stream).await {
                 Ok(Some(chunk)) => {
                     if sender.send(Ok(chunk)).await.is_err() {
-                        // The caller has gone; the rest of the answer is of no use.
+                        // The caller has disconnected; the rest of the answer isn't needed.
                         return slot.finish(Verdict::Answered);
                     }
                 }
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -1,12 +1,12 @@
-//! The callers' interface: what a request must say, and what it is told.
+//! The callers' HTTP interface: checks requests, and answers them or refuses them.
 //!
 //! | header | meaning |
 //! |---|---|
 //! | `Celerythread-Service` | the service, required |
-//! | `Priority` (RFC 9218) | `u=0` to `u=3` is urgent, `u=4` to `u=7` patient; urgent without it |
-//! | `Celerythread-Deadline` | a time such as `5s`; the service's default without it |
-//! | `Celerythread-Team` | whose quota it counts against |
-//! | `Idempotency-Key` | makes a repeat get the first run's answer |
+//! | `Priority` (RFC 9218) | `u=0` to `u=3` is urgent, `u=4` to `u=7` patient; default urgent |
+//! | `Celerythread-Deadline` | a duration such as `5s`; default is the service's |
+//! | `Celerythread-Team` | the team whose quota the request counts against |
+//! | `Idempotency-Key` | a repeat with the same key gets the first run's answer |
 
 use crate::claims::{self, ClaimResult, OwnedClaim};
 use crate::dispatch::{self, AnswerBody, Budgets, DispatchError, MinionAnswer, PreparedRequest};
@@ -29,19 +29,19 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// When to come back while claims cannot be recorded, or a run is still going on.
+/// Retry-After while claims cannot be recorded or the first request is still running.
 const CLAIM_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// When to come back to another instance while this one stops.
+/// Retry-After while this instance stops; the retry reaches another one.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Longest idempotency key.
+/// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 128;
 
 /// Least urgent value of `Priority`'s `u` that still counts as urgent.
 const MAX_URGENT_PRIORITY: u8 = 3;
 
-/// Headers that belong to one connection and are not passed on, and our own.
+/// Headers that aren't forwarded: those of one connection, and this interface's own.
 const NOT_FORWARDED: [&str; 14] = [
     "connection",
     "keep-alive",
@@ -100,6 +100,7 @@
         }
     }
 
+    /// Counts a request against its team's quota.
     fn acquire_quota(
         &self,
         checked: &CheckedRequest,
@@ -107,7 +108,7 @@
     ) -> Result<QuotaGuard<'_>, Problem> {
         let Some(team) = &checked.team else { return Ok(QuotaGuard { handler: self, team: None }) };
         if !self.quota.lock().enter(team, document) {
-            let detail = format!("team {team} has its quota of requests in flight");
+            let detail = format!("team {team} has reached its quota of requests in flight");
             let problem = Problem::new(Code::QuotaExceeded, detail);
             return Err(problem.retry_after(Duration::from_secs(1)));
         }
@@ -172,7 +173,7 @@
                 let detail = "this key was used for another request";
                 Err(Problem::new(Code::KeyReused, detail))
             }
-            // A claim that reads back as ours was answered as ours already.
+            // `Run` isn't expected: a request's own claim is recognized when it is read back.
             Decision::Unknown | Decision::Run => {
                 let detail = "the first request with this key may have run";
                 Err(Problem::new(Code::OutcomeUnknown, detail))
@@ -182,7 +183,7 @@
 
     async fn replay(&self, answer: Answer) -> Result<Response, Problem> {
         let Some(body) = claims::stored_body(&self.node, &answer).await else {
-            let detail = "the kept answer cannot be read now";
+            let detail = "the stored answer cannot be read now";
             return Err(
                 Problem::new(Code::AnswerUnavailable, detail).retry_after(CLAIM_RETRY_AFTER)
             );
@@ -199,7 +200,7 @@
     }
 }
 
-/// A team's request, counted until it is dropped.
+/// A request's place in its team's quota, released on drop.
 struct QuotaGuard<'a> {
     handler: &'a CallerHandler,
     team: Option<id::Team>,
@@ -241,7 +242,7 @@
     }
 }
 
-/// What a repeat will be told.
+/// The answer to store for repeats; none for a streamed one.
 fn storable_answer(minion_answer: &MinionAnswer) -> Option<(Answer, Vec<u8>)> {
     let AnswerBody::Whole(body) = &minion_answer.body else { return None };
     let mut headers = Vec::new();
@@ -260,7 +261,7 @@
     }
 }
 
-/// Checks a request against the configuration in force.
+/// Checks a request against the configuration in force and prepares it for dispatch.
 fn check_request(
     node: &Node,
     document: &Document,
@@ -277,7 +278,7 @@
     }
     let method = request.head.method();
     let idempotence = Idempotence::of_method(method.as_ref());
-    // A key only matters where a second run would do harm.
+    // A second run of an idempotent request does no harm, so its key is ignored.
     let key = key.filter(|_| idempotence == Idempotence::NonIdempotent);
     let url = request.head.url();
     let target = match url.query() {
@@ -307,10 +308,11 @@
     })
 }
 
-/// The class by the urgency of RFC 9218's `Priority`.
+/// The class that follows from the urgency in RFC 9218's `Priority`.
 fn class(header: Option<&str>) -> Result<Class, Problem> {
     let Some(header) = header else { return Ok(Class::Urgent) };
-    let wrong = || Problem::new(Code::UnknownClass, format!("Priority {header:?} is not u=0 to 7"));
+    let wrong =
+        || Problem::new(Code::UnknownClass, format!("Priority {header:?} is not u=0 to u=7"));
     for part in header.split(',').map(str::trim) {
         if let Some(urgency) = part.strip_prefix("u=") {
             let urgency: u8 = urgency.parse().map_err(|_| wrong())?;
@@ -332,12 +334,12 @@
     let span: Option<Span> = text.parse().ok();
     let valid = span.filter(|span| *span > Span::default() && *span <= MAX_DEADLINE);
     valid.ok_or_else(|| {
-        let detail = format!("{text:?} is not a time between 1ms and {MAX_DEADLINE}");
+        let detail = format!("{text:?} is not a duration between 1ms and {MAX_DEADLINE}");
         Problem::new(Code::BadDeadline, detail)
     })
 }
 
-/// The key, with the quotes of a structured string taken off.
+/// The key without the quotes of an RFC 8941 string.
 fn key(header: Option<&str>) -> Result<Option<String>, Problem> {
     let Some(header) = header else { return Ok(None) };
     let key = header.trim().trim_matches('"');
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters: read as a text page, and sent by statsd.
+//! Counters, served as a text page and sent to statsd.
 
 use crate::settings::Settings;
 use cadence::prelude::*;
@@ -11,17 +11,17 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use strum::{Display, VariantArray};
 
-/// What is counted.  `docs/operations/alarms.md` says what each means and what to do.
+/// The counters.  `docs/operations/alarms.md` describes each and how to respond.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, VariantArray)]
 #[strum(serialize_all = "snake_case")]
 pub enum Counter {
-    /// Requests received whole from callers.
+    /// Requests completely received from callers.
     Requests,
-    /// Answers of minions given to callers.
+    /// Answers of minions delivered to callers.
     Answers,
-    /// Requests sent again.
+    /// Requests resent.
     Resends,
-    /// Resends that the budget forbade.
+    /// Resends denied by the retry budget.
     ResendsDenied,
     /// Dispatches to minions.
     Dispatches,
@@ -33,7 +33,7 @@
     SlotsBorrowed,
     /// Claims committed.
     Claims,
-    /// Repeats answered from a kept answer.
+    /// Repeats answered with a stored answer.
     Replays,
     /// Transactions committed to the table.
     TableWrites,
@@ -41,15 +41,15 @@
     TableReads,
     /// Calls to the platform that failed.
     PlatformFailures,
-    /// Rows taken from a peer in place of the platform.
+    /// Rows fetched from a peer instead of the platform.
     RelayedRows,
-    /// Beats received.
+    /// Heartbeats received from peers.
     Beats,
-    /// Links to peers that were given up.
+    /// Links to peers closed after a failed exchange of heartbeats.
     LinksLost,
-    /// Minions set aside.
+    /// Ejections of unhealthy minions.
     Ejections,
-    /// Pauses of this process that were noticed.
+    /// Detected pauses of this process.
     Pauses,
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl Metrics {
-    /// Counters at nought, sent to the settings' address if there is one.
+    /// Counters at zero, sent to the settings' statsd address if there is one.
     pub fn new(settings: &Settings) -> Self {
         let count = Counter::VARIANTS.len();
         let client = settings.statsd.and_then(|address| {
@@ -79,17 +79,17 @@
         }
     }
 
-    /// Counts one.
+    /// Adds one to a counter.
     pub fn count(&self, counter: Counter) {
         self.add(counter, 1);
     }
 
-    /// Counts several.
+    /// Adds `n` to a counter.
     pub fn add(&self, counter: Counter, n: u64) {
         self.counters[counter as usize].fetch_add(n, Ordering::Relaxed);
     }
 
-    /// Counts a refusal by its code.
+    /// Counts a refused request under its code.
     pub fn count_refusal(&self, code: Code) {
         *self.refused.lock().entry(code.number()).or_default() += 1;
     }
@@ -104,7 +104,7 @@
         self.refused.lock().clone()
     }
 
-    /// The text page: a name and a number a line.
+    /// The text page: one counter per line, its name and value.
     pub fn page(&self) -> String {
         let mut page = String::new();
         for counter in Counter::VARIANTS {
@@ -116,7 +116,7 @@
         page
     }
 
-    /// Sends what was counted since the last time.
+    /// Sends what was counted since the last call to statsd.
     pub fn send(&self) {
         let Some(client) = &self.client else { return };
         let mut sent = self.sent.lock();
@@ -125,7 +125,7 @@
             let new = value - sent[index];
             sent[index] = value;
             if new > 0 {
-                // Counters are best effort; a lost datagram is only a lower figure.
+                // Best effort: a lost datagram only makes statsd's figure too low.
                 let _ = client.count(&counter.to_string(), new as i64);
             }
         }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other entries: links, beats, and the exchanges they open.
+//! The other entries: links to them, heartbeats, and the exchanges that they open.
 
 use crate::metrics::Counter;
 use crate::node::Node;
@@ -17,28 +17,30 @@
 use std::time::Duration;
 use stop_token::future::FutureExt;
 
-/// A peer that was not heard for so long, or for so many beats, gets no requests for slots.
+/// A peer silent for this long and for `PEER_TIMEOUT_BEATS` heartbeats counts as unreachable: it
+/// isn't asked for slots.
 const MIN_PEER_TIMEOUT: Duration = Duration::from_secs(3);
 const PEER_TIMEOUT_BEATS: u32 = 3;
 
-/// Longest wait for a dial, a beat or rows.
+/// Longest time for an exchange of heartbeats, including the dial, and for one of rows.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A grant whose exchange broke is settled by a beat that comes at least so long after, so that
-/// one still on its way is either listed by then or was refused by the asker.
+/// A grant whose exchange broke counts as unused once a heartbeat at least this much later
+/// doesn't list it.  By then a grant in transit has reached the borrower, which lists it, or was
+/// rejected by it.
 const SETTLE_DELAY: Duration = Duration::from_secs(2);
 
 /// What is known of a peer.
 #[derive(Default)]
 pub(crate) struct Peer {
     link: Option<Link>,
-    /// Its last beat.
+    /// Its last heartbeat; none once it is silent for too long.
     pub(crate) beat: Option<Beat>,
-    /// When it was last heard.
+    /// When its last heartbeat arrived.
     pub(crate) last_heard: Moment,
-    /// Grants lent to it whose exchange broke before it said `Finish`, and when.
+    /// Grants lent to it whose exchange broke before its `Finish` frame, and when it broke.
     broken_grants: Vec<(Grant, Moment)>,
-    /// Work on each of its minions, the highest of the last two beats.
+    /// Outstanding requests on each of its minions, the higher figure of the last two heartbeats.
     load: HashMap<id::Minion, u32>,
     zone: Option<id::Zone>,
 }
@@ -50,7 +52,7 @@
 }
 
 impl Peers {
-    /// No peers yet; `beat` is the longest time between two beats.
+    /// No peers yet; `beat` is the longest interval between heartbeats.
     pub(crate) fn new(beat: Duration) -> Self {
         Self { all: BTreeMap::new(), timeout: MIN_PEER_TIMEOUT.max(beat * PEER_TIMEOUT_BEATS) }
     }
@@ -65,7 +67,7 @@
         self.all.get(entry)
     }
 
-    /// All peers heard of.
+    /// All known peers.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&id::Entry, &Peer)> {
         self.all.iter()
     }
@@ -78,7 +80,8 @@
         })
     }
 
-    /// Peers that showed free slots of a service, those of the own zone first, then most free.
+    /// Peers whose last heartbeat showed free slots of a service: those of the own zone first, and
+    /// then by the number of free slots, descending.
     pub(crate) fn with_free_slots(
         &self,
         service: &id::Service,
@@ -97,8 +100,8 @@
         found.into_iter().map(|(_, _, entry)| entry.clone()).collect()
     }
 
-    /// The peer with the shortest queue for its slots of a service, and how long that is: the
-    /// requests that wait, with one more, for each slot.
+    /// The peer with the shortest queue per slot of a service, and that queue's length by
+    /// `waiting_per_slot`.
     pub(crate) fn shortest_queue(
         &self,
         service: &id::Service,
@@ -112,9 +115,9 @@
         best.map(|(length, entry)| (length, entry.clone()))
     }
 
-    /// Keeps up with what this entry itself has asked of a peer since its last beat: beats come
-    /// once a second, and without this a peer that could lend hundreds of slots in that time
-    /// would be asked for no more than the few that it showed.
+    /// Updates a peer's figures with this entry's own use of its slots since the last heartbeat.
+    /// Heartbeats come once a second; without this a peer that could lend hundreds of slots in that
+    /// time would be asked for no more than the few that it showed.
     pub(crate) fn record_use(&mut self, entry: &id::Entry, service: &id::Service, change: SlotUse) {
         let Some(beat) = self.all.get_mut(entry).and_then(|peer| peer.beat.as_mut()) else {
             return;
@@ -127,19 +130,20 @@
             SlotUse::Dequeued => room.waiting = room.waiting.saturating_sub(1),
             SlotUse::Borrowed => room.free = room.free.saturating_sub(1),
             SlotUse::Returned => room.free = (room.free + 1).min(room.slots),
-            // Do not ask again before its next beat, or before something was returned to it.
+            // Not asked again before its next heartbeat, or before a slot was returned to it.
             SlotUse::Full => room.free = 0,
         }
     }
 
-    /// A peer does not hand out the service any more: do not ask again before its next beat.
+    /// Records that a peer no longer has slots of the service, so that it isn't asked again before
+    /// its next heartbeat.
     pub(crate) fn record_no_slots(&mut self, entry: &id::Entry, service: &id::Service) {
         if let Some(beat) = self.all.get_mut(entry).and_then(|peer| peer.beat.as_mut()) {
             beat.room.retain(|room| room.service != *service);
         }
     }
 
-    /// What a peer's minion had outstanding when the peer was last heard.
+    /// The requests outstanding on a peer's minion by the peer's last heartbeats.
     pub(crate) fn last_load(&self, entry: &id::Entry, minion: &id::Minion) -> u32 {
         let peer = self.all.get(entry);
         peer.and_then(|peer| peer.load.get(minion)).copied().unwrap_or(0)
@@ -176,9 +180,9 @@
         BeatEffects { reappeared, unused }
     }
 
-    /// The exchange of a grant lent to a peer broke: whether it still uses the slot shows in its
-    /// beats.  That the link is lost is only one of the causes; an asker that gave up waiting
-    /// just when it was granted the slot is another.
+    /// Records that the exchange of a grant lent to a peer broke; the peer's heartbeats show
+    /// whether it still uses the slot.  Causes are a lost link, and a borrower that stopped waiting
+    /// just when the slot was granted.
     pub(crate) fn record_broken_grant(&mut self, entry: &id::Entry, grant: Grant, now: Moment) {
         if let Some(peer) = self.all.get_mut(entry) {
             peer.broken_grants.push((grant, now));
@@ -192,34 +196,35 @@
     }
 }
 
-/// What this entry does with a peer's slots.
+/// A change in this entry's use of a peer's slots.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum SlotUse {
-    /// A request waits in its queue.
+    /// A request joined the peer's queue.
     Queued,
-    /// It does not wait any more.
+    /// A request left the peer's queue.
     Dequeued,
     /// A slot was borrowed.
     Borrowed,
-    /// It was given back.
+    /// A borrowed slot was returned.
     Returned,
-    /// It had none free after all.
+    /// The peer had no free slot.
     Full,
 }
 
-/// The requests that would wait for each slot, with one more.
+/// The length of a queue relative to its slots, with one more request in it.
 pub(crate) fn waiting_per_slot(waiting: u32, slots: u32) -> f64 {
     f64::from(waiting + 1) / f64::from(slots.max(1))
 }
 
-/// What follows from a beat.
+/// The effects of a heartbeat.
 struct BeatEffects {
+    /// Whether the peer was unknown or silent before.
     reappeared: bool,
-    /// Grants that the peer does not use any more.
+    /// Broken grants that the peer no longer uses, and when their exchange broke.
     unused: Vec<(Grant, Moment)>,
 }
 
-/// This entry's own beat, for one peer.
+/// This entry's own heartbeat, for one peer.
 pub(crate) fn own_beat(node: &Node, to: &id::Entry) -> Beat {
     let now = node.clock.now();
     let (config, view) = {
@@ -268,10 +273,11 @@
     }
 }
 
-/// Keeps beating to every registered peer.  The lower id dials, so each pair has one link.
+/// Exchanges heartbeats with all registered peers until the process stops.  The entry with the
+/// lower id dials, so that each pair has one link.
 pub(crate) async fn beat_forever(node: Arc<Node>, endpoint: Arc<Endpoint>) {
     let mut last: HashMap<id::Entry, Moment> = HashMap::new();
-    // Half a beat: what is due in between is sent with the next look.
+    // Twice per interval: a heartbeat that becomes due in between is sent at the next tick.
     let tick = node.settings.beat.0 / 2;
     while node.pause(tick).await {
         let now = node.clock.now();
@@ -294,7 +300,7 @@
     }
 }
 
-/// The registered peers, with their zones noted.
+/// Updates the peers' zones and removes peers that aren't registered; returns the registered ones.
 fn update_zones(node: &Node) -> Vec<(id::Entry, SocketAddr, id::Zone)> {
     let view = node.view.read();
     let mut peers = node.peers.write();
@@ -309,8 +315,8 @@
         .collect()
 }
 
-/// Takes back the slots lent to entries that have left the registry: they are gone for certain,
-/// and nobody else could say that they no longer use them.
+/// Reclaims the slots lent to entries that are no longer registered.  Such an entry has ended for
+/// certain, and nothing else would report that it no longer uses them.
 fn reclaim_from_unregistered(node: &Node, now: Moment) {
     let view = node.view.read();
     let mut router = node.router.lock();
@@ -328,7 +334,7 @@
     }
 }
 
-/// Notes peers that have just become silent.
+/// Drops the figures of peers that have become silent, and records an event for each.
 fn expire_silent(node: &Node, now: Moment) {
     let mut silent = Vec::new();
     {
@@ -336,7 +342,7 @@
         let timeout = peers.timeout;
         for (entry, peer) in &mut peers.all {
             if peer.beat.is_some() && now.since(peer.last_heard) >= timeout {
-                // Its figures are worth nothing any more.
+                // Its figures are out of date.
                 peer.beat = None;
                 silent.push(entry.clone());
             }
@@ -358,7 +364,7 @@
         exchange_beats(&node, &endpoint, &entry, address),
     );
     if !matches!(done.await, Ok(Ok(()))) {
-        // A silent link is given up and dialled anew from another socket with the next beat.
+        // Closes a link that doesn't answer; the next heartbeat dials from another socket.
         let link = node.peers.read().link(&entry);
         if let Some(link) = link {
             link.close();
@@ -392,7 +398,7 @@
     Ok(())
 }
 
-/// Takes the links that peers dial.
+/// Accepts the links that peers dial, until the process stops.
 pub(crate) async fn accept_forever(node: Arc<Node>, endpoint: Arc<Endpoint>) {
     while let Ok(Some(accepted)) = endpoint.accept().timeout_at(node.stop.clone()).await {
         if let Ok(link) = accepted {
@@ -407,7 +413,7 @@
     while let Ok(Ok(channel)) = link.accept().timeout_at(node.stop.clone()).await {
         async_std::task::spawn(serve_exchange(node.clone(), link.clone(), channel));
     }
-    // Also when the process stops: a link that stays open would look like a living peer.
+    // Also when the process stops: to the peer, an open link would look like a running entry.
     link.close();
 }
 
@@ -424,7 +430,7 @@
             Frame::RowsReply { rows: view.rows_since(since), upto: view.upto() }
         }
         Ok(Ok(Frame::Ask(ask))) => return router::lend(&node, ask, channel).await,
-        Ok(Ok(_)) => refusal(Code::WireMalformed, "this does not begin an exchange"),
+        Ok(Ok(_)) => refusal(Code::WireMalformed, "this frame cannot begin an exchange"),
         Ok(Err(error)) => refusal(error.code(), &error.to_string()),
         Err(_) => return,
     };
@@ -437,7 +443,8 @@
     Frame::Refusal { code, text: text.into() }
 }
 
-/// Asks the peer that knows most for the rows we lack.  Tells whether it had any.
+/// Fetches the rows that this entry lacks from the peer with the newest view.  Returns whether a
+/// peer answered with rows.
 pub(crate) async fn fetch_missing_rows(node: &Arc<Node>) -> bool {
     let since = node.view.read().upto();
     let Some((link, _)) = most_advanced_peer(node, since) else { return false };
@@ -467,6 +474,6 @@
     channel.finish();
     match channel.receive().await? {
         Frame::RowsReply { rows, upto } => Ok((rows, upto)),
-        _ => Err(Error::Malformed { reason: "not the rows asked for".into() }),
+        _ => Err(Error::Malformed { reason: "the reply does not hold the rows asked for".into() }),
     }
 }
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals as HTTP answers, with problem bodies by RFC 9457.
+//! Refusals and failures as HTTP answers with RFC 9457 problem bodies.
 
 use celerythread_http::server::Request;
 use celerythread_model::code::Code;
@@ -13,15 +13,15 @@
 /// A refusal or failure.
 #[derive(Clone, Debug)]
 pub(crate) struct Problem {
-    /// Its code.
+    /// The code; it determines the HTTP status.
     pub(crate) code: Code,
-    /// What happened, in words.
+    /// A description of what is wrong, for people.
     pub(crate) detail: String,
-    /// What became of the caller's request.
+    /// The outcome of the caller's request; none where it has no meaning for the code.
     pub(crate) outcome: Option<Outcome>,
-    /// When to come back.
+    /// When a retry makes sense.
     pub(crate) retry_after: Option<Duration>,
-    /// More, for programs.
+    /// Further data for programs; null for none.
     pub(crate) extra: serde_json::Value,
 }
 
@@ -41,28 +41,28 @@
 }
 
 impl Problem {
-    /// A problem with its code's own outcome.
+    /// A problem with the default outcome of its code.
     pub(crate) fn new(code: Code, detail: impl Into<String>) -> Self {
         let outcome = code.meaning().outcome;
         Self { code, detail: detail.into(), outcome, retry_after: None, extra: Default::default() }
     }
 
-    /// With what is certain about the request.
+    /// Sets the request's outcome.
     pub(crate) fn outcome(self, outcome: Outcome) -> Self {
         Self { outcome: Some(outcome), ..self }
     }
 
-    /// With when to come back.
+    /// Sets when a retry makes sense.
     pub(crate) fn retry_after(self, wait: Duration) -> Self {
         Self { retry_after: Some(wait), ..self }
     }
 
-    /// With more for programs.
+    /// Sets further data for programs.
     pub(crate) fn extra(self, extra: serde_json::Value) -> Self {
         Self { extra, ..self }
     }
 
-    /// The answer.
+    /// The HTTP answer.
     pub(crate) fn response(&self) -> Response {
         let meaning = self.code.meaning();
         let body = Body {
@@ -91,7 +91,7 @@
     }
 }
 
-/// A JSON answer.
+/// An HTTP answer with a JSON body.
 pub(crate) fn json(value: &impl Serialize) -> Response {
     let text = serde_json::to_string(value).expect("answers always serialize");
     let mut response = Response::new(StatusCode::Ok);
@@ -100,7 +100,7 @@
     response
 }
 
-/// A request's JSON body.
+/// Parses a request's JSON body.
 pub(crate) fn body<T: for<'de> serde::Deserialize<'de>>(request: &Request) -> Result<T, Problem> {
     serde_json::from_slice(&request.body)
         .map_err(|error| Problem::new(Code::BadRequest, error.to_string()))
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -1,9 +1,11 @@
-//! Finding a slot: here, at a peer that has one free, or in the queue.
+//! Finds a slot for a request: one of this entry's own, one borrowed from a peer, or one that
+//! becomes free while the request is queued.
 //!
-//! Work waits at the entries, where its urgency is known, and never in a minion.  A request
-//! takes an own slot when one is free; else it borrows one from a peer whose last beat showed
-//! room; else it waits in the own queue, still looking at the peers from time to time, or in a
-//! peer's when that is far shorter, or when this entry owns nothing of the service.
+//! Requests are queued at the entries, where their urgency is known, and never in a minion.  A
+//! request gets an own slot if one is free, or else borrows one from a peer whose last heartbeat
+//! showed free slots.  Otherwise it waits in the own queue and asks peers again at intervals.  It
+//! waits in a peer's queue instead if that is much shorter, or if this entry owns no slots of the
+//! service.
 
 mod lend;
 
@@ -26,50 +28,52 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a waiting request looks for a peer with room.
+/// How often a queued request looks for a peer with free slots.
 const PEER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest wait for a peer's answer when it need not queue.
+/// Longest wait for a peer's answer to a request that it doesn't queue.
 const ASK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A peer's queue must be this much shorter than the own one to be joined instead.
+/// How many times longer than a peer's queue the own one must be for the peer's to be joined.
 const MIN_QUEUE_RATIO: f64 = 2.0;
 
-/// Peers asked before a request waits.
+/// Maximum number of peers asked before a request is queued.
 const MAX_PEERS_ASKED: usize = 2;
 
-/// How long slots may be between two owners before a request is refused, and how often it looks.
+/// How long a request waits while no entry has slots of its service, as during a handover.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// How often such a request looks for slots.
 const HANDOVER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// When to come back while no minion can be reached at all.
+/// Retry-After while there is no minion for the service.
 const NO_MINION_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What a request needs.
+/// A request for a slot.
 #[derive(Clone, Debug)]
 pub(crate) struct SlotRequest {
     pub(crate) service: id::Service,
     pub(crate) class: Class,
     pub(crate) deadline: Moment,
-    /// A minion that just failed the request.
+    /// A minion that has just failed the request.
     pub(crate) avoid: Option<id::Minion>,
 }
 
-/// Why there is no slot.
+/// Why a request gets no slot.
 #[derive(Clone, Debug)]
 pub(crate) struct Denied {
     pub(crate) code: Code,
     pub(crate) retry_after: Option<Duration>,
 }
 
-/// The one who gets a slot when it is this request's turn.
+/// A queued request, and who gets its slot: this entry or a peer.
 struct Waiter {
     reply: oneshot::Sender<Permit>,
     holder: Holder,
     avoid: Option<id::Minion>,
 }
 
-/// Slots and queues of this entry.
+/// The slots and queues of this entry.
 #[derive(Default)]
 pub(crate) struct Router {
     pub(crate) ledger: Ledger,
@@ -78,7 +82,7 @@
 }
 
 impl Router {
-    /// Sets a service's bounds by the configuration in force.
+    /// Sets the queue bounds of all services, as in the configuration in force.
     pub(crate) fn set_bounds(&mut self, bounds: HashMap<id::Service, Bounds>) {
         self.bounds = bounds;
     }
@@ -88,12 +92,12 @@
         self.bounds.get(service).copied().unwrap_or(fallback)
     }
 
-    /// Requests that wait for a service.
+    /// The number of requests queued for a service.
     pub(crate) fn waiting(&self, service: &id::Service) -> usize {
         self.queues.get(service).map_or(0, Queue::len)
     }
 
-    /// Takes a slot now, unless others wait for it already.
+    /// Grants a free slot, unless requests are queued for the service already.
     fn try_grant(&mut self, request: &SlotRequest, holder: Holder, now: Moment) -> Option<Permit> {
         if self.waiting(&request.service) > 0 {
             return None;
@@ -101,7 +105,7 @@
         self.ledger.grant(&request.service, holder, request.avoid.as_ref(), now)
     }
 
-    /// Puts a request into the queue.
+    /// Adds a request to its service's queue.
     fn enqueue(
         &mut self,
         request: &SlotRequest,
@@ -120,7 +124,7 @@
         Ok(receiver)
     }
 
-    /// Hands free slots to those who wait.
+    /// Grants free slots to queued requests.
     pub(crate) fn serve_queue(&mut self, service: &id::Service, now: Moment) {
         let share = self.bounds(service).patient_share;
         let Some(queue) = self.queues.get_mut(service) else { return };
@@ -139,8 +143,8 @@
         }
     }
 
-    /// Clears away those who no longer wait and serves the others: slots also become free by
-    /// time alone, after a rest or a reservation.
+    /// Removes expired and cancelled requests from the queues and serves the others.  Needed at
+    /// intervals, since slots also become free with time: when an ejection or a reservation ends.
     pub(crate) fn tick(&mut self, now: Moment) {
         let services: Vec<id::Service> = self.queues.keys().cloned().collect();
         for service in services {
@@ -152,14 +156,14 @@
         }
     }
 
-    /// What this entry has, for its beats.
+    /// The slots and queues of this entry by service, for its heartbeats.
     pub(crate) fn rooms(&self, now: Moment) -> Vec<frame::Room> {
         let services = self.ledger.services();
         services
             .map(|service| {
                 let room = self.ledger.room(service, now);
                 let waiting = self.waiting(service) as u32;
-                // What waits here has a claim on what is free here.
+                // Requests queued here come first; peers see the slots that they leave free.
                 let free = room.free.saturating_sub(waiting);
                 frame::Room { service: service.clone(), slots: room.slots, free, waiting }
             })
@@ -167,7 +171,7 @@
     }
 }
 
-/// A slot in use.  Dropping it without a verdict gives it back unused.
+/// A slot in use.  Dropping it without a verdict returns it as unused.
 pub(crate) struct Slot {
     node: Arc<Node>,
     pub(crate) minion: id::Minion,
@@ -186,7 +190,7 @@
 }
 
 impl Slot {
-    /// Ends the use of the slot with what became of the dispatch.
+    /// Ends the use of the slot with the result of the dispatch.
     pub(crate) fn finish(mut self, verdict: Verdict) {
         self.finish_once(verdict);
     }
@@ -210,7 +214,7 @@
     }
 }
 
-/// Ends an own grant and serves the next in line.
+/// Ends a grant of an own slot and serves the queues.
 pub(crate) fn finish_grant(node: &Node, grant: Grant, verdict: Verdict, took: Duration) {
     let now = node.clock.now();
     let changed = {
@@ -247,8 +251,8 @@
     async_std::task::spawn(async move {
         let Lender { entry, service, mut channel } = lender;
         let took_ms = took.as_millis() as u64;
-        // When this fails the link is gone, and the lender learns from our beats that the
-        // grant is not held any more.
+        // If this fails, the link is lost, and the lender learns from this entry's heartbeats
+        // that the grant is no longer in use.
         if channel.send(&Frame::Finish { verdict, took_ms }).await.is_ok() {
             channel.finish();
         }
@@ -263,7 +267,7 @@
     }
 }
 
-/// Finds a slot.
+/// Acquires a slot for a request, waiting until its deadline if necessary.
 ///
 /// # Errors
 /// `Denied` with the code: overloaded, deadline passed, or no minion.
@@ -277,8 +281,8 @@
     wait_for_slot(node, request).await
 }
 
-/// Waits where the service's slots are, which may change meanwhile: owners hand minions over
-/// when entries come and go.
+/// Waits in the own queue or a peer's, and chooses anew when the slots move: owners hand minions
+/// over when entries start and stop.
 async fn wait_for_slot(node: &Arc<Node>, request: &SlotRequest) -> Result<Slot, Denied> {
     let mut slots_seen_at = node.clock.now();
     loop {
@@ -294,8 +298,8 @@
             }
             (Some(_), _) => wait_in_own_queue(node, request).await,
             (None, Some((_, peer))) => wait_in_peer_queue(node, request, &peer).await,
-            // For a moment nobody may have the service's slots: they are being handed over, or
-            // this entry has not heard its peers yet.
+            // No entry may have the service's slots for a short time: they are being handed over,
+            // or this entry has no heartbeats of its peers yet.
             (None, None) if now.since(slots_seen_at) < HANDOVER_TIMEOUT => {
                 async_std::task::sleep(HANDOVER_POLL_INTERVAL).await;
                 continue;
@@ -315,7 +319,7 @@
     }
 }
 
-/// How long the own queue is for the own slots; none without any.
+/// The length of the own queue by `waiting_per_slot`; none if this entry has no slots.
 fn own_waiting_per_slot(node: &Node, request: &SlotRequest, now: Moment) -> Option<f64> {
     let router = node.router.lock();
     let slots = router.ledger.room(&request.service, now).slots;
@@ -326,7 +330,7 @@
 enum WaitResult {
     Granted(Slot),
     Denied(Denied),
-    /// The slots are elsewhere now.
+    /// This queue no longer has slots of the service, or the wait was cut short: choose again.
     Moved,
 }
 
@@ -383,7 +387,7 @@
     }
 }
 
-/// A permit that arrived in the moment in which the request stopped waiting for it goes back.
+/// Returns a permit that arrived just when the request stopped waiting for it.
 fn return_late_permit(node: &Arc<Node>, receiver: &mut oneshot::Receiver<Permit>) {
     receiver.close();
     if let Ok(Some(permit)) = receiver.try_recv() {
@@ -419,7 +423,7 @@
     node.peers.write().record_use(peer, &request.service, change);
 }
 
-/// Borrows a slot from a peer that showed room.
+/// Borrows a slot from a peer whose last heartbeat showed free ones.
 async fn borrow(node: &Arc<Node>, request: &SlotRequest, max_peers: usize) -> Option<Slot> {
     let now = node.clock.now();
     let zone = &node.settings.zone;
@@ -463,7 +467,7 @@
     };
     node.holding.lock().entry(peer.clone()).or_default().insert(grant.grant);
     if link.is_closed() {
-        // The owner has lost this link and may already have counted the slot as free.
+        // The owner has lost this link too and may already count the slot as free.
         release_grant(node, peer, grant.grant);
         return Reply::Gone;
     }
--- a/crates/entry/src/router/lend.rs
+++ b/crates/entry/src/router/lend.rs
@@ -1,4 +1,4 @@
-//! Lending slots to peers.
+//! Lends slots to peers.
 
 use super::{NO_MINION_RETRY_AFTER, SlotRequest, Waiter, finish_grant};
 use crate::metrics::Counter;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Answers a peer that asks for a slot, and holds it until the peer is done with it.
+/// Answers a peer that asks for a slot, and keeps the grant until the peer has finished with it.
 pub(crate) async fn lend(node: &Arc<Node>, ask: frame::Ask, mut channel: Channel) {
     let now = node.clock.now();
     let request = SlotRequest {
@@ -38,8 +38,8 @@
         address: permit.address,
         epoch: permit.epoch,
     });
-    // From here on the peer may be using the slot.  If the exchange breaks, nobody knows, and
-    // the grant stays counted until the peer's beats no longer list it.
+    // From here on the peer may be using the slot.  If the exchange breaks, this is unknown, and
+    // the grant stays counted until the peer's heartbeats no longer list it.
     if channel.send(&answer).await.is_ok()
         && let Ok(Frame::Finish { verdict, took_ms }) = channel.receive().await
     {
--- a/crates/entry/src/table.rs
+++ b/crates/entry/src/table.rs
@@ -1,4 +1,4 @@
-//! The table with its calls counted, and outages noted when they begin and end.
+//! A table wrapper that counts calls and records when outages begin and end.
 
 use crate::clock::Clock;
 use crate::metrics::{Counter, Metrics};
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// A table that counts.
+/// A table whose calls are counted.
 pub(crate) struct InstrumentedTable {
     pub(crate) inner: Arc<dyn Table>,
     pub(crate) metrics: Arc<Metrics>,
--- a/crates/entry/src/timeline.rs
+++ b/crates/entry/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The process's own part of the time line: a bounded ring of typed events.
+//! The process's own part of the timeline: a bounded ring of typed events.
 
 use celerythread_model::event::{Clock, Event, Kind};
 use celerythread_model::id;
@@ -6,8 +6,8 @@
 use parking_lot::Mutex;
 use std::collections::VecDeque;
 
-/// The ring, with the process's clock, which is raised by every beat from a peer and by every
-/// revision seen in the table.
+/// The ring of events, with the process's logical clock, which advances to that of every peer's
+/// heartbeat and to every revision seen in the table.
 pub struct Timeline {
     process: id::Entry,
     capacity: usize,
@@ -26,13 +26,14 @@
         Self { process, capacity, state: Mutex::new(state) }
     }
 
-    /// Notes an event, and writes it as a log line: each is a change of state.
+    /// Records an event at `at` (milliseconds since the Unix epoch) and logs it.  Each event is
+    /// a change of state.
     pub fn record(&self, at: u64, kind: Kind) {
         let clock = self.state.lock().clock.advance();
         self.append(clock, at, kind);
     }
 
-    /// Notes an event that a committed revision is the statement of.
+    /// Records an event stated by a committed revision, at that revision's place in causal order.
     pub fn record_committed(&self, at: u64, revision: Revision, kind: Kind) {
         let clock = Clock::statement(revision);
         self.witness(clock);
@@ -49,17 +50,17 @@
         state.events.push_back(event);
     }
 
-    /// The clock, to be told to peers.
+    /// The clock, to be sent to peers.
     pub fn clock(&self) -> Clock {
         self.state.lock().clock
     }
 
-    /// Raises the clock to one that was seen.
+    /// Advances the clock to at least one received from elsewhere.
     pub fn witness(&self, clock: Clock) {
         self.state.lock().clock.witness(clock);
     }
 
-    /// The events still kept.
+    /// The events still in the ring, in the order of their recording.
     pub fn events(&self) -> Vec<Event> {
         self.state.lock().events.iter().cloned().collect()
     }
