--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,8 +1,8 @@
-//! Keyed requests' claims, committed several to a transaction.
+//! Claims of keyed requests, committed in batches.
 //!
-//! The table takes several hundred writes a second in all, far fewer than there may be keyed
-//! requests.  So claims and settlements that arrive while one transaction is on its way go
-//! together into the next.
+//! The table sustains several hundred writes a second over all entries, fewer than there may be
+//! keyed requests.  So claims and settlements that arrive while a transaction is in progress are
+//! batched into the next one.
 
 use crate::metrics::Counter;
 use crate::node::Node;
@@ -24,26 +24,27 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Most writes in one transaction.
-const BATCH: usize = 128;
+/// Maximum number of writes in one transaction.
+const MAX_BATCH_WRITES: usize = 128;
 
-/// Operations that may wait for the next transactions.
-const BACKLOG: usize = 4096;
+/// Maximum number of operations queued for later transactions; submitters wait beyond it.
+const MAX_QUEUED_WRITES: usize = 4096;
 
-/// Times a batch whose answer was lost is read back before its claims are given up.
-const READ_BACKS: u32 = 3;
+/// Maximum number of attempts to read back a batch whose answer was lost, before its operations
+/// fail.
+const MAX_READ_BACK_ATTEMPTS: u32 = 3;
 
-/// Wait between two tries while the platform does not answer.
-const RETRY: Duration = Duration::from_millis(500);
+/// Delay before a call that failed is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Largest body kept in the claim's row; a larger one goes to the object store.
-const INLINE_LIMIT: usize = 8 * 1024;
+/// Largest body stored in the claim's row; a larger one goes to the object store.
+const MAX_INLINE_BODY_BYTES: usize = 8 * 1024;
 
-/// The way to the task that commits.
+/// The queue to the task that commits claims.
 pub(crate) struct Claims {
     sender: Sender<Operation>,
     receiver: Receiver<Operation>,
-    /// Settlements not yet committed; a graceful stop waits for them.
+    /// Settlements and removals not yet committed; a graceful stop waits for them.
     unsettled: AtomicUsize,
 }
 
@@ -52,43 +53,44 @@
     key: String,
     expected: Revision,
     claim: Option<Claim>,
-    reply: oneshot::Sender<Result<Revision, Trouble>>,
+    reply: oneshot::Sender<Result<Revision, WriteError>>,
 }
 
-/// Why a write was not made.
+/// Why a write failed.
 #[derive(Debug)]
-enum Trouble {
-    /// Another row stands under the key.
+enum WriteError {
+    /// The row's revision is not the expected one; this is the current row.
     Conflict(Row),
-    /// The platform did not answer; nothing of ours stays in the table for good.
+    /// The platform did not answer.  A claim that may have been committed all the same is removed
+    /// in the background.
     Unavailable,
 }
 
-/// A claim that is ours.
+/// A claim that this process has made.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct OwnedClaim {
     key: String,
     revision: Revision,
     claim: Claim,
 }
 
-/// What to do with a keyed request.
-pub(crate) enum Verdict {
-    /// Run it, then settle the claim.
-    Run(Held),
-    /// Another run decides.
-    Settled(Decision),
+/// The result of claiming a key.
+pub(crate) enum ClaimResult {
+    /// The key is claimed: run the request, then settle the claim.
+    Run(OwnedClaim),
+    /// The key has a claim already, which decides the answer.
+    Exists(Decision),
     /// Claims cannot be recorded now.
     Unavailable,
 }
 
 impl Claims {
     pub(crate) fn new() -> Self {
-        let (sender, receiver) = async_std::channel::bounded(BACKLOG);
+        let (sender, receiver) = async_std::channel::bounded(MAX_QUEUED_WRITES);
         Self { sender, receiver, unsettled: AtomicUsize::new(0) }
     }
 
-    /// Settlements not yet committed.
+    /// Settlements and removals not yet committed.
     pub(crate) fn unsettled(&self) -> usize {
         self.unsettled.load(Ordering::SeqCst)
     }
@@ -98,17 +100,17 @@
         key: &str,
         expected: Revision,
         claim: Option<Claim>,
-    ) -> Result<Revision, Trouble> {
+    ) -> Result<Revision, WriteError> {
         let (reply, answer) = oneshot::channel();
         let operation = Operation { key: key.into(), expected, claim, reply };
         if self.sender.send(operation).await.is_err() {
-            return Err(Trouble::Unavailable);
+            return Err(WriteError::Unavailable);
         }
-        answer.await.unwrap_or(Err(Trouble::Unavailable))
+        answer.await.unwrap_or(Err(WriteError::Unavailable))
     }
 }
 
-/// The row's key for a caller's key.
+/// The key of the claim's row for a caller's key.
 fn row_key(service: &id::Service, key: &str) -> String {
     format!("claim/{service}/{}", hex(&Sha256::digest(key.as_bytes())))
 }
@@ -117,7 +119,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A digest of what a key was used for.
+/// A digest of the request that a key is used for.
 pub(crate) fn fingerprint(method: &str, path: &str, body: &[u8]) -> String {
     let mut digest = Sha256::new();
     for part in [method.as_bytes(), path.as_bytes(), body] {
@@ -133,11 +135,11 @@
     service: &id::Service,
     key: &str,
     fingerprint: String,
-) -> Verdict {
+) -> ClaimResult {
     let key = row_key(service, key);
     let attempt = format!("{:016x}", rand::random::<u64>());
     let claim = Claim {
-        attempt: attempt.parse().expect("hexadecimal digits are an id"),
+        attempt: attempt.parse().expect("hexadecimal digits form a valid id"),
         entry: node.me.clone(),
         fingerprint,
         stage: Stage::Running,
@@ -146,42 +148,43 @@
     match node.claims.submit(&key, Revision(0), Some(claim.clone())).await {
         Ok(revision) => {
             node.count(Counter::Claims);
-            Verdict::Run(Held { key, revision, claim })
+            ClaimResult::Run(OwnedClaim { key, revision, claim })
         }
-        Err(Trouble::Unavailable) => Verdict::Unavailable,
-        Err(Trouble::Conflict(row)) => {
-            let Some(standing) = row.decode::<Claim>() else { return Verdict::Unavailable };
-            let alive = |entry: &id::Entry| node.view.read().entries().contains_key(entry);
-            let decision = claim::decide(&standing, &claim.attempt, &claim.fingerprint, alive);
-            Verdict::Settled(decision)
+        Err(WriteError::Unavailable) => ClaimResult::Unavailable,
+        Err(WriteError::Conflict(row)) => {
+            let Some(existing) = row.decode::<Claim>() else { return ClaimResult::Unavailable };
+            let is_registered = |entry: &id::Entry| node.view.read().entries().contains_key(entry);
+            let decision =
+                claim::decide(&existing, &claim.attempt, &claim.fingerprint, is_registered);
+            ClaimResult::Exists(decision)
         }
     }
 }
 
-/// Records what became of a claimed request, in the background: the caller has its answer
-/// already, and a repeat is told "still running" until this is committed.
+/// Records the outcome of a claimed request in the background, so that the caller's answer does
+/// not wait for it.  A repeat is answered "still running" until this is committed.
 pub(crate) fn settle(
     node: &Arc<Node>,
-    held: Held,
+    owned: OwnedClaim,
     outcome: Outcome,
     answer: Option<(Answer, Vec<u8>)>,
 ) {
     node.claims.unsettled.fetch_add(1, Ordering::SeqCst);
     let node = node.clone();
     async_std::task::spawn(async move {
-        settle_until_done(&node, held, outcome, answer).await;
+        settle_until_done(&node, owned, outcome, answer).await;
         node.claims.unsettled.fetch_sub(1, Ordering::SeqCst);
     });
 }
 
 async fn settle_until_done(
     node: &Arc<Node>,
-    held: Held,
+    owned: OwnedClaim,
     outcome: Outcome,
     answer: Option<(Answer, Vec<u8>)>,
 ) {
     let answer = match answer {
-        Some((answer, body)) => Some(store_body(node, &held, answer, body).await),
+        Some((answer, body)) => Some(store_body(node, &owned, answer, body).await),
         None => None,
     };
     let settlement = claim::settle(outcome, answer);
@@ -190,13 +193,13 @@
         Settlement::MarkUnknown => Some(Stage::Unknown),
         Settlement::Release => None,
     };
-    let claim = stage.map(|stage| Claim { stage, ..held.claim.clone() });
+    let claim = stage.map(|stage| Claim { stage, ..owned.claim.clone() });
     loop {
-        match node.claims.submit(&held.key, held.revision, claim.clone()).await {
-            // A conflict means that the row has changed hands, which only an operator can do.
-            Ok(_) | Err(Trouble::Conflict(_)) => return,
-            Err(Trouble::Unavailable) => {
-                if !node.pause(RETRY).await {
+        match node.claims.submit(&owned.key, owned.revision, claim.clone()).await {
+            // A conflict: an earlier try was committed after all, or an operator changed the row.
+            Ok(_) | Err(WriteError::Conflict(_)) => return,
+            Err(WriteError::Unavailable) => {
+                if !node.pause(RETRY_DELAY).await {
                     return;
                 }
             }
@@ -204,22 +207,22 @@
     }
 }
 
-/// Puts a body where repeats find it.
-async fn store_body(node: &Arc<Node>, held: &Held, answer: Answer, body: Vec<u8>) -> Answer {
-    if body.len() <= INLINE_LIMIT {
+/// Stores a body for repeats: in the answer itself, or in the object store if it is large.
+async fn store_body(node: &Arc<Node>, owned: &OwnedClaim, answer: Answer, body: Vec<u8>) -> Answer {
+    if body.len() <= MAX_INLINE_BODY_BYTES {
         return Answer { body: Some(BASE64_STANDARD.encode(&body)), ..answer };
     }
-    let name = format!("answer-{}", held.claim.attempt);
+    let name = format!("answer-{}", owned.claim.attempt);
     while node.platform.objects.put(&name, body.clone()).await.is_err() {
-        if !node.pause(RETRY).await {
+        if !node.pause(RETRY_DELAY).await {
             break;
         }
     }
     Answer { object: Some(name), ..answer }
 }
 
-/// Fetches the body of a kept answer; none while the object store does not answer.
-pub(crate) async fn kept_body(node: &Node, answer: &Answer) -> Option<Vec<u8>> {
+/// Fetches the body of a stored answer; none while the object store does not answer.
+pub(crate) async fn stored_body(node: &Node, answer: &Answer) -> Option<Vec<u8>> {
     if let Some(text) = &answer.body {
         return BASE64_STANDARD.decode(text).ok();
     }
@@ -227,11 +230,11 @@
     node.platform.objects.get(name).await.ok().flatten()
 }
 
-/// Commits what is submitted, until the process ends.
+/// Commits submitted operations until the process ends.
 ///
 /// Transactions begin at least `claim_interval` apart, so that all entries together stay within
-/// the table's several hundred writes a second however many keyed requests there are.  The
-/// first after a pause goes at once.
+/// the table's several hundred writes a second however many keyed requests there are.  The first
+/// one after an idle time begins at once.
 pub(crate) async fn commit_forever(node: Arc<Node>) {
     let mut backlog: VecDeque<Operation> = VecDeque::new();
     let interval = node.settings.claim_interval.0;
@@ -241,9 +244,9 @@
             let Ok(first) = node.claims.receiver.recv().await else { return };
             backlog.push_back(first);
         }
-        let early = last.map(|last| interval.saturating_sub(node.clock.now().since(last)));
-        if let Some(early) = early.filter(|early| !early.is_zero()) {
-            async_std::task::sleep(early).await;
+        let delay = last.map(|last| interval.saturating_sub(node.clock.now().since(last)));
+        if let Some(delay) = delay.filter(|delay| !delay.is_zero()) {
+            async_std::task::sleep(delay).await;
         }
         last = Some(node.clock.now());
         while let Ok(next) = node.claims.receiver.try_recv() {
@@ -254,13 +257,14 @@
     }
 }
 
-/// The next operations, no two on one key: the second's condition needs the first's revision.
+/// Takes the next operations, at most one per key: the condition of a second one depends on the
+/// revision that the first one gets.
 fn next_batch(backlog: &mut VecDeque<Operation>) -> Vec<Operation> {
     let mut keys = BTreeSet::new();
     let mut batch = Vec::new();
     let mut later = VecDeque::new();
     while let Some(operation) = backlog.pop_front() {
-        if batch.len() < BATCH && keys.insert(operation.key.clone()) {
+        if batch.len() < MAX_BATCH_WRITES && keys.insert(operation.key.clone()) {
             batch.push(operation);
         } else {
             later.push_back(operation);
@@ -280,13 +284,13 @@
                 }
                 return;
             }
-            // Those whose condition failed are answered, and the others go again: a conflict
-            // on one key must not fail the requests that happened to share its transaction.
+            // Operations whose condition failed are answered, and the others are retried: a
+            // conflict on one key must not fail the requests that share its transaction.
             Err(Error::Conflict { rows }) => batch = answer_conflicts(batch, rows),
             Err(Error::Lost { .. }) => batch = read_back(node, batch).await,
             Err(_) => {
                 for operation in batch {
-                    let _ = operation.reply.send(Err(Trouble::Unavailable));
+                    let _ = operation.reply.send(Err(WriteError::Unavailable));
                 }
                 return;
             }
@@ -313,7 +317,7 @@
     for operation in batch {
         match rows.remove(&operation.key) {
             Some(row) => {
-                let _ = operation.reply.send(Err(Trouble::Conflict(row)));
+                let _ = operation.reply.send(Err(WriteError::Conflict(row)));
             }
             None => left.push(operation),
         }
@@ -321,40 +325,41 @@
     left
 }
 
-/// After a lost answer: finds out whether the transaction was committed.
+/// Finds out whether a transaction whose answer was lost was committed, and returns the
+/// operations to retry.
 ///
-/// Without this a claim could stand in the table that its own maker takes for not made: it
-/// would refuse the request as not run, and every repeat would be told "still running".
+/// Without this, a claim could be in the table although this process assumes that it isn't: the
+/// request would be refused as not run, and every repeat would be answered "still running".
 async fn read_back(node: &Arc<Node>, batch: Vec<Operation>) -> Vec<Operation> {
     let keys: Vec<String> = batch.iter().map(|operation| operation.key.clone()).collect();
-    for _ in 0..READ_BACKS {
+    for _ in 0..MAX_READ_BACK_ATTEMPTS {
         let Ok(rows) = node.platform.table.read(Space::Claim, &keys).await else {
-            node.pause(RETRY / 5).await;
+            node.pause(RETRY_DELAY / 5).await;
             continue;
         };
         let mut left = Vec::new();
         for (operation, row) in batch.into_iter().zip(rows) {
-            let standing: Option<Claim> = row.decode();
-            if standing == operation.claim {
+            let existing: Option<Claim> = row.decode();
+            if existing == operation.claim {
                 let _ = operation.reply.send(Ok(row.revision));
             } else {
-                // Not committed.  Should another have changed the row meanwhile, the
-                // condition tells when the operation goes again.
+                // Not committed.  If another process has changed the row meanwhile, the retry
+                // fails on its condition.
                 left.push(operation);
             }
         }
         return left;
     }
     for operation in batch {
-        abandon(node, &operation);
-        let _ = operation.reply.send(Err(Trouble::Unavailable));
+        remove_uncertain_claim(node, &operation);
+        let _ = operation.reply.send(Err(WriteError::Unavailable));
     }
     Vec::new()
 }
 
-/// Removes a claim that may have been made although its request was refused, as soon as the
-/// platform answers again.
-fn abandon(node: &Arc<Node>, operation: &Operation) {
+/// Removes, once the platform answers again, a claim that may have been committed although its
+/// request was refused.
+fn remove_uncertain_claim(node: &Arc<Node>, operation: &Operation) {
     let Some(claim) = operation.claim.clone().filter(|claim| claim.stage == Stage::Running) else {
         return;
     };
@@ -362,15 +367,15 @@
     let key = operation.key.clone();
     node.claims.unsettled.fetch_add(1, Ordering::SeqCst);
     async_std::task::spawn(async move {
-        while node.pause(RETRY).await {
+        while node.pause(RETRY_DELAY).await {
             let Ok(rows) = node.platform.table.read(Space::Claim, std::slice::from_ref(&key)).await
             else {
                 continue;
             };
-            let ours = rows.first().filter(|row| {
-                row.decode::<Claim>().is_some_and(|standing| standing.attempt == claim.attempt)
+            let own_row = rows.first().filter(|row| {
+                row.decode::<Claim>().is_some_and(|existing| existing.attempt == claim.attempt)
             });
-            let Some(row) = ours else { break };
+            let Some(row) = own_row else { break };
             let removal = Transaction::new()
                 .check(Space::Claim, &*key, row.revision)
                 .delete(Space::Claim, &*key);
