--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -243,10 +243,10 @@
 ) {
     let node = node.clone();
     let verdict = match verdict {
-        DispatchResult::Answered => frame::Verdict::Answered,
-        DispatchResult::Failed => frame::Verdict::Failed,
-        DispatchResult::Leaving => frame::Verdict::Leaving,
-        DispatchResult::Unused => frame::Verdict::Unused,
+        DispatchResult::Answered => frame::DispatchResult::Answered,
+        DispatchResult::Failed => frame::DispatchResult::Failed,
+        DispatchResult::Leaving => frame::DispatchResult::Leaving,
+        DispatchResult::Unused => frame::DispatchResult::Unused,
     };
     async_std::task::spawn(async move {
         let Lender { entry, service, mut channel } = lender;
--- a/crates/entry/src/router/lend.rs
+++ b/crates/entry/src/router/lend.rs
@@ -44,10 +44,10 @@
         && let Ok(Frame::Finish { verdict, took_ms }) = channel.receive().await
     {
         let verdict = match verdict {
-            frame::Verdict::Answered => DispatchResult::Answered,
-            frame::Verdict::Failed => DispatchResult::Failed,
-            frame::Verdict::Leaving => DispatchResult::Leaving,
-            frame::Verdict::Unused => DispatchResult::Unused,
+            frame::DispatchResult::Answered => DispatchResult::Answered,
+            frame::DispatchResult::Failed => DispatchResult::Failed,
+            frame::DispatchResult::Leaving => DispatchResult::Leaving,
+            frame::DispatchResult::Unused => DispatchResult::Unused,
         };
         return finish_grant(node, grant, verdict, Duration::from_millis(took_ms));
     }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -39,7 +39,7 @@
     /// Releases the slot.
     Finish {
         /// The result of the dispatch.
-        verdict: Verdict,
+        verdict: DispatchResult,
         /// Duration of the dispatch in milliseconds.
         took_ms: u64,
     },
@@ -134,7 +134,7 @@
 
 /// The result of a dispatch, from which the owner derives the minion's health.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum DispatchResult {
     /// The minion answered.
     Answered,
     /// The minion failed the request.
