--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -19,7 +19,7 @@
 use crate::timeline::Timeline;
 use async_std::future::timeout;
 use async_std::net::TcpListener;
-use celerythread_http::listener::{self, Service};
+use celerythread_http::listener::{self, Server};
 use celerythread_http::server::{Limits, Stop};
 use celerythread_model::event::Kind;
 use celerythread_model::id;
@@ -172,7 +172,8 @@
         let limits = self.node.settings.caller_limits.clone();
         let stop = Stop { closing: self.closing.token(), ended: self.ended.token() };
         let connections = self.connections.clone();
-        let service = Service { handler, limits, stop, connections, most: MAX_CONNECTIONS };
+        let service =
+            Server { handler, limits, stop, connections, max_connections: MAX_CONNECTIONS };
         async_std::task::spawn(listener::serve(listener, service));
     }
 
@@ -182,7 +183,8 @@
         let limits = Limits::default();
         let stop = Stop { closing: self.stop.token(), ended: self.stop.token() };
         let connections = Arc::default();
-        let service = Service { handler, limits, stop, connections, most: MAX_CONNECTIONS };
+        let service =
+            Server { handler, limits, stop, connections, max_connections: MAX_CONNECTIONS };
         async_std::task::spawn(listener::serve(listener, service));
     }
 
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::router::{self, Denied, Slot, Want};
 use celerythread_http::Fault;
 use celerythread_http::body;
-use celerythread_http::client::{self, Answer, Connection, Failure};
+use celerythread_http::client::{self, Connection, Failure, ResponseHead};
 use celerythread_http::head::Length;
 use celerythread_http::stream::Stream;
 use celerythread_model::code::Code;
@@ -198,13 +198,13 @@
         Ok(Err(Failure { phase, fault })) => {
             let code = match fault {
                 Fault::Timeout { .. } => Code::MinionTimeout,
-                _ if phase == client::Phase::AnswerBegun => Code::AnswerBroken,
+                _ if phase == client::Phase::ResponseStarted => Code::AnswerBroken,
                 _ => Code::MinionLost,
             };
             return Err(miss(slot, code, translate(phase), &fault));
         }
         Err(_) => {
-            let fault = Fault::Timeout { doing: "waiting for the answer until the deadline" };
+            let fault = Fault::Timeout { operation: "waiting for the answer until the deadline" };
             return Err(miss(slot, Code::MinionTimeout, Phase::AllWritten, &fault));
         }
     };
@@ -239,7 +239,7 @@
         client::Phase::Connected => Phase::Connected,
         client::Phase::PartWritten => Phase::PartWritten,
         client::Phase::AllWritten => Phase::AllWritten,
-        client::Phase::AnswerBegun => Phase::AnswerBegun,
+        client::Phase::ResponseStarted => Phase::AnswerBegun,
     }
 }
 
@@ -257,7 +257,7 @@
     task: &Task,
     slot: Slot,
     connection: Connection,
-    answer: Answer,
+    answer: ResponseHead,
 ) -> Result<Delivered, Miss> {
     let progress = task.service.progress.0;
     let limit = if task.keyed { KEPT_LIMIT } else { WHOLE_LIMIT };
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -211,7 +211,7 @@
         })
     }
 
-    fn refuse(&self, fault: &Fault) -> Response {
+    fn error_response(&self, fault: &Fault) -> Response {
         let code = fault.request_code();
         self.node.metrics.refuse(code);
         Problem::new(code, fault.to_string()).response()
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -58,7 +58,7 @@
         self.answer(&request).await.unwrap_or_else(|problem| problem.response())
     }
 
-    fn refuse(&self, fault: &Fault) -> Response {
+    fn error_response(&self, fault: &Fault) -> Response {
         Problem::new(fault.request_code(), fault.to_string()).response()
     }
 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -131,16 +131,34 @@
             zone: reader.required("instance", "zone").unwrap_or(base.zone),
             caller_listen: reader.required("caller", "listen").unwrap_or(base.caller_listen),
             caller_limits: Limits {
-                body: reader.ranged(
+                max_body: reader.ranged(
                     "caller",
                     "body_limit",
-                    limits.body,
+                    limits.max_body,
                     Bytes(1024),
                     Bytes::mebi(64),
                 ),
-                idle: reader.ranged("caller", "idle_timeout", limits.idle, second, hour),
-                head: reader.ranged("caller", "head_timeout", limits.head, tick, hour),
-                progress: reader.ranged("caller", "progress_timeout", limits.progress, tick, hour),
+                idle_timeout: reader.ranged(
+                    "caller",
+                    "idle_timeout",
+                    limits.idle_timeout,
+                    second,
+                    hour,
+                ),
+                head_timeout: reader.ranged(
+                    "caller",
+                    "head_timeout",
+                    limits.head_timeout,
+                    tick,
+                    hour,
+                ),
+                progress_timeout: reader.ranged(
+                    "caller",
+                    "progress_timeout",
+                    limits.progress_timeout,
+                    tick,
+                    hour,
+                ),
             },
             memory: reader.ranged(
                 "caller",
@@ -223,9 +241,9 @@
             let text = format!("term {} is less than four polls of {}", self.lease_term, self.poll);
             reader.note(Code::Contradiction, "lease", "term", text);
         }
-        if self.memory < self.caller_limits.body {
+        if self.memory < self.caller_limits.max_body {
             let text =
-                format!("{} cannot hold one body of {}", self.memory, self.caller_limits.body);
+                format!("{} cannot hold one body of {}", self.memory, self.caller_limits.max_body);
             reader.note(Code::Contradiction, "caller", "memory", text);
         }
         let tcp = [self.caller_listen, self.operator_listen];
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -7,22 +7,22 @@
 use std::time::Duration;
 
 /// Longest chunk-size line and longest trailer section, in bytes.
-const MAX_LINE: usize = 1024;
+const MAX_CHUNK_LINE_LEN: usize = 1024;
 
 /// Largest piece handed out at once.
-const MAX_PIECE: usize = 64 * 1024;
+const MAX_PIECE_LEN: usize = 64 * 1024;
 
 /// Reads a body piece by piece.
 pub struct Reader {
     state: State,
-    wait: Duration,
+    max_wait: Duration,
 }
 
 enum State {
     /// This many bytes of the body are left.
     Exact(u64),
     /// A chunk-size line comes next.
-    ChunkHead,
+    ChunkSize,
     /// This many bytes of the present chunk are left, then its line end.
     Chunk(u64),
     /// The trailer section comes next.
@@ -34,15 +34,15 @@
 }
 
 impl Reader {
-    /// A reader of a body; `wait` bounds the silence before each piece.
-    pub fn new(length: Length, wait: Duration) -> Self {
+    /// A reader of a body; `max_wait` bounds the silence before each piece.
+    pub fn new(length: Length, max_wait: Duration) -> Self {
         let state = match length {
             Length::Exact(0) => State::Done,
             Length::Exact(n) => State::Exact(n),
-            Length::Chunked => State::ChunkHead,
+            Length::Chunked => State::ChunkSize,
             Length::UntilClose => State::UntilClose,
         };
-        Self { state, wait }
+        Self { state, max_wait }
     }
 
     /// The next piece; none once the body was read whole.
@@ -54,37 +54,37 @@
         loop {
             match self.state {
                 State::Done => return Ok(None),
-                State::Exact(left) => {
-                    let piece = self.piece(stream, left).await?;
-                    let left = left - piece.len() as u64;
-                    self.state = if left == 0 { State::Done } else { State::Exact(left) };
+                State::Exact(remaining) => {
+                    let piece = self.read_piece(stream, remaining).await?;
+                    let remaining = remaining - piece.len() as u64;
+                    self.state = if remaining == 0 { State::Done } else { State::Exact(remaining) };
                     return Ok(Some(piece));
                 }
                 State::Chunk(0) => {
-                    self.chunk_end(stream).await?;
-                    self.state = State::ChunkHead;
+                    self.read_chunk_end(stream).await?;
+                    self.state = State::ChunkSize;
                 }
-                State::Chunk(left) => {
-                    let piece = self.piece(stream, left).await?;
-                    self.state = State::Chunk(left - piece.len() as u64);
+                State::Chunk(remaining) => {
+                    let piece = self.read_piece(stream, remaining).await?;
+                    self.state = State::Chunk(remaining - piece.len() as u64);
                     return Ok(Some(piece));
                 }
-                State::ChunkHead => {
-                    let size = self.chunk_size(stream).await?;
+                State::ChunkSize => {
+                    let size = self.read_chunk_size(stream).await?;
                     self.state = if size == 0 { State::Trailers } else { State::Chunk(size) };
                 }
                 State::Trailers => {
-                    self.trailers(stream).await?;
+                    self.skip_trailers(stream).await?;
                     self.state = State::Done;
                 }
                 State::UntilClose => {
                     if stream.buffered().is_empty()
-                        && stream.fill(self.wait, "reading a body").await? == 0
+                        && stream.fill(self.max_wait, "reading a body").await? == 0
                     {
                         self.state = State::Done;
                         return Ok(None);
                     }
-                    return Ok(Some(stream.take(MAX_PIECE)));
+                    return Ok(Some(stream.consume(MAX_PIECE_LEN)));
                 }
             }
         }
@@ -125,60 +125,60 @@
         Ok(())
     }
 
-    /// At least one and at most `left` bytes.
-    async fn piece(&self, stream: &mut Stream, left: u64) -> Result<Vec<u8>, Fault> {
+    /// At least one and at most `remaining` bytes.
+    async fn read_piece(&self, stream: &mut Stream, remaining: u64) -> Result<Vec<u8>, Fault> {
         if stream.buffered().is_empty() {
-            self.more(stream).await?;
+            self.fill(stream).await?;
         }
-        let most = usize::try_from(left).unwrap_or(usize::MAX).min(MAX_PIECE);
-        Ok(stream.take(most))
+        let max_len = usize::try_from(remaining).unwrap_or(usize::MAX).min(MAX_PIECE_LEN);
+        Ok(stream.consume(max_len))
     }
 
-    async fn more(&self, stream: &mut Stream) -> Result<(), Fault> {
-        match stream.fill(self.wait, "reading a body").await? {
+    async fn fill(&self, stream: &mut Stream) -> Result<(), Fault> {
+        match stream.fill(self.max_wait, "reading a body").await? {
             0 => fault::TruncatedSnafu.fail(),
             _ => Ok(()),
         }
     }
 
-    async fn chunk_size(&self, stream: &mut Stream) -> Result<u64, Fault> {
+    async fn read_chunk_size(&self, stream: &mut Stream) -> Result<u64, Fault> {
         loop {
             match httparse::parse_chunk_size(stream.buffered()) {
                 Ok(httparse::Status::Complete((used, size))) => {
-                    stream.take(used);
+                    stream.consume(used);
                     return Ok(size);
                 }
-                Ok(httparse::Status::Partial) if stream.buffered().len() <= MAX_LINE => {
-                    self.more(stream).await?;
+                Ok(httparse::Status::Partial) if stream.buffered().len() <= MAX_CHUNK_LINE_LEN => {
+                    self.fill(stream).await?;
                 }
                 _ => return fault::MalformedSnafu { reason: "bad chunk size" }.fail(),
             }
         }
     }
 
-    async fn chunk_end(&self, stream: &mut Stream) -> Result<(), Fault> {
+    async fn read_chunk_end(&self, stream: &mut Stream) -> Result<(), Fault> {
         while stream.buffered().len() < 2 {
-            self.more(stream).await?;
+            self.fill(stream).await?;
         }
-        if stream.take(2) != b"\r\n" {
+        if stream.consume(2) != b"\r\n" {
             return fault::MalformedSnafu { reason: "a chunk is longer than its size" }.fail();
         }
         Ok(())
     }
 
     /// Skips trailer fields up to the empty line.
-    async fn trailers(&self, stream: &mut Stream) -> Result<(), Fault> {
+    async fn skip_trailers(&self, stream: &mut Stream) -> Result<(), Fault> {
         loop {
             let buffered = stream.buffered();
             match buffered.windows(2).position(|window| window == b"\r\n") {
                 Some(0) => {
-                    stream.take(2);
+                    stream.consume(2);
                     return Ok(());
                 }
                 Some(end) => {
-                    stream.take(end + 2);
+                    stream.consume(end + 2);
                 }
-                None if buffered.len() <= MAX_LINE => self.more(stream).await?,
+                None if buffered.len() <= MAX_CHUNK_LINE_LEN => self.fill(stream).await?,
                 None => return fault::MalformedSnafu { reason: "trailers too long" }.fail(),
             }
         }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Most interim answers before the final one.
-const MAX_INTERIM: usize = 8;
+const MAX_INTERIM_RESPONSES: usize = 8;
 
 /// How far a request had come when it failed; decides what may be said and sent again.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -29,7 +29,7 @@
     /// All of the request was written.
     AllWritten,
     /// A byte of the answer has come.
-    AnswerBegun,
+    ResponseStarted,
 }
 
 /// A failed request.
@@ -43,7 +43,7 @@
 
 /// The answer's head, and its body still on the connection.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ResponseHead {
     /// The head, as `async-h1` parsed it, without a body.
     pub head: Response,
     /// Where the body ends.
@@ -61,11 +61,11 @@
     /// Connects.
     ///
     /// # Errors
-    /// `Timeout` after `wait`, `Io` when refused.
-    pub async fn open(address: SocketAddr, wait: Duration) -> Result<Self, Fault> {
-        let stream = match timeout(wait, TcpStream::connect(address)).await {
+    /// `Timeout` after `max_wait`, `Io` when refused.
+    pub async fn open(address: SocketAddr, max_wait: Duration) -> Result<Self, Fault> {
+        let stream = match timeout(max_wait, TcpStream::connect(address)).await {
             Ok(result) => result.context(fault::IoSnafu)?,
-            Err(_) => return fault::TimeoutSnafu { doing: "connecting" }.fail(),
+            Err(_) => return fault::TimeoutSnafu { operation: "connecting" }.fail(),
         };
         stream.set_nodelay(true).context(fault::IoSnafu)?;
         Ok(Self { stream: Stream::new(stream) })
@@ -78,12 +78,16 @@
     /// leaves what was written to the operating system to deliver, resetting discards it.
     ///
     /// # Errors
-    /// `Timeout` after `wait`, `Io` when refused.
-    pub async fn open_resetting(address: SocketAddr, wait: Duration) -> Result<Self, Fault> {
+    /// `Timeout` after `max_wait`, `Io` when refused.
+    pub async fn open_with_abortive_close(
+        address: SocketAddr,
+        max_wait: Duration,
+    ) -> Result<Self, Fault> {
         let stream =
-            match timeout(wait, async_io::Async::<std::net::TcpStream>::connect(address)).await {
+            match timeout(max_wait, async_io::Async::<std::net::TcpStream>::connect(address)).await
+            {
                 Ok(result) => result.context(fault::IoSnafu)?,
-                Err(_) => return fault::TimeoutSnafu { doing: "connecting" }.fail(),
+                Err(_) => return fault::TimeoutSnafu { operation: "connecting" }.fail(),
             };
         stream.get_ref().set_nodelay(true).context(fault::IoSnafu)?;
         let socket = socket2::SockRef::from(&stream);
@@ -98,39 +102,43 @@
 
     /// Sends a request and reads the head of its answer.
     ///
-    /// `progress` bounds each silence, so a connection that something in between has forgotten
+    /// `progress_timeout` bounds each silence, so a connection that something in between has forgotten
     /// is found out however long the answer may take to compute: minions must send the head,
     /// or an interim answer, within it.
     ///
     /// # Errors
     /// The fault, with the phase at which it struck.
-    pub async fn send(&mut self, request: Request, progress: Duration) -> Result<Answer, Failure> {
+    pub async fn send(
+        &mut self,
+        request: Request,
+        progress_timeout: Duration,
+    ) -> Result<ResponseHead, Failure> {
         let method = request.method();
         let mut phase = Phase::Connected;
-        let sent = self.write(request, progress, &mut phase).await;
+        let sent = self.write_request(request, progress_timeout, &mut phase).await;
         if let Err(fault) = sent {
             // A server may answer early and close, for example to refuse a large body; its
             // answer is worth more than our write error.
             return match self.read_head(method, Duration::from_millis(50)).await {
-                Ok(mut answer) => {
-                    answer.keep_alive = false;
-                    Ok(answer)
+                Ok(mut response) => {
+                    response.keep_alive = false;
+                    Ok(response)
                 }
                 Err(_) => Err(Failure { phase, fault }),
             };
         }
-        self.read_head(method, progress).await.map_err(|fault| {
-            let begun = !self.stream.buffered().is_empty()
+        self.read_head(method, progress_timeout).await.map_err(|fault| {
+            let started = !self.stream.buffered().is_empty()
                 || !matches!(fault, Fault::Closed | Fault::Timeout { .. } | Fault::Io { .. });
-            let phase = if begun { Phase::AnswerBegun } else { Phase::AllWritten };
+            let phase = if started { Phase::ResponseStarted } else { Phase::AllWritten };
             Failure { phase, fault }
         })
     }
 
-    async fn write(
+    async fn write_request(
         &mut self,
         request: Request,
-        progress: Duration,
+        progress_timeout: Duration,
         phase: &mut Phase,
     ) -> Result<(), Fault> {
         let mut encoder = async_h1::client::Encoder::new(request);
@@ -138,17 +146,21 @@
         encoder.read_to_end(&mut bytes).await.context(fault::IoSnafu)?;
         let mut written = 0;
         while written < bytes.len() {
-            let count = self.stream.write_some(&bytes[written..], progress).await?;
+            let count = self.stream.write_some(&bytes[written..], progress_timeout).await?;
             written += count;
             *phase = Phase::PartWritten;
         }
         *phase = Phase::AllWritten;
-        self.stream.write_all(&[], progress).await
+        self.stream.write_all(&[], progress_timeout).await
     }
 
-    async fn read_head(&mut self, method: Method, progress: Duration) -> Result<Answer, Fault> {
-        for _ in 0..MAX_INTERIM {
-            let bytes = head::read(&mut self.stream, progress).await?;
+    async fn read_head(
+        &mut self,
+        method: Method,
+        progress_timeout: Duration,
+    ) -> Result<ResponseHead, Fault> {
+        for _ in 0..MAX_INTERIM_RESPONSES {
+            let bytes = head::read(&mut self.stream, progress_timeout).await?;
             let head = head::Response::parse(bytes, method.as_ref())?;
             // async-h1 takes an interim answer for the final one and leaves the final one to
             // the next request on the connection; so interim answers are skipped here.
@@ -159,7 +171,11 @@
             return match decoded {
                 Ok(mut response) => {
                     response.set_body(http_types::Body::empty());
-                    Ok(Answer { head: response, length: head.length, keep_alive: head.keep_alive })
+                    Ok(ResponseHead {
+                        head: response,
+                        length: head.length,
+                        keep_alive: head.keep_alive,
+                    })
                 }
                 Err(error) => fault::MalformedSnafu { reason: error.to_string() }.fail(),
             };
@@ -171,13 +187,13 @@
     ///
     /// # Errors
     /// As [`body::Reader::collect`]; the connection must not be used again after an error.
-    pub async fn body(
+    pub async fn read_body(
         &mut self,
         length: Length,
-        progress: Duration,
+        progress_timeout: Duration,
         limit: u64,
     ) -> Result<Vec<u8>, Fault> {
-        body::Reader::new(length, progress).collect(&mut self.stream, limit).await
+        body::Reader::new(length, progress_timeout).collect(&mut self.stream, limit).await
     }
 
     /// The connection itself, for reading a body piece by piece.
@@ -215,13 +231,13 @@
 pub async fn fetch(
     address: SocketAddr,
     request: Request,
-    wait: Duration,
+    max_wait: Duration,
     limit: u64,
 ) -> Result<(Response, Vec<u8>), Failure> {
-    let opened = Connection::open(address, wait).await;
+    let opened = Connection::open(address, max_wait).await;
     let mut connection = opened.map_err(|fault| Failure { phase: Phase::Connecting, fault })?;
-    let answer = connection.send(request, wait).await?;
-    let body = connection.body(answer.length, wait, limit).await;
-    let body = body.map_err(|fault| Failure { phase: Phase::AnswerBegun, fault })?;
-    Ok((answer.head, body))
+    let response = connection.send(request, max_wait).await?;
+    let body = connection.read_body(response.length, max_wait, limit).await;
+    let body = body.map_err(|fault| Failure { phase: Phase::ResponseStarted, fault })?;
+    Ok((response.head, body))
 }
--- a/crates/http/src/fault.rs
+++ b/crates/http/src/fault.rs
@@ -44,10 +44,10 @@
     #[snafu(display("the stream ended inside a message"))]
     Truncated,
     /// Nothing moved for the time allowed.
-    #[snafu(display("no progress while {doing}"))]
+    #[snafu(display("no progress while {operation}"))]
     Timeout {
         /// What was being done.
-        doing: &'static str,
+        operation: &'static str,
     },
     /// The connection failed.
     #[snafu(display("the connection failed: {source}"))]
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -7,7 +7,7 @@
 
 /// `async-h1` itself refuses heads from 8 KiB on; the limit here lies below that, so that the
 /// refusal is always ours and has an answer.
-pub const MAX_HEAD: usize = 8 * 1024 - 256;
+pub const MAX_HEAD_LEN: usize = 8 * 1024 - 256;
 
 /// Most headers in a head; `async-h1` takes 128.
 pub const MAX_HEADERS: usize = 100;
@@ -55,28 +55,28 @@
 
 /// Reads the bytes of one head, up to and with the empty line.
 ///
-/// `wait` bounds the whole head and not each step, so a client that sends one byte now and
+/// `timeout` bounds the whole head and not each step, so a client that sends one byte now and
 /// then cannot hold a connection.
 ///
 /// # Errors
 /// `Closed` when the stream ended before the first byte, `Truncated` within the head,
 /// `HeadTooLarge` and `Timeout`.
-pub async fn read(stream: &mut Stream, wait: Duration) -> Result<Vec<u8>, Fault> {
-    let began = Instant::now();
+pub async fn read(stream: &mut Stream, timeout: Duration) -> Result<Vec<u8>, Fault> {
+    let started = Instant::now();
     let mut searched = 0;
     loop {
         if let Some(end) = find_end(stream.buffered(), searched) {
-            if end > MAX_HEAD {
-                return fault::HeadTooLargeSnafu { limit: MAX_HEAD }.fail();
+            if end > MAX_HEAD_LEN {
+                return fault::HeadTooLargeSnafu { limit: MAX_HEAD_LEN }.fail();
             }
-            return Ok(stream.take(end));
+            return Ok(stream.consume(end));
         }
         searched = stream.buffered().len();
-        if searched > MAX_HEAD {
-            return fault::HeadTooLargeSnafu { limit: MAX_HEAD }.fail();
+        if searched > MAX_HEAD_LEN {
+            return fault::HeadTooLargeSnafu { limit: MAX_HEAD_LEN }.fail();
         }
-        let left = wait.saturating_sub(began.elapsed());
-        let count = stream.fill(left, "reading a head").await?;
+        let remaining = timeout.saturating_sub(started.elapsed());
+        let count = stream.fill(remaining, "reading a head").await?;
         if count == 0 {
             return if searched == 0 {
                 fault::ClosedSnafu.fail()
@@ -103,7 +103,7 @@
     pub fn parse(bytes: Vec<u8>) -> Result<Self, Fault> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
-        complete(request.parse(&bytes))?;
+        check_complete(request.parse(&bytes))?;
         if request.version != Some(1) {
             return malformed("only HTTP/1.1 is spoken");
         }
@@ -115,7 +115,7 @@
         if !target.starts_with('/') {
             return malformed("the target does not start with a slash");
         }
-        let fields = Fields::new(request.headers)?;
+        let fields = FramingFields::new(request.headers)?;
         if fields.hosts != 1 {
             return malformed("there must be exactly one Host");
         }
@@ -133,12 +133,12 @@
     pub fn parse(bytes: Vec<u8>, method: &str) -> Result<Self, Fault> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
-        complete(response.parse(&bytes))?;
+        check_complete(response.parse(&bytes))?;
         if response.version != Some(1) {
             return malformed("only HTTP/1.1 is spoken");
         }
         let status = response.code.unwrap_or_default();
-        let fields = Fields::new(response.headers)?;
+        let fields = FramingFields::new(response.headers)?;
         let bodyless = method == "HEAD" || status < 200 || status == 204 || status == 304;
         let length = match fields.length()? {
             _ if bodyless => Length::Exact(0),
@@ -149,11 +149,13 @@
     }
 }
 
-fn complete(result: httparse::Result<usize>) -> Result<(), Fault> {
+fn check_complete(result: httparse::Result<usize>) -> Result<(), Fault> {
     match result {
         Ok(httparse::Status::Complete(_)) => Ok(()),
         Ok(httparse::Status::Partial) => malformed("incomplete"),
-        Err(httparse::Error::TooManyHeaders) => fault::HeadTooLargeSnafu { limit: MAX_HEAD }.fail(),
+        Err(httparse::Error::TooManyHeaders) => {
+            fault::HeadTooLargeSnafu { limit: MAX_HEAD_LEN }.fail()
+        }
         Err(error) => malformed(error),
     }
 }
@@ -163,7 +165,7 @@
 }
 
 /// The header fields that decide the framing.
-struct Fields {
+struct FramingFields {
     lengths: Vec<String>,
     codings: Vec<String>,
     hosts: usize,
@@ -171,9 +173,9 @@
     close: bool,
 }
 
-impl Fields {
+impl FramingFields {
     fn new(headers: &[httparse::Header<'_>]) -> Result<Self, Fault> {
-        let mut fields = Fields {
+        let mut fields = FramingFields {
             lengths: Vec::new(),
             codings: Vec::new(),
             hosts: 0,
@@ -184,12 +186,12 @@
             let Ok(value) = std::str::from_utf8(header.value) else {
                 return malformed(format!("{} is not text", header.name));
             };
-            fields.note(&header.name.to_ascii_lowercase(), value.trim());
+            fields.record(&header.name.to_ascii_lowercase(), value.trim());
         }
         Ok(fields)
     }
 
-    fn note(&mut self, name: &str, value: &str) {
+    fn record(&mut self, name: &str, value: &str) {
         match name {
             "content-length" => self.lengths.extend(value.split(',').map(|v| v.trim().into())),
             "transfer-encoding" => self.codings.push(value.to_ascii_lowercase()),
--- a/crates/http/src/listener.rs
+++ b/crates/http/src/listener.rs
@@ -9,12 +9,12 @@
 
 /// Pause after a connection could not be accepted: out of descriptors, most likely, and they come
 /// back as connections end.
-const PAUSE: Duration = Duration::from_millis(500);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A connection counted until it ends.
-struct Counting(Arc<AtomicUsize>);
+struct ConnectionGuard(Arc<AtomicUsize>);
 
-impl Drop for Counting {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
@@ -22,7 +22,7 @@
 
 /// What a listener's connections share.
 #[derive(Clone)]
-pub struct Service {
+pub struct Server {
     /// What answers their requests.
     pub handler: Arc<dyn Handler>,
     /// Limits of each.
@@ -32,27 +32,27 @@
     /// How many there are now.
     pub connections: Arc<AtomicUsize>,
     /// Most of them at once; more are closed as they come.
-    pub most: usize,
+    pub max_connections: usize,
 }
 
 /// Accepts connections until the stop, and serves them.
-pub async fn serve(listener: TcpListener, service: Service) {
-    while let Ok(accepted) = listener.accept().timeout_at(service.stop.ended.clone()).await {
+pub async fn serve(listener: TcpListener, server: Server) {
+    while let Ok(accepted) = listener.accept().timeout_at(server.stop.ended.clone()).await {
         let Ok((stream, _)) = accepted else {
-            async_std::task::sleep(PAUSE).await;
+            async_std::task::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if service.connections.load(Ordering::SeqCst) >= service.most {
+        if server.connections.load(Ordering::SeqCst) >= server.max_connections {
             continue;
         }
-        service.connections.fetch_add(1, Ordering::SeqCst);
-        let counting = Counting(service.connections.clone());
-        async_std::task::spawn(serve_one(stream, service.clone(), counting));
+        server.connections.fetch_add(1, Ordering::SeqCst);
+        let guard = ConnectionGuard(server.connections.clone());
+        async_std::task::spawn(serve_connection(stream, server.clone(), guard));
     }
 }
 
-async fn serve_one(stream: TcpStream, service: Service, _counting: Counting) {
+async fn serve_connection(stream: TcpStream, server: Server, _guard: ConnectionGuard) {
     // Fails only on a connection that is gone already, which the first read tells.
     let _ = stream.set_nodelay(true);
-    server::serve(stream, service.handler, &service.limits, &service.stop).await;
+    server::serve(stream, server.handler, &server.limits, &server.stop).await;
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -17,28 +17,28 @@
 use stop_token::future::FutureExt;
 
 /// Bytes of an answer written at once.
-const PIECE: usize = 64 * 1024;
+const MAX_WRITE_LEN: usize = 64 * 1024;
 
 /// Limits of one connection.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Largest request body.
-    pub body: Bytes,
+    pub max_body: Bytes,
     /// Longest wait between two requests.
-    pub idle: Span,
+    pub idle_timeout: Span,
     /// Longest time for a whole head.
-    pub head: Span,
+    pub head_timeout: Span,
     /// Longest silence within a body, and longest stall while an answer is written.
-    pub progress: Span,
+    pub progress_timeout: Span,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            body: Bytes::mebi(8),
-            idle: Span::secs(60),
-            head: Span::secs(10),
-            progress: Span::secs(20),
+            max_body: Bytes::mebi(8),
+            idle_timeout: Span::secs(60),
+            head_timeout: Span::secs(10),
+            progress_timeout: Span::secs(20),
         }
     }
 }
@@ -81,7 +81,7 @@
     async fn handle(&self, request: Request) -> Response;
 
     /// Answers a request that could not be read.
-    fn refuse(&self, fault: &Fault) -> Response;
+    fn error_response(&self, fault: &Fault) -> Response;
 }
 
 /// The two steps in which a server stops.
@@ -104,18 +104,18 @@
     stop: &Stop,
 ) {
     let mut stream = Stream::new(io);
-    while serve_one(&mut stream, handler.as_ref(), limits, stop).await {}
+    while serve_request(&mut stream, handler.as_ref(), limits, stop).await {}
 }
 
 /// Whether the connection can carry another request.
-async fn serve_one(
+async fn serve_request(
     stream: &mut Stream,
     handler: &dyn Handler,
     limits: &Limits,
     stop: &Stop,
 ) -> bool {
     if stream.buffered().is_empty() {
-        let first = stream.fill(limits.idle.0, "waiting for a request");
+        let first = stream.fill(limits.idle_timeout.0, "waiting for a request");
         match first.timeout_at(stop.ended.clone()).await {
             Ok(Ok(count)) if count > 0 => {}
             _ => return false,
@@ -130,23 +130,28 @@
             };
             let (request, keep_alive) = match answered {
                 Ok(read) => read,
-                Err(fault) => return end(stream, handler, &fault, limits).await,
+                Err(fault) => return respond_and_close(stream, handler, &fault, limits).await,
             };
             let answer = handler.handle(request).await;
             // A stopping server says so on its last answer, so that the client does not send
             // another request into a connection that is about to close.
             let keep_alive = keep_alive && !is_closing(stop);
-            write(stream, answer, method, keep_alive, limits).await.is_ok() && keep_alive
+            write_response(stream, answer, method, keep_alive, limits).await.is_ok() && keep_alive
         }
         Err(Fault::Closed) => false,
-        Err(fault) => end(stream, handler, &fault, limits).await,
+        Err(fault) => respond_and_close(stream, handler, &fault, limits).await,
     }
 }
 
 /// Answers a request that could not be read.  Where the next one begins is not known then, so the connection ends.
-async fn end(stream: &mut Stream, handler: &dyn Handler, fault: &Fault, limits: &Limits) -> bool {
-    let answer = handler.refuse(fault);
-    let _ = write(stream, answer, Method::Get, false, limits).await;
+async fn respond_and_close(
+    stream: &mut Stream,
+    handler: &dyn Handler,
+    fault: &Fault,
+    limits: &Limits,
+) -> bool {
+    let answer = handler.error_response(fault);
+    let _ = write_response(stream, answer, Method::Get, false, limits).await;
     false
 }
 
@@ -164,11 +169,11 @@
     let method = head.decoded.method();
     // Its client may send the body or not, so where the next request begins is not known.
     let keep_alive = head.framing.keep_alive && !head.framing.expects_continue && !is_closing(stop);
-    if write(stream, answer, method, keep_alive, limits).await.is_err() || !keep_alive {
+    if write_response(stream, answer, method, keep_alive, limits).await.is_err() || !keep_alive {
         return false;
     }
-    let mut reader = body::Reader::new(head.framing.length, limits.progress.0);
-    reader.discard(stream, limits.body.0).await.is_ok()
+    let mut reader = body::Reader::new(head.framing.length, limits.progress_timeout.0);
+    reader.discard(stream, limits.max_body.0).await.is_ok()
 }
 
 fn is_closing(stop: &Stop) -> bool {
@@ -182,10 +187,10 @@
 }
 
 async fn read_head(stream: &mut Stream, limits: &Limits) -> Result<Head, Fault> {
-    let bytes = head::read(stream, limits.head.0).await?;
+    let bytes = head::read(stream, limits.head_timeout.0).await?;
     let mut framing = head::Request::parse(bytes)?;
     let bytes = std::mem::take(&mut framing.bytes);
-    match async_h1::server::decode(Memory::new(bytes)).await {
+    match async_h1::server::decode(MemoryIo::new(bytes)).await {
         Ok(Some((decoded, _))) => Ok(Head { framing, decoded }),
         Ok(None) => Err(Fault::Malformed { reason: "empty head".into() }),
         Err(error) => Err(Fault::Malformed { reason: error.to_string() }),
@@ -200,10 +205,10 @@
     let Head { framing, decoded } = head;
     if framing.expects_continue {
         // async-h1 would write this after the final answer; here it comes first.
-        stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n", limits.progress.0).await?;
+        stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n", limits.progress_timeout.0).await?;
     }
-    let mut reader = body::Reader::new(framing.length, limits.progress.0);
-    let body = reader.collect(stream, limits.body.0).await.map_err(|fault| match fault {
+    let mut reader = body::Reader::new(framing.length, limits.progress_timeout.0);
+    let body = reader.collect(stream, limits.max_body.0).await.map_err(|fault| match fault {
         // Ending inside the body is not ending between messages.
         Fault::Closed => Fault::Truncated,
         other => other,
@@ -213,7 +218,7 @@
 
 /// Writes an answer.  An answer whose body fails or falls short of its declared length ends
 /// the connection, so that the client sees it broken and never takes the next head for a body.
-async fn write(
+async fn write_response(
     stream: &mut Stream,
     mut answer: Response,
     method: Method,
@@ -225,42 +230,42 @@
     }
     let declared = answer.len().filter(|_| method != Method::Head);
     let mut encoder = async_h1::server::Encoder::new(answer, method);
-    let mut piece = vec![0; PIECE];
-    let mut counter = Counter::new(declared);
+    let mut piece = vec![0; MAX_WRITE_LEN];
+    let mut counter = BodyCounter::new(declared);
     loop {
         let count = encoder.read(&mut piece).await.map_err(|source| Fault::Io { source })?;
         if count == 0 {
             break;
         }
-        counter.count(&piece[..count]);
-        stream.write_all(&piece[..count], limits.progress.0).await?;
+        counter.record(&piece[..count]);
+        stream.write_all(&piece[..count], limits.progress_timeout.0).await?;
     }
     if counter.is_short() { Err(Fault::Truncated) } else { Ok(()) }
 }
 
 /// Counts the body's bytes behind the head.
-struct Counter {
+struct BodyCounter {
     declared: Option<usize>,
     in_head: bool,
-    tail: Vec<u8>,
+    head_bytes: Vec<u8>,
     body: usize,
 }
 
-impl Counter {
+impl BodyCounter {
     fn new(declared: Option<usize>) -> Self {
-        Self { declared, in_head: true, tail: Vec::new(), body: 0 }
+        Self { declared, in_head: true, head_bytes: Vec::new(), body: 0 }
     }
 
-    fn count(&mut self, bytes: &[u8]) {
+    fn record(&mut self, bytes: &[u8]) {
         if !self.in_head {
             self.body += bytes.len();
             return;
         }
-        self.tail.extend_from_slice(bytes);
-        if let Some(at) = self.tail.windows(4).position(|window| window == b"\r\n\r\n") {
+        self.head_bytes.extend_from_slice(bytes);
+        if let Some(at) = self.head_bytes.windows(4).position(|window| window == b"\r\n\r\n") {
             self.in_head = false;
-            self.body = self.tail.len() - at - 4;
-            self.tail = Vec::new();
+            self.body = self.head_bytes.len() - at - 4;
+            self.head_bytes = Vec::new();
         }
     }
 
@@ -271,15 +276,15 @@
 
 /// A head in memory, in the shape that `async_h1::server::decode` wants.
 #[derive(Clone)]
-struct Memory(Arc<Mutex<Cursor<Vec<u8>>>>);
+struct MemoryIo(Arc<Mutex<Cursor<Vec<u8>>>>);
 
-impl Memory {
+impl MemoryIo {
     fn new(bytes: Vec<u8>) -> Self {
         Self(Arc::new(Mutex::new(Cursor::new(bytes))))
     }
 }
 
-impl Read for Memory {
+impl Read for MemoryIo {
     fn poll_read(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
@@ -290,7 +295,7 @@
     }
 }
 
-impl Write for Memory {
+impl Write for MemoryIo {
     fn poll_write(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
--- a/crates/http/src/stream.rs
+++ b/crates/http/src/stream.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 /// Bytes read from the other end at once, at least: most messages are shorter.
-const LEAST_CHUNK: usize = 4 * 1024;
+const MIN_READ_LEN: usize = 4 * 1024;
 
 /// The same at most; a long message is read in chunks as long as what has come of it, so that few reads
 /// are needed for a list of a megabyte.
-const MOST_CHUNK: usize = 64 * 1024;
+const MAX_READ_LEN: usize = 64 * 1024;
 
 /// What both ends need of a connection.
 pub trait Duplex: Read + Write + Send + Sync + Unpin {}
@@ -41,7 +41,7 @@
     }
 
     /// Takes `n` buffered bytes out.
-    pub fn take(&mut self, n: usize) -> Vec<u8> {
+    pub fn consume(&mut self, n: usize) -> Vec<u8> {
         let end = (self.start + n).min(self.buffer.len());
         let bytes = self.buffer[self.start..end].to_vec();
         self.start = end;
@@ -49,7 +49,7 @@
             self.buffer.clear();
             self.start = 0;
             // A connection that idles keeps no long buffer: an entry has hundreds of them.
-            self.buffer.shrink_to(LEAST_CHUNK);
+            self.buffer.shrink_to(MIN_READ_LEN);
         }
         bytes
     }
@@ -57,15 +57,19 @@
     /// Reads more bytes into the buffer and returns how many; nought at the end of the stream.
     ///
     /// # Errors
-    /// `Timeout` when nothing came within `wait`, `Io` when the connection failed.
-    pub async fn fill(&mut self, wait: Duration, doing: &'static str) -> Result<usize, Fault> {
+    /// `Timeout` when nothing came within `max_wait`, `Io` when the connection failed.
+    pub async fn fill(
+        &mut self,
+        max_wait: Duration,
+        operation: &'static str,
+    ) -> Result<usize, Fault> {
         if self.start > 0 {
             self.buffer.drain(..self.start);
             self.start = 0;
         }
         let length = self.buffer.len();
-        self.buffer.resize(length + length.clamp(LEAST_CHUNK, MOST_CHUNK), 0);
-        let read = timeout(wait, self.io.read(&mut self.buffer[length..])).await;
+        self.buffer.resize(length + length.clamp(MIN_READ_LEN, MAX_READ_LEN), 0);
+        let read = timeout(max_wait, self.io.read(&mut self.buffer[length..])).await;
         let count = match &read {
             Ok(Ok(count)) => *count,
             _ => 0,
@@ -73,34 +77,34 @@
         self.buffer.truncate(length + count);
         match read {
             Ok(result) => result.context(fault::IoSnafu),
-            Err(_) => fault::TimeoutSnafu { doing }.fail(),
+            Err(_) => fault::TimeoutSnafu { operation }.fail(),
         }
     }
 
     /// Writes some of `bytes` and returns how many.
     ///
     /// # Errors
-    /// `Timeout` when nothing could be written within `wait`, `Io` when the connection failed.
-    pub async fn write_some(&mut self, bytes: &[u8], wait: Duration) -> Result<usize, Fault> {
-        match timeout(wait, self.io.write(bytes)).await {
+    /// `Timeout` when nothing could be written within `max_wait`, `Io` when the connection failed.
+    pub async fn write_some(&mut self, bytes: &[u8], max_wait: Duration) -> Result<usize, Fault> {
+        match timeout(max_wait, self.io.write(bytes)).await {
             Ok(Ok(0)) => fault::TruncatedSnafu.fail(),
             Ok(result) => result.context(fault::IoSnafu),
-            Err(_) => fault::TimeoutSnafu { doing: "writing" }.fail(),
+            Err(_) => fault::TimeoutSnafu { operation: "writing" }.fail(),
         }
     }
 
-    /// Writes all of `bytes`; `wait` bounds each step, not the whole.
+    /// Writes all of `bytes`; `max_wait` bounds each step, not the whole.
     ///
     /// # Errors
     /// As [`Stream::write_some`].
-    pub async fn write_all(&mut self, bytes: &[u8], wait: Duration) -> Result<(), Fault> {
+    pub async fn write_all(&mut self, bytes: &[u8], max_wait: Duration) -> Result<(), Fault> {
         let mut written = 0;
         while written < bytes.len() {
-            written += self.write_some(&bytes[written..], wait).await?;
+            written += self.write_some(&bytes[written..], max_wait).await?;
         }
-        match timeout(wait, self.io.flush()).await {
+        match timeout(max_wait, self.io.flush()).await {
             Ok(result) => result.context(fault::IoSnafu),
-            Err(_) => fault::TimeoutSnafu { doing: "flushing" }.fail(),
+            Err(_) => fault::TimeoutSnafu { operation: "flushing" }.fail(),
         }
     }
 }
--- a/crates/http/tests/guard.rs
+++ b/crates/http/tests/guard.rs
@@ -47,13 +47,13 @@
 #[async_std::test]
 async fn a_truncated_answer_is_an_error() {
     let answer = fetch(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf").await;
-    assert_matches!(answer, Err((Phase::AnswerBegun, Fault::Truncated)));
+    assert_matches!(answer, Err((Phase::ResponseStarted, Fault::Truncated)));
 }
 
 #[async_std::test]
 async fn a_chunked_answer_cut_before_its_end_is_an_error() {
     let answer = fetch(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n").await;
-    assert_matches!(answer, Err((Phase::AnswerBegun, Fault::Truncated)));
+    assert_matches!(answer, Err((Phase::ResponseStarted, Fault::Truncated)));
 }
 
 #[async_std::test]
@@ -99,7 +99,7 @@
 #[async_std::test]
 async fn the_phase_tells_a_closed_connection_from_a_begun_answer() {
     assert_matches!(fetch(b"").await, Err((Phase::AllWritten, _)));
-    assert_matches!(fetch(b"HTTP/1.1 200 OK\r\nCont").await, Err((Phase::AnswerBegun, _)));
+    assert_matches!(fetch(b"HTTP/1.1 200 OK\r\nCont").await, Err((Phase::ResponseStarted, _)));
     let nobody: SocketAddr = "127.0.0.1:1".parse().unwrap();
     let request = client::request(Method::Get, nobody, "/").unwrap();
     let failure = client::fetch(nobody, request, WAIT, 10).await.unwrap_err();
@@ -123,7 +123,7 @@
     let mut connection = Connection::open(address, WAIT).await.unwrap();
     let request = client::request(Method::Get, address, "/").unwrap();
     let answer = connection.send(request, WAIT).await.unwrap();
-    connection.body(answer.length, WAIT, 10).await.unwrap();
+    connection.read_body(answer.length, WAIT, 10).await.unwrap();
     assert!(connection.is_stale().await);
 }
 
@@ -147,7 +147,7 @@
         response
     }
 
-    fn refuse(&self, fault: &Fault) -> Response {
+    fn error_response(&self, fault: &Fault) -> Response {
         let code: Code = fault.request_code();
         let status = StatusCode::try_from(code.meaning().status).unwrap();
         let mut response = Response::new(status);
@@ -172,9 +172,9 @@
     let handler = echo.clone();
     task::spawn(async move {
         let limits = Limits {
-            body: Bytes(1000),
-            head: Span::millis(300),
-            progress: Span::millis(300),
+            max_body: Bytes(1000),
+            head_timeout: Span::millis(300),
+            progress_timeout: Span::millis(300),
             ..Limits::default()
         };
         while let Ok((stream, _)) = listener.accept().await {
@@ -301,7 +301,7 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let wait = std::time::Duration::from_secs(2);
-    let connection = celerythread_http::client::Connection::open_resetting(address, wait);
+    let connection = celerythread_http::client::Connection::open_with_abortive_close(address, wait);
     let connection = connection.await.unwrap();
     let (mut accepted, _) = listener.accept().unwrap();
     drop(connection);
@@ -325,7 +325,7 @@
         Response::new(StatusCode::Ok)
     }
 
-    fn refuse(&self, _: &Fault) -> Response {
+    fn error_response(&self, _: &Fault) -> Response {
         Response::new(StatusCode::BadRequest)
     }
 }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -19,10 +19,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// Largest answer of the platform.
-const ANSWER_LIMIT: Bytes = Bytes::mebi(64);
+const MAX_RESPONSE_BODY: Bytes = Bytes::mebi(64);
 
 /// Most connections kept open between calls.
-const IDLE_CONNECTIONS: usize = 4;
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
 /// How the platform is reached.
 #[derive(Clone, Debug)]
@@ -92,7 +92,7 @@
 }
 
 /// What goes wrong below the platform's own answers, by whether the call may have happened.
-enum Trouble {
+enum CallError {
     NotSent(String),
     MaybeSent(String),
 }
@@ -115,7 +115,7 @@
     }
 
     /// A connection that was used before only when the server has not closed it meanwhile.
-    async fn connection(&self) -> Result<Connection, Trouble> {
+    async fn get_connection(&self) -> Result<Connection, CallError> {
         while let Some(mut connection) = self.take_idle() {
             if !connection.is_stale().await {
                 return Ok(connection);
@@ -134,71 +134,71 @@
                 Err(fault) => reason = format!("{address}: {fault}"),
             }
         }
-        Err(Trouble::NotSent(reason))
+        Err(CallError::NotSent(reason))
     }
 
     fn take_idle(&self) -> Option<Connection> {
         self.idle.lock().pop()
     }
 
-    fn keep(&self, connection: Connection) {
+    fn put_idle(&self, connection: Connection) {
         let mut idle = self.idle.lock();
-        if idle.len() < IDLE_CONNECTIONS {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
         }
     }
 
-    async fn exchange(
+    async fn send_request(
         &self,
         method: Method,
         path: &str,
         body: Vec<u8>,
-    ) -> Result<(u16, Vec<u8>), Trouble> {
-        let mut connection = self.connection().await?;
+    ) -> Result<(u16, Vec<u8>), CallError> {
+        let mut connection = self.get_connection().await?;
         // The address is only for the Host header; the connection is open already.
         let host = self.settings.addresses[0];
         let mut request = client::request(method, host, path)
-            .map_err(|fault| Trouble::NotSent(fault.to_string()))?;
+            .map_err(|fault| CallError::NotSent(fault.to_string()))?;
         request.set_body(body);
-        let wait = self.settings.timeout.0;
-        let answer = connection.send(request, wait).await.map_err(|failure| {
+        let timeout = self.settings.timeout.0;
+        let response = connection.send(request, timeout).await.map_err(|failure| {
             let reason = failure.fault.to_string();
             match failure.phase {
-                Phase::Connecting | Phase::Connected => Trouble::NotSent(reason),
-                _ => Trouble::MaybeSent(reason),
+                Phase::Connecting | Phase::Connected => CallError::NotSent(reason),
+                _ => CallError::MaybeSent(reason),
             }
         })?;
         let body = connection
-            .body(answer.length, wait, ANSWER_LIMIT.0)
+            .read_body(response.length, timeout, MAX_RESPONSE_BODY.0)
             .await
-            .map_err(|fault| Trouble::MaybeSent(fault.to_string()))?;
-        if answer.keep_alive {
-            self.keep(connection);
+            .map_err(|fault| CallError::MaybeSent(fault.to_string()))?;
+        if response.keep_alive {
+            self.put_idle(connection);
         }
-        Ok((answer.head.status().into(), body))
+        Ok((response.head.status().into(), body))
     }
 
     /// A call that changes something: a lost answer stays `Lost`.
-    async fn change<T: DeserializeOwned>(
+    async fn call_mutating<T: DeserializeOwned>(
         &self,
         path: &str,
         query: &impl Serialize,
     ) -> Result<T, Error> {
         let body = serde_json::to_vec(query).expect("messages always serialize");
-        match self.exchange(Method::Post, path, body).await {
+        match self.send_request(Method::Post, path, body).await {
             Ok((status, body)) => decode(status, &body),
-            Err(Trouble::NotSent(reason)) => Err(Error::Unavailable { reason }),
-            Err(Trouble::MaybeSent(reason)) => Err(Error::Lost { reason }),
+            Err(CallError::NotSent(reason)) => Err(Error::Unavailable { reason }),
+            Err(CallError::MaybeSent(reason)) => Err(Error::Lost { reason }),
         }
     }
 
     /// A call that only asks: a lost answer is no different from none.
-    async fn ask<T: DeserializeOwned>(
+    async fn call_read_only<T: DeserializeOwned>(
         &self,
         path: &str,
         query: &impl Serialize,
     ) -> Result<T, Error> {
-        self.change(path, query).await.map_err(|error| match error {
+        self.call_mutating(path, query).await.map_err(|error| match error {
             Error::Lost { reason } => Error::Unavailable { reason },
             other => other,
         })
@@ -222,35 +222,35 @@
 #[async_trait]
 impl traits::Table for Client {
     async fn commit(&self, transaction: Transaction) -> Result<Revision, Error> {
-        self.change("/table/commit", &transaction).await
+        self.call_mutating("/table/commit", &transaction).await
     }
 
     async fn read(&self, space: Space, keys: &[String]) -> Result<Vec<Row>, Error> {
-        self.ask("/table/read", &ReadQuery { space, keys: keys.to_vec() }).await
+        self.call_read_only("/table/read", &ReadQuery { space, keys: keys.to_vec() }).await
     }
 
     async fn changes(&self, space: Space, since: Revision) -> Result<Changes, Error> {
-        self.ask("/table/changes", &ChangesQuery { space, since }).await
+        self.call_read_only("/table/changes", &ChangesQuery { space, since }).await
     }
 }
 
 #[async_trait]
 impl traits::Objects for Client {
     async fn put(&self, name: &str, body: Vec<u8>) -> Result<(), Error> {
-        match self.exchange(Method::Put, &format!("/objects/{name}"), body).await {
+        match self.send_request(Method::Put, &format!("/objects/{name}"), body).await {
             Ok((200, _)) => Ok(()),
             Ok((status, body)) => decode(status, &body),
-            Err(Trouble::NotSent(reason)) => Err(Error::Unavailable { reason }),
-            Err(Trouble::MaybeSent(reason)) => Err(Error::Lost { reason }),
+            Err(CallError::NotSent(reason)) => Err(Error::Unavailable { reason }),
+            Err(CallError::MaybeSent(reason)) => Err(Error::Lost { reason }),
         }
     }
 
     async fn get(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
-        match self.exchange(Method::Get, &format!("/objects/{name}"), Vec::new()).await {
+        match self.send_request(Method::Get, &format!("/objects/{name}"), Vec::new()).await {
             Ok((200, body)) => Ok(Some(body)),
             Ok((404, _)) => Ok(None),
             Ok((status, body)) => decode(status, &body),
-            Err(Trouble::NotSent(reason) | Trouble::MaybeSent(reason)) => {
+            Err(CallError::NotSent(reason) | CallError::MaybeSent(reason)) => {
                 Err(Error::Unavailable { reason })
             }
         }
@@ -260,26 +260,26 @@
 #[async_trait]
 impl traits::Roster for Client {
     async fn list(&self, known: &str) -> Result<Option<Listing>, Error> {
-        self.ask("/roster/list", &known).await
+        self.call_read_only("/roster/list", &known).await
     }
 
     async fn reboot(&self, name: &str, boot: u64) -> Result<(), Error> {
-        self.change("/roster/reboot", &Reboot { name: name.into(), boot }).await
+        self.call_mutating("/roster/reboot", &Reboot { name: name.into(), boot }).await
     }
 }
 
 #[async_trait]
 impl traits::Workers for Client {
     async fn order(&self, worker: &id::Worker, order: Order) -> Result<(), Error> {
-        self.change("/workers/order", &Command { worker: worker.clone(), order }).await
+        self.call_mutating("/workers/order", &Command { worker: worker.clone(), order }).await
     }
 
     async fn tasks(&self) -> Result<Vec<Task>, Error> {
-        self.ask("/workers/tasks", &()).await
+        self.call_read_only("/workers/tasks", &()).await
     }
 
     async fn inspect(&self, worker: &id::Worker, job: &id::Job) -> Result<Option<Task>, Error> {
         let query = Inspection { worker: worker.clone(), job: job.clone() };
-        self.ask("/workers/inspect", &query).await
+        self.call_read_only("/workers/inspect", &query).await
     }
 }
--- a/crates/platform/src/memory/roster.rs
+++ b/crates/platform/src/memory/roster.rs
@@ -16,9 +16,9 @@
 #[derive(Default)]
 struct History {
     lag: Duration,
-    now: State,
+    current: State,
     /// Earlier states of the list, oldest first, each with the time it was replaced.
-    shown: VecDeque<(Instant, State)>,
+    previous: VecDeque<(Instant, State)>,
 }
 
 /// One state of the list.
@@ -29,20 +29,20 @@
 }
 
 impl History {
-    fn change(&mut self, change: impl FnOnce(&mut BTreeMap<String, Instance>)) {
+    fn apply_change(&mut self, change: impl FnOnce(&mut BTreeMap<String, Instance>)) {
         if !self.lag.is_zero() {
-            self.shown.push_back((Instant::now(), self.now.clone()));
+            self.previous.push_back((Instant::now(), self.current.clone()));
         }
-        self.now.version += 1;
-        change(&mut self.now.instances);
+        self.current.version += 1;
+        change(&mut self.current.instances);
     }
 
     /// The list as it was `lag` ago.
-    fn lagging(&mut self) -> &State {
-        while self.shown.front().is_some_and(|(replaced, _)| replaced.elapsed() >= self.lag) {
-            self.shown.pop_front();
+    fn visible(&mut self) -> &State {
+        while self.previous.front().is_some_and(|(replaced, _)| replaced.elapsed() >= self.lag) {
+            self.previous.pop_front();
         }
-        self.shown.front().map_or(&self.now, |(_, state)| state)
+        self.previous.front().map_or(&self.current, |(_, state)| state)
     }
 }
 
@@ -54,21 +54,21 @@
 
     /// Adds or replaces an instance.
     pub fn put(&self, instance: Instance) {
-        self.history.lock().change(|list| {
+        self.history.lock().apply_change(|list| {
             list.insert(instance.name.clone(), instance);
         });
     }
 
     /// Removes an instance.
     pub fn remove(&self, name: &str) {
-        self.history.lock().change(|list| {
+        self.history.lock().apply_change(|list| {
             list.remove(name);
         });
     }
 
     /// The list as it really is.
-    pub fn now(&self) -> Vec<Instance> {
-        self.history.lock().now.instances.values().cloned().collect()
+    pub fn current(&self) -> Vec<Instance> {
+        self.history.lock().current.instances.values().cloned().collect()
     }
 }
 
@@ -77,7 +77,7 @@
     async fn list(&self, known: &str) -> Result<Option<Listing>, Error> {
         let mut history = self.history.lock();
         let lag_ms = history.lag.as_millis() as u64;
-        let state = history.lagging();
+        let state = history.visible();
         let version = state.version.to_string();
         if version == known {
             return Ok(None);
@@ -88,11 +88,11 @@
 
     async fn reboot(&self, name: &str, boot: u64) -> Result<(), Error> {
         let mut history = self.history.lock();
-        let Some(instance) = history.now.instances.get(name) else {
+        let Some(instance) = history.current.instances.get(name) else {
             return Err(Error::Refused { reason: format!("no instance {name}") });
         };
         if instance.boot == boot {
-            history.change(|list| {
+            history.apply_change(|list| {
                 if let Some(instance) = list.get_mut(name) {
                     instance.boot = boot + 1;
                 }
--- a/crates/platform/src/memory/table.rs
+++ b/crates/platform/src/memory/table.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Most rows in one answer to `changes`.
-const PAGE: usize = 500;
+const MAX_ROWS_PER_PAGE: usize = 500;
 
 /// A table in memory that counts its calls.
 #[derive(Default)]
@@ -90,10 +90,14 @@
         self.reads.fetch_add(1, Ordering::Relaxed);
         let state = self.state.lock();
         let range = (space, since.next())..=(space, Revision(u64::MAX));
-        let mut rows: Vec<Row> =
-            state.feed.range(range).take(PAGE + 1).map(|(_, key)| state.row(space, key)).collect();
-        let more = rows.len() > PAGE;
-        rows.truncate(PAGE);
+        let mut rows: Vec<Row> = state
+            .feed
+            .range(range)
+            .take(MAX_ROWS_PER_PAGE + 1)
+            .map(|(_, key)| state.row(space, key))
+            .collect();
+        let more = rows.len() > MAX_ROWS_PER_PAGE;
+        rows.truncate(MAX_ROWS_PER_PAGE);
         let last = rows.last().map(|row| row.revision);
         let upto = if more { last.unwrap_or(since) } else { state.revision };
         Ok(Changes { rows, upto, more })
--- a/crates/platform/src/memory/workers.rs
+++ b/crates/platform/src/memory/workers.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// Boot count of a worker that was never restarted.
-const FIRST_BOOT: u64 = 1;
+const INITIAL_BOOT_COUNT: u64 = 1;
 
 /// How a worker's tasks really behave, whatever was declared.
 #[derive(Clone, Debug)]
@@ -43,7 +43,7 @@
     starts: Vec<(id::Worker, id::Job, u32)>,
     /// Boots beyond the first, of workers that were restarted.
     reboots: HashMap<id::Worker, u64>,
-    gone: HashSet<id::Worker>,
+    removed: HashSet<id::Worker>,
 }
 
 /// What an order to start says.
@@ -59,8 +59,8 @@
     attempt: u32,
     phase: Phase,
     size: Size,
-    ends: Instant,
-    left: Duration,
+    ends_at: Instant,
+    remaining: Duration,
 }
 
 impl Workers {
@@ -75,16 +75,16 @@
     }
 
     /// Loses a worker with all its tasks.
-    pub fn lose(&self, worker: &id::Worker) {
+    pub fn remove(&self, worker: &id::Worker) {
         let mut state = self.state.lock();
-        state.tasks.retain(|(held, _), _| held != worker);
-        state.gone.insert(worker.clone());
+        state.tasks.retain(|(assigned, _), _| assigned != worker);
+        state.removed.insert(worker.clone());
     }
 
     /// Restarts a worker: it forgets its tasks and what it has refused.
     pub fn restart(&self, worker: &id::Worker) {
         let mut state = self.state.lock();
-        state.tasks.retain(|(held, _), _| held != worker);
+        state.tasks.retain(|(assigned, _), _| assigned != worker);
         state.highest_token.remove(worker);
         *state.reboots.entry(worker.clone()).or_default() += 1;
     }
@@ -95,7 +95,7 @@
         let Start { job, attempt, token, boot, size } = order;
         let refuse = |reason: &str| Err(Error::Refused { reason: reason.into() });
         let reboots = self.reboots.get(worker).copied().unwrap_or(0);
-        if boot != FIRST_BOOT + reboots {
+        if boot != INITIAL_BOOT_COUNT + reboots {
             return refuse("the order is for another boot");
         }
         let highest = self.highest_token.entry(worker.clone()).or_default();
@@ -113,17 +113,18 @@
         let mut real = size;
         real.cpu.0 = used(size.cpu.0.into()) as u32;
         real.memory.0 = used(size.memory.0);
-        let ends = Instant::now() + behaviour.duration;
-        let running = Running { attempt, phase, size: real, ends, left: behaviour.duration };
+        let ends_at = Instant::now() + behaviour.duration;
+        let running =
+            Running { attempt, phase, size: real, ends_at, remaining: behaviour.duration };
         self.tasks.insert(key, running);
         self.starts.push((worker.clone(), job, attempt));
         Ok(())
     }
 
-    fn settle(&mut self) {
+    fn complete_due_tasks(&mut self) {
         let now = Instant::now();
         for task in self.tasks.values_mut() {
-            if task.phase == Phase::Running && task.ends <= now {
+            if task.phase == Phase::Running && task.ends_at <= now {
                 task.phase = Phase::Done;
             }
         }
@@ -145,10 +146,10 @@
 impl traits::Workers for Workers {
     async fn order(&self, worker: &id::Worker, order: Order) -> Result<(), Error> {
         let mut state = self.state.lock();
-        if state.gone.contains(worker) {
+        if state.removed.contains(worker) {
             return Err(Error::Refused { reason: "there is no such worker".into() });
         }
-        state.settle();
+        state.complete_due_tasks();
         match order {
             Order::Start { job, attempt, token, boot, size } => {
                 state.start(worker, Start { job, attempt, token, boot, size })
@@ -158,7 +159,7 @@
                     && task.phase == Phase::Running
                 {
                     task.phase = Phase::Throttled;
-                    task.left = task.ends.saturating_duration_since(Instant::now());
+                    task.remaining = task.ends_at.saturating_duration_since(Instant::now());
                 }
                 Ok(())
             }
@@ -179,15 +180,15 @@
 
     async fn tasks(&self) -> Result<Vec<Task>, Error> {
         let mut state = self.state.lock();
-        state.settle();
+        state.complete_due_tasks();
         let tasks = state.tasks.iter();
         Ok(tasks.map(|((worker, job), running)| State::task(worker, job, running)).collect())
     }
 
     async fn inspect(&self, worker: &id::Worker, job: &id::Job) -> Result<Option<Task>, Error> {
         let mut state = self.state.lock();
-        state.settle();
-        if state.gone.contains(worker) {
+        state.complete_due_tasks();
+        if state.removed.contains(worker) {
             return Err(Error::Unavailable { reason: "there is no such worker".into() });
         }
         let found = state.tasks.get(&(worker.clone(), job.clone()));
--- a/crates/scheduler/src/daemon.rs
+++ b/crates/scheduler/src/daemon.rs
@@ -16,7 +16,7 @@
 use celerythread_adapter::store::{Name, Transaction};
 use celerythread_engine::job::{decode, encode};
 use celerythread_http::Fault;
-use celerythread_http::listener::{self, Service};
+use celerythread_http::listener::{self, Server};
 use celerythread_http::server::{Handler, Limits, Request, Stop};
 use celerythread_model::unit::{Bytes, Span};
 use celerythread_wire::authority::{self, Pair};
@@ -118,14 +118,15 @@
 
     fn serve(&self, listener: TcpListener, handler: Arc<dyn Handler>) {
         let limits = Limits {
-            body: Bytes(self.node.settings.body_limit),
-            idle: Span::secs(30),
-            head: Span::secs(3),
-            progress: Span::secs(5),
+            max_body: Bytes(self.node.settings.body_limit),
+            idle_timeout: Span::secs(30),
+            head_timeout: Span::secs(3),
+            progress_timeout: Span::secs(5),
         };
         let stop = Stop { closing: self.closing.token(), ended: self.ended.token() };
         let connections = self.connections.clone();
-        let service = Service { handler, limits, stop, connections, most: MAX_CONNECTIONS };
+        let service =
+            Server { handler, limits, stop, connections, max_connections: MAX_CONNECTIONS };
         async_std::task::spawn(listener::serve(listener, service));
     }
 
@@ -212,7 +213,7 @@
         response
     }
 
-    fn refuse(&self, _: &Fault) -> Response {
+    fn error_response(&self, _: &Fault) -> Response {
         Response::new(StatusCode::BadRequest)
     }
 }
--- a/crates/scheduler/src/front.rs
+++ b/crates/scheduler/src/front.rs
@@ -444,7 +444,7 @@
         self.route(&request).await
     }
 
-    fn refuse(&self, fault: &Fault) -> Response {
+    fn error_response(&self, fault: &Fault) -> Response {
         self.node.journal.note("request_unreadable", &[("reason", fault)]);
         let status = match fault {
             Fault::BodyTooLarge { .. } => StatusCode::PayloadTooLarge,
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -136,7 +136,7 @@
     request.set_body(single.body.clone());
     let mut connection = Connection::open(entry, WAIT).await.ok()?;
     let answer = connection.send(request, WAIT).await.ok()?;
-    let body = connection.body(answer.length, WAIT, ANSWER_LIMIT).await.ok()?;
+    let body = connection.read_body(answer.length, WAIT, ANSWER_LIMIT).await.ok()?;
     Some((answer.head, body))
 }
 
--- a/crates/standin/src/minion.rs
+++ b/crates/standin/src/minion.rs
@@ -185,7 +185,7 @@
         if mode == Mode::Truncate { truncated(&answer) } else { json(&answer) }
     }
 
-    fn refuse(&self, _: &Fault) -> Response {
+    fn error_response(&self, _: &Fault) -> Response {
         Response::new(StatusCode::BadRequest)
     }
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -179,7 +179,7 @@
         }
     }
 
-    fn refuse(&self, fault: &HttpFault) -> Response {
+    fn error_response(&self, fault: &HttpFault) -> Response {
         refused(&fault.to_string())
     }
 }
--- a/crates/standin/src/site.rs
+++ b/crates/standin/src/site.rs
@@ -100,8 +100,8 @@
         self.store.handle(request).await
     }
 
-    fn refuse(&self, fault: &Fault) -> Response {
-        self.store.refuse(fault)
+    fn error_response(&self, fault: &Fault) -> Response {
+        self.store.error_response(fault)
     }
 }
 
--- a/crates/standin/src/site/machine.rs
+++ b/crates/standin/src/site/machine.rs
@@ -187,7 +187,7 @@
         }
     }
 
-    fn refuse(&self, _: &Fault) -> Response {
+    fn error_response(&self, _: &Fault) -> Response {
         answer(400, json!({}))
     }
 }
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -310,7 +310,7 @@
         }
     }
 
-    fn refuse(&self, _: &Fault) -> Response {
+    fn error_response(&self, _: &Fault) -> Response {
         answer(400, json!({}))
     }
 }
--- a/crates/standin/src/site/worker.rs
+++ b/crates/standin/src/site/worker.rs
@@ -343,7 +343,7 @@
         }
     }
 
-    fn refuse(&self, _: &Fault) -> Response {
+    fn error_response(&self, _: &Fault) -> Response {
         answer(400, json!({}))
     }
 }
--- a/tests/all/faults.rs
+++ b/tests/all/faults.rs
@@ -97,7 +97,7 @@
         guards: &[
             (
                 "a body that ends before its length is an error",
-                "http::body::Reader::more",
+                "http::body::Reader::fill",
                 "a_truncated_answer_is_an_error",
             ),
             (
@@ -107,7 +107,7 @@
             ),
             (
                 "a short answer ends the caller's connection",
-                "http::server::write",
+                "http::server::write_response",
                 "a_short_answer_ends_the_connection",
             ),
         ],
@@ -205,7 +205,7 @@
         guards: &[
             (
                 "answers say that the connection closes before it does",
-                "http::server::serve_one",
+                "http::server::serve_request",
                 "a_closing_server_says_so_on_its_answers",
             ),
             (
--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -444,7 +444,7 @@
             ),
             (
                 "a call that is given up takes back what was not delivered",
-                "http::client::Connection::open_resetting",
+                "http::client::Connection::open_with_abortive_close",
                 "a_connection_that_is_given_up_is_reset",
             ),
         ],
--- a/tests/all/jobs.rs
+++ b/tests/all/jobs.rs
@@ -158,7 +158,7 @@
     submit(&cluster, 0, Order { once: true, ..order("once") }).await.unwrap();
     submit(&cluster, 0, order("again")).await.unwrap();
     until("both run", async || cluster.memory.workers.starts().len() == 2).await;
-    cluster.memory.workers.lose(&"w0".parse().unwrap());
+    cluster.memory.workers.remove(&"w0".parse().unwrap());
     cluster.memory.roster.remove("w0");
     until_stage(&cluster, "once", Stage::Unknown).await;
     until_stage(&cluster, "again", Stage::Queued).await;
--- a/tests/all/maintenance.rs
+++ b/tests/all/maintenance.rs
@@ -57,7 +57,7 @@
     let gone: Vec<Instance> = cluster
         .memory
         .roster
-        .now()
+        .current()
         .into_iter()
         .filter(|i| i.name == "alpha-4" || i.name == "alpha-5")
         .collect();
@@ -216,7 +216,8 @@
 #[async_std::test]
 async fn a_leaving_minion_gets_no_new_work_within_two_seconds() {
     let cluster = Cluster::start(six()).await;
-    let leaving = cluster.memory.roster.now().into_iter().find(|i| i.name == "alpha-3").unwrap();
+    let leaving =
+        cluster.memory.roster.current().into_iter().find(|i| i.name == "alpha-3").unwrap();
     cluster.memory.roster.put(Instance { leaving: true, ..leaving });
     async_std::task::sleep(Duration::from_secs(2)).await;
     let before = cluster.minions["alpha-3"].record().runs.len();
--- a/tests/all/moves.rs
+++ b/tests/all/moves.rs
@@ -234,7 +234,7 @@
     if row.epoch.0 != 2 {
         wrong.push(format!("epoch {}", row.epoch));
     }
-    let boots = cluster.memory.roster.now().iter().find(|i| i.name == "alpha-0").unwrap().boot;
+    let boots = cluster.memory.roster.current().iter().find(|i| i.name == "alpha-0").unwrap().boot;
     if boots != 2 {
         wrong.push(format!("booted {boots} times"));
     }
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -111,7 +111,7 @@
     let events = get(fleet.daemons[0].operators, "/v1/timeline").await.unwrap();
     let taken_over = events.as_array().unwrap().iter().filter(|event| event["takeover"] == true);
     assert_eq!(taken_over.count(), 0, "{events}");
-    let rows = fleet.platform.memory.roster.now();
+    let rows = fleet.platform.memory.roster.current();
     for minion in rows.iter().filter(|i| i.role == Role::Minion) {
         assert_eq!(minion.boot, 2, "{} booted {} times", minion.name, minion.boot);
     }
