--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: exactly the bytes that the framing promises, or an error.
+//! Message bodies: exactly the bytes that the framing declares, or an error.
 
 use crate::Fault;
 use crate::fault;
@@ -6,13 +6,13 @@
 use crate::stream::Stream;
 use std::time::Duration;
 
-/// Longest chunk-size line and longest trailer section, in bytes.
+/// Longest chunk-size line and longest line of the trailer section, in bytes.
 const MAX_CHUNK_LINE_LEN: usize = 1024;
 
-/// Largest piece handed out at once.
+/// Most bytes returned by one [`Reader::next`].
 const MAX_PIECE_LEN: usize = 64 * 1024;
 
-/// Reads a body piece by piece.
+/// Reads a body incrementally.
 pub struct Reader {
     state: State,
     max_wait: Duration,
@@ -23,18 +23,18 @@
     Exact(u64),
     /// A chunk-size line comes next.
     ChunkSize,
-    /// This many bytes of the present chunk are left, then its line end.
+    /// This many bytes of the current chunk are left, then its CRLF.
     Chunk(u64),
     /// The trailer section comes next.
     Trailers,
-    /// Whatever comes until the connection closes.
+    /// All bytes until the connection closes.
     UntilClose,
-    /// The body was read whole.
+    /// The whole body was read.
     Done,
 }
 
 impl Reader {
-    /// A reader of a body; `max_wait` bounds the silence before each piece.
+    /// Creates a reader; `max_wait` bounds the wait for each read, not the whole body.
     pub fn new(length: Length, max_wait: Duration) -> Self {
         let state = match length {
             Length::Exact(0) => State::Done,
@@ -45,11 +45,11 @@
         Self { state, max_wait }
     }
 
-    /// The next piece; none once the body was read whole.
+    /// Returns the next bytes, or `None` after the whole body.
     ///
     /// # Errors
-    /// `Truncated` when the stream ends before the body does: without this a cut answer would
-    /// pass for a whole one.  `Malformed` for bad chunks, `Timeout` and `Io`.
+    /// `Truncated` when the stream ends before the body does: otherwise a truncated response
+    /// would be accepted as complete.  `Malformed` for bad chunks, `Timeout` and `Io`.
     pub async fn next(&mut self, stream: &mut Stream) -> Result<Option<Vec<u8>>, Fault> {
         loop {
             match self.state {
@@ -110,7 +110,7 @@
         Ok(body)
     }
 
-    /// Reads the whole body and keeps nothing of it.
+    /// Reads the whole body and discards it.
     ///
     /// # Errors
     /// As [`Reader::next`], and `BodyTooLarge` above `limit`.
@@ -125,7 +125,7 @@
         Ok(())
     }
 
-    /// At least one and at most `remaining` bytes.
+    /// Reads at least one and at most `remaining` bytes.
     async fn read_piece(&self, stream: &mut Stream, remaining: u64) -> Result<Vec<u8>, Fault> {
         if stream.buffered().is_empty() {
             self.fill(stream).await?;
@@ -161,7 +161,7 @@
             self.fill(stream).await?;
         }
         if stream.consume(2) != b"\r\n" {
-            return fault::MalformedSnafu { reason: "a chunk is longer than its size" }.fail();
+            return fault::MalformedSnafu { reason: "chunk data is not followed by CRLF" }.fail();
         }
         Ok(())
     }
@@ -179,7 +179,7 @@
                     stream.consume(end + 2);
                 }
                 None if buffered.len() <= MAX_CHUNK_LINE_LEN => self.fill(stream).await?,
-                None => return fault::MalformedSnafu { reason: "trailers too long" }.fail(),
+                None => return fault::MalformedSnafu { reason: "trailer line too long" }.fail(),
             }
         }
     }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! The asking end: one connection to a minion, to the platform or to an entry.
+//! The client side: one connection to a minion, to the platform or to an entry.
 
 use crate::Fault;
 use crate::body;
@@ -14,39 +14,40 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most interim answers before the final one.
+/// Most interim (1xx) responses before the final one.
 const MAX_INTERIM_RESPONSES: usize = 8;
 
-/// How far a request had come when it failed; decides what may be said and sent again.
+/// How far a request had got when it failed; decides what may be reported about it and whether it
+/// may be resent.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Phase {
-    /// There was no connection.
+    /// The connection was not established.
     Connecting,
-    /// Connected, and not a byte of the request was written.
+    /// Connected; no byte of the request was written.
     Connected,
     /// Some of the request was written.
     PartWritten,
     /// All of the request was written.
     AllWritten,
-    /// A byte of the answer has come.
+    /// At least one byte of the response was received.
     ResponseStarted,
 }
 
 /// A failed request.
 #[derive(Debug)]
 pub struct Failure {
-    /// How far it had come.
+    /// How far it had got.
     pub phase: Phase,
     /// Why it failed.
     pub fault: Fault,
 }
 
-/// The answer's head, and its body still on the connection.
+/// The head of a response whose body has not been read yet.
 #[derive(Debug)]
 pub struct ResponseHead {
     /// The head, as `async-h1` parsed it, without a body.
     pub head: Response,
-    /// Where the body ends.
+    /// How the end of the body is found.
     pub length: Length,
     /// Whether the server keeps the connection open.
     pub keep_alive: bool,
@@ -71,11 +72,11 @@
         Ok(Self { stream: Stream::new(stream) })
     }
 
-    /// Connects, so that dropping the connection resets it.
+    /// Connects, with an abortive close (`SO_LINGER` 0): dropping the connection resets it.
     ///
-    /// A request that a network partition holds up is otherwise delivered when it ends, seconds
-    /// after its sender has given up on the answer and somebody else has taken over: closing
-    /// leaves what was written to the operating system to deliver, resetting discards it.
+    /// After a normal close the operating system still delivers what was written.  A request
+    /// delayed by a network partition would then arrive when the partition heals, seconds after
+    /// its sender timed out and another process took over.  A reset discards it.
     ///
     /// # Errors
     /// `Timeout` after `max_wait`, `Io` when refused.
@@ -95,19 +96,19 @@
         Ok(Self { stream: Stream::new(stream) })
     }
 
-    /// Wraps a connection that is open already.
+    /// Wraps an open connection.
     pub fn new(stream: Stream) -> Self {
         Self { stream }
     }
 
-    /// Sends a request and reads the head of its answer.
+    /// Sends a request and reads the head of its response.
     ///
-    /// `progress_timeout` bounds each silence, so a connection that something in between has forgotten
-    /// is found out however long the answer may take to compute: minions must send the head,
-    /// or an interim answer, within it.
+    /// `progress_timeout` bounds each write and the wait for each head, so a connection that a
+    /// middlebox has dropped is detected, however long the response takes to compute: minions must
+    /// send the head, or an interim response, within it.
     ///
     /// # Errors
-    /// The fault, with the phase at which it struck.
+    /// The fault, with the phase in which it occurred.
     pub async fn send(
         &mut self,
         request: Request,
@@ -117,8 +118,8 @@
         let mut phase = Phase::Connected;
         let sent = self.write_request(request, progress_timeout, &mut phase).await;
         if let Err(fault) = sent {
-            // A server may answer early and close, for example to refuse a large body; its
-            // answer is worth more than our write error.
+            // A server may respond early and close, for example to refuse a large body; its
+            // response tells more than the write error.
             return match self.read_head(method, Duration::from_millis(50)).await {
                 Ok(mut response) => {
                     response.keep_alive = false;
@@ -162,8 +163,8 @@
         for _ in 0..MAX_INTERIM_RESPONSES {
             let bytes = head::read(&mut self.stream, progress_timeout).await?;
             let head = head::Response::parse(bytes, method.as_ref())?;
-            // async-h1 takes an interim answer for the final one and leaves the final one to
-            // the next request on the connection; so interim answers are skipped here.
+            // async-h1 returns an interim response as the final one and leaves the final one to
+            // the next request on the connection, so interim responses are skipped here.
             if head.status < 200 {
                 continue;
             }
@@ -180,10 +181,10 @@
                 Err(error) => fault::MalformedSnafu { reason: error.to_string() }.fail(),
             };
         }
-        fault::MalformedSnafu { reason: "too many interim answers" }.fail()
+        fault::MalformedSnafu { reason: "too many interim responses" }.fail()
     }
 
-    /// Reads the answer's whole body, with the connection then ready for another request.
+    /// Reads the whole body of the response; the connection is then ready for another request.
     ///
     /// # Errors
     /// As [`body::Reader::collect`]; the connection must not be used again after an error.
@@ -196,13 +197,13 @@
         body::Reader::new(length, progress_timeout).collect(&mut self.stream, limit).await
     }
 
-    /// The connection itself, for reading a body piece by piece.
+    /// Returns the underlying stream, for reading a body incrementally.
     pub fn into_stream(self) -> Stream {
         self.stream
     }
 
-    /// Whether the server has said something, or closed, since the last answer: such a
-    /// connection must not carry another request.
+    /// Whether the server has sent bytes or closed the connection since the last response: such a
+    /// connection must not be reused.
     pub async fn is_stale(&mut self) -> bool {
         if !self.stream.buffered().is_empty() {
             return true;
@@ -214,7 +215,7 @@
     }
 }
 
-/// A request to `path` of the server at `address`.
+/// Creates a request for `path` to the server at `address`.
 ///
 /// # Errors
 /// `Malformed` when the path cannot be part of a URL.
@@ -224,10 +225,10 @@
     Ok(Request::new(method, url))
 }
 
-/// One request on a new connection, with its whole answer.
+/// Sends one request on a new connection and reads the whole response.
 ///
 /// # Errors
-/// The fault, with the phase at which it struck.
+/// The fault, with the phase in which it occurred.
 pub async fn fetch(
     address: SocketAddr,
     request: Request,
--- a/crates/http/src/fault.rs
+++ b/crates/http/src/fault.rs
@@ -1,17 +1,17 @@
-//! What can be wrong with a message or its connection.
+//! Errors of a message or its connection.
 
 use celerythread_model::code::Code;
 use snafu::Snafu;
 
-/// A fault of framing or of the connection.
+/// An error of the framing or of the connection.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Fault {
-    /// The stream ended between two messages, which is how a connection ends well.
+    /// The stream ended between two messages: a normal end of a connection.
     #[snafu(display("the connection was closed between messages"))]
     Closed,
-    /// The head is not valid HTTP/1.1.
-    #[snafu(display("malformed head: {reason}"))]
+    /// The message is not valid HTTP/1.1.
+    #[snafu(display("malformed message: {reason}"))]
     Malformed {
         /// What is wrong.
         reason: String,
@@ -22,7 +22,7 @@
         /// The limit in bytes.
         limit: usize,
     },
-    /// The length cannot be told for certain.
+    /// The length of the body is ambiguous.
     #[snafu(display("conflicting lengths: {reason}"))]
     ConflictingLength {
         /// What conflicts.
@@ -43,10 +43,10 @@
     /// The stream ended inside a message.
     #[snafu(display("the stream ended inside a message"))]
     Truncated,
-    /// Nothing moved for the time allowed.
+    /// No progress within the time allowed.
     #[snafu(display("no progress while {operation}"))]
     Timeout {
-        /// What was being done.
+        /// The operation that timed out.
         operation: &'static str,
     },
     /// The connection failed.
@@ -58,7 +58,7 @@
 }
 
 impl Fault {
-    /// The code told to the client whose request had this fault.
+    /// The result code sent to the client whose request caused this error.
     pub fn request_code(&self) -> Code {
         match self {
             Fault::Malformed { .. } => Code::MalformedHead,
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,15 +1,15 @@
-//! Heads: read whole, validated, and only then handed to `async-h1`.
+//! Message heads: read completely and validated before they are passed to `async-h1`.
 
 use crate::Fault;
 use crate::fault;
 use crate::stream::Stream;
 use std::time::{Duration, Instant};
 
-/// `async-h1` itself refuses heads from 8 KiB on; the limit here lies below that, so that the
-/// refusal is always ours and has an answer.
+/// Largest head, in bytes.  `async-h1` rejects heads of 8 KiB and more without a response; this
+/// limit is lower, so that a response is always sent.
 pub const MAX_HEAD_LEN: usize = 8 * 1024 - 256;
 
-/// Most headers in a head; `async-h1` takes 128.
+/// Most headers in a head; `async-h1` allows 128.
 pub const MAX_HEADERS: usize = 100;
 
 /// How the end of a body is found.
@@ -17,22 +17,22 @@
 pub enum Length {
     /// This many bytes follow.
     Exact(u64),
-    /// Chunks follow up to an empty one.
+    /// Chunks follow, the last one empty.
     Chunked,
-    /// The body ends with the connection, so nobody can tell whether it is whole.
+    /// The body ends with the connection, so a truncated body cannot be detected.
     UntilClose,
 }
 
-/// What framing needs to know of a validated request head.
+/// A validated request head, with what the framing needs of it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The head as it came, with the empty line.
+    /// The head as received, including the empty line.
     pub bytes: Vec<u8>,
     /// The method.
     pub method: String,
     /// The request target.
     pub target: String,
-    /// Where the body ends.
+    /// How the end of the body is found.
     pub length: Length,
     /// Whether the client waits for `100 Continue`.
     pub expects_continue: bool,
@@ -40,23 +40,23 @@
     pub keep_alive: bool,
 }
 
-/// What framing needs to know of a validated response head.
+/// A validated response head, with what the framing needs of it.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// The head as it came, with the empty line.
+    /// The head as received, including the empty line.
     pub bytes: Vec<u8>,
     /// The status.
     pub status: u16,
-    /// Where the body ends.
+    /// How the end of the body is found.
     pub length: Length,
     /// Whether the server will keep the connection open.
     pub keep_alive: bool,
 }
 
-/// Reads the bytes of one head, up to and with the empty line.
+/// Reads the bytes of one head, including the empty line.
 ///
-/// `timeout` bounds the whole head and not each step, so a client that sends one byte now and
-/// then cannot hold a connection.
+/// `timeout` bounds the whole head and not each read, so a client that sends single bytes slowly
+/// cannot hold a connection.
 ///
 /// # Errors
 /// `Closed` when the stream ended before the first byte, `Truncated` within the head,
@@ -87,7 +87,7 @@
     }
 }
 
-/// The length of the head in `bytes`, if it is complete.
+/// The length of the head in `bytes`, if it is complete; the first `searched` bytes hold no end.
 fn find_end(bytes: &[u8], searched: usize) -> Option<usize> {
     const END: &[u8] = b"\r\n\r\n";
     let from = searched.saturating_sub(END.len());
@@ -105,19 +105,19 @@
         let mut request = httparse::Request::new(&mut headers);
         check_complete(request.parse(&bytes))?;
         if request.version != Some(1) {
-            return malformed("only HTTP/1.1 is spoken");
+            return malformed("only HTTP/1.1 is supported");
         }
         let method = request.method.unwrap_or_default().to_owned();
         let target = request.path.unwrap_or_default().to_owned();
         if method.parse::<http_types::Method>().is_err() {
-            return malformed("the method is not known");
+            return malformed("unknown method");
         }
         if !target.starts_with('/') {
-            return malformed("the target does not start with a slash");
+            return malformed("the request target does not start with a slash");
         }
         let fields = FramingFields::new(request.headers)?;
         if fields.hosts != 1 {
-            return malformed("there must be exactly one Host");
+            return malformed("exactly one Host header is required");
         }
         let length = fields.length()?.unwrap_or(Length::Exact(0));
         let (expects_continue, keep_alive) = (fields.expects_continue, !fields.close);
@@ -126,7 +126,7 @@
 }
 
 impl Response {
-    /// Validates a response head to a request with `method`.
+    /// Validates the head of a response to a request with `method`.
     ///
     /// # Errors
     /// `Malformed`, `HeadTooLarge`, `ConflictingLength` and `UnsupportedCoding`.
@@ -135,7 +135,7 @@
         let mut response = httparse::Response::new(&mut headers);
         check_complete(response.parse(&bytes))?;
         if response.version != Some(1) {
-            return malformed("only HTTP/1.1 is spoken");
+            return malformed("only HTTP/1.1 is supported");
         }
         let status = response.code.unwrap_or_default();
         let fields = FramingFields::new(response.headers)?;
@@ -184,7 +184,7 @@
         };
         for header in headers {
             let Ok(value) = std::str::from_utf8(header.value) else {
-                return malformed(format!("{} is not text", header.name));
+                return malformed(format!("header {} is not valid UTF-8", header.name));
             };
             fields.record(&header.name.to_ascii_lowercase(), value.trim());
         }
@@ -204,8 +204,8 @@
         }
     }
 
-    /// The framing, or a fault where two readers could disagree about it: that is how a
-    /// request is smuggled past one of them.
+    /// The framing, or an error where two parsers could disagree about it, which would allow
+    /// request smuggling.
     fn length(&self) -> Result<Option<Length>, Fault> {
         let conflict = |reason: &str| fault::ConflictingLengthSnafu { reason }.fail();
         if !self.codings.is_empty() && !self.lengths.is_empty() {
@@ -218,7 +218,7 @@
         }
         let Some(first) = self.lengths.first() else { return Ok(None) };
         if self.lengths.iter().any(|length| length != first) {
-            return conflict("two different Content-Length");
+            return conflict("different Content-Length values");
         }
         if first.is_empty() || !first.bytes().all(|b| b.is_ascii_digit()) {
             return conflict("Content-Length is not a number");
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,11 +1,12 @@
 //! HTTP/1.1 for callers, upstreams, the platform and operators.
 //!
-//! `async-h1` parses heads and encodes messages, but by itself it lets a short body pass for a
-//! whole one, drops pipelined requests and closes without an answer on a bad head (measured;
-//! see `docs/design/http-guard.md`).  So every message is framed here first: [`head`] reads
+//! `async-h1` parses heads and encodes messages, but by itself it accepts a truncated body as
+//! complete, drops pipelined requests and closes the connection without a response to a bad head
+//! (see `docs/design/http-guard.md`).  So every message is framed here first: [`head`] reads
 //! and validates a head with `httparse`, [`body`] yields exactly the bytes that the framing
-//! promises or an error, and only then does `async-h1` see the head.  [`server`] and
-//! [`client`] are the two ends, [`listener`] accepts connections for the first; [`stream`] is the buffered connection that both share.
+//! declares or an error, and only then does `async-h1` see the head.  [`listener`] accepts
+//! connections for [`server`]; [`server`] and [`client`] share the buffered connection of
+//! [`stream`].
 
 pub mod body;
 pub mod client;
--- a/crates/http/src/listener.rs
+++ b/crates/http/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections and serving each until a stop.
+//! Accepts connections and serves each until the server stops.
 
 use crate::server::{self, Handler, Limits, Stop};
 use async_std::net::{TcpListener, TcpStream};
@@ -7,11 +7,11 @@
 use std::time::Duration;
 use stop_token::future::FutureExt;
 
-/// Pause after a connection could not be accepted: out of descriptors, most likely, and they come
-/// back as connections end.
+/// Delay after a failed accept: most likely the process is out of file descriptors, which are
+/// freed as connections end.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A connection counted until it ends.
+/// Decrements the number of open connections when a connection ends.
 struct ConnectionGuard(Arc<AtomicUsize>);
 
 impl Drop for ConnectionGuard {
@@ -20,22 +20,22 @@
     }
 }
 
-/// What a listener's connections share.
+/// State shared by the connections of a listener.
 #[derive(Clone)]
 pub struct Server {
-    /// What answers their requests.
+    /// Handles the requests.
     pub handler: Arc<dyn Handler>,
-    /// Limits of each.
+    /// Limits of each connection.
     pub limits: Limits,
-    /// The two steps in which they stop.
+    /// Signals of a graceful stop.
     pub stop: Stop,
-    /// How many there are now.
+    /// Number of open connections.
     pub connections: Arc<AtomicUsize>,
-    /// Most of them at once; more are closed as they come.
+    /// Most open connections; further ones are closed when accepted.
     pub max_connections: usize,
 }
 
-/// Accepts connections until the stop, and serves them.
+/// Accepts and serves connections until `stop.ended`.
 pub async fn serve(listener: TcpListener, server: Server) {
     while let Ok(accepted) = listener.accept().timeout_at(server.stop.ended.clone()).await {
         let Ok((stream, _)) = accepted else {
@@ -52,7 +52,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, server: Server, _guard: ConnectionGuard) {
-    // Fails only on a connection that is gone already, which the first read tells.
+    // Fails only on a connection that is already closed, which the first read detects.
     let _ = stream.set_nodelay(true);
     server::serve(stream, server.handler, &server.limits, &server.stop).await;
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! The serving end: one connection, one request after the other.
+//! The server side: one connection, one request at a time.
 
 use crate::Fault;
 use crate::body;
@@ -16,7 +16,7 @@
 use stop_token::StopToken;
 use stop_token::future::FutureExt;
 
-/// Bytes of an answer written at once.
+/// Most bytes of a response written at once.
 const MAX_WRITE_LEN: usize = 64 * 1024;
 
 /// Limits of one connection.
@@ -26,9 +26,9 @@
     pub max_body: Bytes,
     /// Longest wait between two requests.
     pub idle_timeout: Span,
-    /// Longest time for a whole head.
+    /// Longest time for receiving a whole head.
     pub head_timeout: Span,
-    /// Longest silence within a body, and longest stall while an answer is written.
+    /// Longest wait for each read of a body and each write of a response.
     pub progress_timeout: Span,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// A request received whole.
+/// A completely received request.
 pub struct Request {
     /// The head, as `async-h1` parsed it.
     pub head: http_types::Request,
@@ -52,51 +52,52 @@
 }
 
 impl Request {
-    /// The first value of a header, as text.
+    /// The last value of a header, as text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.header(name).map(|values| values.last().as_str())
     }
 
-    /// The path without the query.
+    /// The path without the query string.
     pub fn path(&self) -> &str {
         self.head.url().path()
     }
 
-    /// A parameter of the query.
+    /// The first query parameter called `name`.
     pub fn query(&self, name: &str) -> Option<String> {
         let mut pairs = self.head.url().query_pairs();
         pairs.find(|(key, _)| key == name).map(|(_, value)| value.into_owned())
     }
 }
 
-/// What answers requests.
+/// Handles requests.
 #[async_trait]
 pub trait Handler: Send + Sync {
-    /// Refuses a request by its head, before its body is read; none lets it in.
+    /// Checks a request's head before its body is read: a response refuses the request, `None`
+    /// admits it.
     fn admit(&self, _head: &http_types::Request) -> Option<Response> {
         None
     }
 
-    /// Answers one request.
+    /// Handles one request.
     async fn handle(&self, request: Request) -> Response;
 
-    /// Answers a request that could not be read.
+    /// The response to a request that could not be read.
     fn error_response(&self, fault: &Fault) -> Response;
 }
 
-/// The two steps in which a server stops.
+/// The two signals of a graceful stop.
 #[derive(Clone)]
 pub struct Stop {
-    /// From then on each answer says that the connection closes after it.
+    /// From then on each response carries `Connection: close`.
     pub closing: StopToken,
     /// From then on no connection waits for another request.
     pub ended: StopToken,
 }
 
-/// Serves a connection until it ends or, between two requests, until the stop.
+/// Serves a connection until it ends or, between two requests, until `stop.ended`.
 ///
-/// A request of which a byte was received is read and answered even when the stop comes
-/// meanwhile: that is what makes a planned stop graceful.
+/// For a graceful stop, a request of which at least one byte was received is still read and
+/// answered.
 pub async fn serve(
     io: impl Duplex + 'static,
     handler: Arc<dyn Handler>,
@@ -107,7 +108,7 @@
     while serve_request(&mut stream, handler.as_ref(), limits, stop).await {}
 }
 
-/// Whether the connection can carry another request.
+/// Serves one request and returns whether the connection can carry another one.
 async fn serve_request(
     stream: &mut Stream,
     handler: &dyn Handler,
@@ -124,52 +125,55 @@
     match read_head(stream, limits).await {
         Ok(head) => {
             let method = head.decoded.method();
-            let answered = match handler.admit(&head.decoded) {
-                Some(answer) => return reject(stream, head, answer, limits, stop).await,
+            let received = match handler.admit(&head.decoded) {
+                Some(response) => return reject(stream, head, response, limits, stop).await,
                 None => read_body(stream, head, limits).await,
             };
-            let (request, keep_alive) = match answered {
+            let (request, keep_alive) = match received {
                 Ok(read) => read,
                 Err(fault) => return respond_and_close(stream, handler, &fault, limits).await,
             };
-            let answer = handler.handle(request).await;
-            // A stopping server says so on its last answer, so that the client does not send
-            // another request into a connection that is about to close.
+            let response = handler.handle(request).await;
+            // A stopping server announces the close on its last response, so that the client does
+            // not send another request on a connection that is about to close.
             let keep_alive = keep_alive && !is_closing(stop);
-            write_response(stream, answer, method, keep_alive, limits).await.is_ok() && keep_alive
+            write_response(stream, response, method, keep_alive, limits).await.is_ok() && keep_alive
         }
         Err(Fault::Closed) => false,
         Err(fault) => respond_and_close(stream, handler, &fault, limits).await,
     }
 }
 
-/// Answers a request that could not be read.  Where the next one begins is not known then, so the connection ends.
+/// Responds to a request that could not be read and ends the connection, since the start of the
+/// next request is unknown.
 async fn respond_and_close(
     stream: &mut Stream,
     handler: &dyn Handler,
     fault: &Fault,
     limits: &Limits,
 ) -> bool {
-    let answer = handler.error_response(fault);
-    let _ = write_response(stream, answer, Method::Get, false, limits).await;
+    let response = handler.error_response(fault);
+    let _ = write_response(stream, response, Method::Get, false, limits).await;
     false
 }
 
-/// Answers a request whose body isn't wanted; whether the connection can carry another one.
+/// Refuses a request before its body is read and returns whether the connection can carry another
+/// one.
 ///
-/// The body is read all the same: closed with bytes unread, the connection would be reset, and the answer could be
-/// lost with it.
+/// The body is read and discarded: closing the connection with unread bytes would reset it, and
+/// the response could be lost.
 async fn reject(
     stream: &mut Stream,
     head: Head,
-    answer: Response,
+    response: Response,
     limits: &Limits,
     stop: &Stop,
 ) -> bool {
     let method = head.decoded.method();
-    // Its client may send the body or not, so where the next request begins is not known.
+    // A client that expects `100 Continue` may or may not send the body, so the start of the next
+    // request is unknown.
     let keep_alive = head.framing.keep_alive && !head.framing.expects_continue && !is_closing(stop);
-    if write_response(stream, answer, method, keep_alive, limits).await.is_err() || !keep_alive {
+    if write_response(stream, response, method, keep_alive, limits).await.is_err() || !keep_alive {
         return false;
     }
     let mut reader = body::Reader::new(head.framing.length, limits.progress_timeout.0);
@@ -180,7 +184,7 @@
     stop.closing.clone().now_or_never().is_some()
 }
 
-/// A head that was read, before its body.
+/// The head of a request whose body has not been read yet.
 struct Head {
     framing: head::Request,
     decoded: http_types::Request,
@@ -204,32 +208,32 @@
 ) -> Result<(Request, bool), Fault> {
     let Head { framing, decoded } = head;
     if framing.expects_continue {
-        // async-h1 would write this after the final answer; here it comes first.
+        // async-h1 would write this after the final response.
         stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n", limits.progress_timeout.0).await?;
     }
     let mut reader = body::Reader::new(framing.length, limits.progress_timeout.0);
     let body = reader.collect(stream, limits.max_body.0).await.map_err(|fault| match fault {
-        // Ending inside the body is not ending between messages.
+        // The stream ended inside the body, not between messages.
         Fault::Closed => Fault::Truncated,
         other => other,
     })?;
     Ok((Request { head: decoded, body }, framing.keep_alive))
 }
 
-/// Writes an answer.  An answer whose body fails or falls short of its declared length ends
-/// the connection, so that the client sees it broken and never takes the next head for a body.
+/// Writes a response.  A response whose body fails or is shorter than declared ends the connection,
+/// so that the client detects the error and never reads the next head as part of the body.
 async fn write_response(
     stream: &mut Stream,
-    mut answer: Response,
+    mut response: Response,
     method: Method,
     keep_alive: bool,
     limits: &Limits,
 ) -> Result<(), Fault> {
     if !keep_alive {
-        answer.insert_header("connection", "close");
+        response.insert_header("connection", "close");
     }
-    let declared = answer.len().filter(|_| method != Method::Head);
-    let mut encoder = async_h1::server::Encoder::new(answer, method);
+    let declared = response.len().filter(|_| method != Method::Head);
+    let mut encoder = async_h1::server::Encoder::new(response, method);
     let mut piece = vec![0; MAX_WRITE_LEN];
     let mut counter = BodyCounter::new(declared);
     loop {
@@ -243,7 +247,7 @@
     if counter.is_short() { Err(Fault::Truncated) } else { Ok(()) }
 }
 
-/// Counts the body's bytes behind the head.
+/// Counts the bytes of the body, after the head, of an encoded response.
 struct BodyCounter {
     declared: Option<usize>,
     in_head: bool,
@@ -274,7 +278,7 @@
     }
 }
 
-/// A head in memory, in the shape that `async_h1::server::decode` wants.
+/// An in-memory head with the I/O traits that `async_h1::server::decode` requires.
 #[derive(Clone)]
 struct MemoryIo(Arc<Mutex<Cursor<Vec<u8>>>>);
 
--- a/crates/http/src/stream.rs
+++ b/crates/http/src/stream.rs
@@ -1,4 +1,4 @@
-//! A buffered connection whose every wait for the other end is bounded.
+//! A buffered connection with a timeout for each read and write.
 
 use crate::Fault;
 use crate::fault;
@@ -7,21 +7,21 @@
 use snafu::ResultExt;
 use std::time::Duration;
 
-/// Bytes read from the other end at once, at least: most messages are shorter.
+/// Fewest bytes requested per read; most messages are shorter.
 const MIN_READ_LEN: usize = 4 * 1024;
 
-/// The same at most; a long message is read in chunks as long as what has come of it, so that few reads
-/// are needed for a list of a megabyte.
+/// Most bytes requested per read.  A read requests as many bytes as are buffered already, so that
+/// a list of 1 MB needs few reads.
 const MAX_READ_LEN: usize = 64 * 1024;
 
-/// What both ends need of a connection.
+/// The I/O traits that a connection requires.
 pub trait Duplex: Read + Write + Send + Sync + Unpin {}
 
 impl<T: Read + Write + Send + Sync + Unpin> Duplex for T {}
 
-/// A connection with the bytes that were read ahead.
+/// A connection with its read buffer.
 ///
-/// Bytes after the end of one message stay in the buffer and begin the next one, so a
+/// Bytes after the end of a message stay in the buffer as the start of the next one, so a
 /// pipelined request is never lost.
 pub struct Stream {
     io: Box<dyn Duplex>,
@@ -35,12 +35,12 @@
         Self { io: Box::new(io), buffer: Vec::new(), start: 0 }
     }
 
-    /// The bytes read ahead.
+    /// The bytes received and not yet consumed.
     pub fn buffered(&self) -> &[u8] {
         &self.buffer[self.start..]
     }
 
-    /// Takes `n` buffered bytes out.
+    /// Removes and returns up to `n` buffered bytes.
     pub fn consume(&mut self, n: usize) -> Vec<u8> {
         let end = (self.start + n).min(self.buffer.len());
         let bytes = self.buffer[self.start..end].to_vec();
@@ -48,16 +48,16 @@
         if self.start == self.buffer.len() {
             self.buffer.clear();
             self.start = 0;
-            // A connection that idles keeps no long buffer: an entry has hundreds of them.
+            // An idle connection keeps only a small buffer, since an entry has hundreds of them.
             self.buffer.shrink_to(MIN_READ_LEN);
         }
         bytes
     }
 
-    /// Reads more bytes into the buffer and returns how many; nought at the end of the stream.
+    /// Reads more bytes into the buffer and returns how many; 0 at the end of the stream.
     ///
     /// # Errors
-    /// `Timeout` when nothing came within `max_wait`, `Io` when the connection failed.
+    /// `Timeout` when nothing was received within `max_wait`, `Io` when the connection failed.
     pub async fn fill(
         &mut self,
         max_wait: Duration,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Writes all of `bytes`; `max_wait` bounds each step, not the whole.
+    /// Writes all of `bytes`; `max_wait` bounds each write, not the whole.
     ///
     /// # Errors
     /// As [`Stream::write_some`].
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,43 +1,43 @@
-//! How a call to the platform fails.
+//! Errors of calls to the platform.
 
 use crate::message::Row;
 use celerythread_model::code::Code;
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// A failed call, by what is certain about it.
+/// A failed call, by what is known about its effect.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize, Snafu)]
 #[snafu(visibility(pub))]
 #[serde(rename_all = "kebab-case")]
 pub enum Error {
     /// A condition did not hold; nothing was written.
-    #[snafu(display("the table refused: {} rows have changed", rows.len()))]
+    #[snafu(display("transaction conflict: {} rows have changed", rows.len()))]
     Conflict {
-        /// The rows whose condition failed, as they stand.
+        /// The rows whose conditions failed, in their current state.
         rows: Vec<Row>,
     },
     /// The call did not take effect.
     #[snafu(display("the platform is unavailable: {reason}"))]
     Unavailable {
-        /// What happened.
+        /// The cause.
         reason: String,
     },
-    /// The call may have taken effect; its answer was lost.
-    #[snafu(display("the platform's answer was lost: {reason}"))]
+    /// The call may have taken effect; its response was lost.
+    #[snafu(display("the platform's response was lost: {reason}"))]
     Lost {
-        /// What happened.
+        /// The cause.
         reason: String,
     },
-    /// The platform refused the call for good.
+    /// The platform refused the call permanently.
     #[snafu(display("the platform refused: {reason}"))]
     Refused {
-        /// Why.
+        /// The cause.
         reason: String,
     },
 }
 
 impl Error {
-    /// The code told to an operator.
+    /// The result code reported to an operator.
     pub fn code(&self) -> Code {
         match self {
             Error::Conflict { .. } => Code::StaleBase,
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,8 +1,8 @@
 //! The platform over HTTP, with JSON bodies.
 //!
-//! Calls carry a bounded wait.  What a failure leaves uncertain follows from the phase at which
-//! it struck: nothing written means that nothing happened; a commit of which some was written
-//! may have happened, and its caller reads back.
+//! Each step of a call has a timeout.  The phase in which a call failed tells whether it may have
+//! taken effect: a request of which nothing was written did not; a commit that was partly written
+//! may have, so its sender reads the rows back.
 
 use crate::message::{Changes, Listing, Order, Row, Space, Task, Transaction};
 use crate::{Error, Platform, traits};
@@ -18,18 +18,18 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Largest answer of the platform.
+/// Largest response body of the platform.
 const MAX_RESPONSE_BODY: Bytes = Bytes::mebi(64);
 
 /// Most connections kept open between calls.
 const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// How the platform is reached.
+/// Settings of the client.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its addresses; the next is tried when one does not connect.
+    /// The platform's addresses; the next one is tried when a connection fails.
     pub addresses: Vec<SocketAddr>,
-    /// Longest wait for each step of a call.
+    /// Timeout of each step of a call.
     pub timeout: Span,
 }
 
@@ -60,7 +60,7 @@
 pub struct ChangesQuery {
     /// The space.
     pub space: Space,
-    /// After this revision.
+    /// Rows changed after this revision are returned.
     pub since: Revision,
 }
 
@@ -69,7 +69,7 @@
 pub struct Reboot {
     /// The instance.
     pub name: String,
-    /// Its boot count so far.
+    /// The boot count at which the instance is rebooted.
     pub boot: u64,
 }
 
@@ -91,19 +91,19 @@
     pub job: id::Job,
 }
 
-/// What goes wrong below the platform's own answers, by whether the call may have happened.
+/// A failure of the transport, by whether the call may have taken effect.
 enum CallError {
     NotSent(String),
     MaybeSent(String),
 }
 
 impl Client {
-    /// A client that connects when it is first used.
+    /// Creates a client that connects on first use.
     pub fn new(settings: Settings) -> Self {
         Self { settings, preferred: AtomicUsize::new(0), idle: Mutex::new(Vec::new()) }
     }
 
-    /// The four borders over one client.
+    /// The platform's four interfaces, over this client.
     pub fn platform(self) -> Platform {
         let client = Arc::new(self);
         Platform {
@@ -114,14 +114,14 @@
         }
     }
 
-    /// A connection that was used before only when the server has not closed it meanwhile.
+    /// Returns an idle connection that the server has not closed, or else a new one.
     async fn get_connection(&self) -> Result<Connection, CallError> {
         while let Some(mut connection) = self.take_idle() {
             if !connection.is_stale().await {
                 return Ok(connection);
             }
         }
-        let mut reason = String::from("no address is set");
+        let mut reason = String::from("no platform address is configured");
         let first = self.preferred.load(Ordering::Relaxed);
         let count = self.settings.addresses.len();
         for index in (first..first + count).map(|index| index % count) {
@@ -155,7 +155,7 @@
         body: Vec<u8>,
     ) -> Result<(u16, Vec<u8>), CallError> {
         let mut connection = self.get_connection().await?;
-        // The address is only for the Host header; the connection is open already.
+        // Used only for the Host header; the connection is already open.
         let host = self.settings.addresses[0];
         let mut request = client::request(method, host, path)
             .map_err(|fault| CallError::NotSent(fault.to_string()))?;
@@ -178,7 +178,7 @@
         Ok((response.head.status().into(), body))
     }
 
-    /// A call that changes something: a lost answer stays `Lost`.
+    /// Makes a call that changes state: a lost response is `Lost`.
     async fn call_mutating<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -192,7 +192,8 @@
         }
     }
 
-    /// A call that only asks: a lost answer is no different from none.
+    /// Makes a call that changes nothing: a lost response is `Unavailable`, since the call can be
+    /// repeated.
     async fn call_read_only<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -205,12 +206,13 @@
     }
 }
 
-/// Takes the platform's own answer: a value, or an error that the platform vouches for.
+/// Decodes a response of the platform: a value, or the platform's own error.
 fn decode<T: DeserializeOwned>(status: u16, body: &[u8]) -> Result<T, Error> {
     if status == 200 {
-        // A success that cannot be understood did happen, so it must not count as not done.
+        // The call succeeded although its response is unreadable, so it must not be reported as
+        // without effect.
         return serde_json::from_slice(body)
-            .map_err(|error| Error::Lost { reason: format!("unreadable answer: {error}") });
+            .map_err(|error| Error::Lost { reason: format!("unreadable response: {error}") });
     }
     let error: Result<Error, _> = serde_json::from_slice(body);
     Err(error.unwrap_or_else(|_| match status {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,9 +1,9 @@
-//! The borders to the platform, which the firms run already.
+//! Interfaces to the platform, which the operating companies already run.
 //!
-//! [`Table`], [`Objects`], [`Roster`] and [`Workers`] are what the product needs of it.
-//! [`memory`] keeps all four in one process; [`http`] reaches them over HTTP.  Both forms obey
-//! the same contract, and the stand-in serves the first through the second.  [`message`]
-//! holds the bodies that travel.
+//! [`Table`], [`Objects`], [`Roster`] and [`Workers`] are the parts of it that the product uses.
+//! [`memory`] implements all four in one process; [`http`] calls them over HTTP.  Both follow
+//! the same contract, and the stand-in serves the in-memory platform over HTTP.  [`message`]
+//! defines the bodies of requests and responses.
 
 pub mod error;
 pub mod http;
--- a/crates/platform/src/memory.rs
+++ b/crates/platform/src/memory.rs
@@ -1,4 +1,4 @@
-//! The platform in memory: what the stand-in serves and the tests drive.
+//! The in-memory platform, served by the stand-in and used by tests.
 
 mod objects;
 mod roster;
@@ -13,7 +13,7 @@
 pub use table::Table;
 pub use workers::{Behaviour, Workers};
 
-/// A whole platform in memory, with its parts in reach.
+/// A platform in memory, with access to its parts.
 #[derive(Clone, Default)]
 pub struct Memory {
     /// The table.
--- a/crates/platform/src/memory/objects.rs
+++ b/crates/platform/src/memory/objects.rs
@@ -1,4 +1,4 @@
-//! Objects in memory.
+//! The in-memory object store.
 
 use crate::{Error, traits};
 use async_trait::async_trait;
--- a/crates/platform/src/memory/roster.rs
+++ b/crates/platform/src/memory/roster.rs
@@ -1,4 +1,4 @@
-//! The lagging list of instances in memory.
+//! The in-memory list of instances, with a lag.
 
 use crate::message::{Instance, Listing};
 use crate::{Error, traits};
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// A list of instances that is shown some time late.
+/// A list of instances whose changes become visible after a lag.
 #[derive(Default)]
 pub struct Roster {
     history: Mutex<History>,
@@ -17,7 +17,7 @@
 struct History {
     lag: Duration,
     current: State,
-    /// Earlier states of the list, oldest first, each with the time it was replaced.
+    /// Earlier states of the list, oldest first, each with the time of its replacement.
     previous: VecDeque<(Instant, State)>,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl Roster {
-    /// Sets how late the list is.
+    /// Sets the lag of the list.
     pub fn set_lag(&self, lag: Duration) {
         self.history.lock().lag = lag;
     }
@@ -66,7 +66,7 @@
         });
     }
 
-    /// The list as it really is.
+    /// The list without the lag.
     pub fn current(&self) -> Vec<Instance> {
         self.history.lock().current.instances.values().cloned().collect()
     }
--- a/crates/platform/src/memory/table.rs
+++ b/crates/platform/src/memory/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table in memory.
+//! The in-memory transactional table.
 
 use crate::message::{Changes, Row, Space, Transaction};
 use crate::{Error, traits};
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Most rows in one answer to `changes`.
+/// Most rows returned by one call of `changes`.
 const MAX_ROWS_PER_PAGE: usize = 500;
 
 /// A table in memory that counts its calls.
@@ -23,8 +23,8 @@
 struct State {
     revision: Revision,
     rows: BTreeMap<(Space, String), Row>,
-    /// Each row's key by the revision of its last write: the feed of changes.  Revisions are
-    /// unique per row, since each write of a transaction takes the next one.
+    /// The change feed: each row's key by the revision of its last write.  Each write of a
+    /// transaction takes the next revision, so no two rows share one.
     feed: BTreeMap<(Space, Revision), String>,
 }
 
--- a/crates/platform/src/memory/workers.rs
+++ b/crates/platform/src/memory/workers.rs
@@ -1,4 +1,4 @@
-//! Workers in memory, with tasks that end by the clock.
+//! In-memory workers whose tasks end after a set time.
 
 use crate::message::{Order, Phase, Task};
 use crate::{Error, traits};
@@ -12,14 +12,14 @@
 /// Boot count of a worker that was never restarted.
 const INITIAL_BOOT_COUNT: u64 = 1;
 
-/// How a worker's tasks really behave, whatever was declared.
+/// The actual behaviour of a worker's tasks, independent of what was declared.
 #[derive(Clone, Debug)]
 pub struct Behaviour {
     /// How long a task runs.
     pub duration: Duration,
-    /// Whether every task fails at once.
+    /// Whether every task fails immediately.
     pub fails: bool,
-    /// What a task really uses, as a multiple of what it was given.
+    /// Actual resource use of a task, as a multiple of its allocation.
     pub usage: f64,
 }
 
@@ -46,7 +46,7 @@
     removed: HashSet<id::Worker>,
 }
 
-/// What an order to start says.
+/// The contents of a start order.
 struct Start {
     job: id::Job,
     attempt: u32,
@@ -64,24 +64,24 @@
 }
 
 impl Workers {
-    /// Sets how a worker behaves.
+    /// Sets the behaviour of a worker's tasks.
     pub fn set_behaviour(&self, worker: id::Worker, behaviour: Behaviour) {
         self.state.lock().behaviours.insert(worker, behaviour);
     }
 
-    /// Every start that a worker carried out, in order: the record that a check is made on.
+    /// Every start that was carried out, in order; checks of duplicate starts read this record.
     pub fn starts(&self) -> Vec<(id::Worker, id::Job, u32)> {
         self.state.lock().starts.clone()
     }
 
-    /// Loses a worker with all its tasks.
+    /// Removes a worker with all its tasks.
     pub fn remove(&self, worker: &id::Worker) {
         let mut state = self.state.lock();
         state.tasks.retain(|(assigned, _), _| assigned != worker);
         state.removed.insert(worker.clone());
     }
 
-    /// Restarts a worker: it forgets its tasks and what it has refused.
+    /// Restarts a worker, which loses its tasks and its highest fencing token.
     pub fn restart(&self, worker: &id::Worker) {
         let mut state = self.state.lock();
         state.tasks.retain(|(assigned, _), _| assigned != worker);
--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/message.rs
@@ -1,4 +1,4 @@
-//! What travels to and from the platform.
+//! Messages to and from the platform.
 
 use celerythread_model::id;
 use celerythread_model::job::Size;
@@ -9,21 +9,21 @@
 
 pub use celerythread_model::table::{Row, Space};
 
-/// A condition: the row's revision must be exactly this; nought means there is no such row.
+/// A condition: the row has exactly this revision; revision 0 means that there is no such row.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Check {
-    /// Where the row is.
+    /// The space of the row.
     pub space: Space,
     /// Its key.
     pub key: String,
-    /// The revision expected.
+    /// The expected revision.
     pub revision: Revision,
 }
 
-/// A write: a new value, or none to delete.
+/// A write: a new value, or `None` to delete the row.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Write {
-    /// Where the row is.
+    /// The space of the row.
     pub space: Space,
     /// Its key.
     pub key: String,
@@ -31,17 +31,17 @@
     pub value: Option<String>,
 }
 
-/// All conditions hold and all writes are made, or nothing happens.
+/// A transaction: if all conditions hold, all writes are made; otherwise none.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// The conditions.
     pub checks: Vec<Check>,
-    /// What is written.
+    /// The writes.
     pub writes: Vec<Write>,
 }
 
 impl Transaction {
-    /// A transaction of nothing yet.
+    /// Creates an empty transaction.
     pub fn new() -> Self {
         Self::default()
     }
@@ -65,7 +65,7 @@
         self
     }
 
-    /// Adds a condition on a row together with its new value.
+    /// Adds a condition on a row and a write of its new value.
     pub fn replace<T: Serialize>(
         self,
         space: Space,
@@ -78,18 +78,18 @@
     }
 }
 
-/// Rows changed since a revision, and the revision up to which that is complete.
+/// Rows changed since a revision, complete up to the revision `upto`.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Changes {
-    /// The rows, oldest change first, deleted ones without a value.
+    /// The rows, oldest change first; deleted rows have no value.
     pub rows: Vec<Row>,
-    /// Ask from here next time.
+    /// The revision to continue from.
     pub upto: Revision,
-    /// Whether more rows follow at once.
+    /// Whether more changed rows are available now.
     pub more: bool,
 }
 
-/// What an instance of the list is.
+/// The role of an instance.
 #[derive(
     Clone,
     Copy,
@@ -108,75 +108,75 @@
 pub enum Role {
     /// Runs `celerythreadd`.
     Entry,
-    /// Serves a pool.
+    /// Serves requests of a pool.
     Minion,
     /// Runs jobs.
     Worker,
 }
 
-/// An instance as the platform's lagging list shows it.
+/// An instance as shown by the platform's list, which lags.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Instance {
     /// Its name.
     pub name: String,
-    /// What it is.
+    /// Its role.
     pub role: Role,
     /// Its availability zone.
     pub zone: id::Zone,
     /// Its rack.
     pub rack: id::Rack,
-    /// Where it serves, if it does.
+    /// The address that it serves on, if any.
     pub address: Option<SocketAddr>,
     /// The pool that a new minion was bought for.
     pub pool: Option<id::Service>,
-    /// Set when the platform is taking it away.
+    /// Whether the platform is removing it.
     pub leaving: bool,
-    /// How often it has booted.
+    /// Its boot count.
     pub boot: u64,
-    /// What it has, for a worker.
+    /// Its capacity, for a worker.
     pub size: Size,
 }
 
-/// The list, with how old it may be.
+/// The list of instances, with its lag.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// What the platform calls this state of the list.
+    /// The platform's version of this state of the list.
     pub version: String,
     /// The instances.
     pub instances: Vec<Instance>,
-    /// Milliseconds by which the list may lag behind.
+    /// Longest lag of the list, in milliseconds.
     pub lag_ms: u64,
 }
 
-/// A task on a worker as the platform reports it, some time late.
+/// A task on a worker as reported by the platform, with a lag.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Task {
     /// The job.
     pub job: id::Job,
     /// The worker.
     pub worker: id::Worker,
-    /// The attempt that this is.
+    /// The number of the attempt.
     pub attempt: u32,
-    /// What became of it.
+    /// Its state.
     pub phase: Phase,
-    /// Processor time used at last report.
+    /// Processor use at the last report.
     pub cpu: Millicores,
-    /// Memory used at last report.
+    /// Memory use at the last report.
     pub memory: Bytes,
 }
 
-/// What a task is doing.
+/// The state of a task.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize, Display, EnumString)]
 #[strum(serialize_all = "lowercase")]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
     /// It runs.
     Running,
-    /// It runs slowly by order.
+    /// It was slowed down by an order.
     Throttled,
     /// It was stopped with a checkpoint.
     Checkpointed,
-    /// It ended well.
+    /// It succeeded.
     Done,
     /// It failed.
     Failed,
@@ -187,19 +187,19 @@
 #[serde(rename_all = "lowercase", tag = "order")]
 pub enum Order {
     /// Start an attempt.  The worker refuses attempts not above the last it saw of the job,
-    /// fencing tokens below the highest it saw, and orders meant for another boot of it: it
-    /// remembers nothing over a restart, so the boot count is what keeps an order that is given
-    /// again from being carried out again.
+    /// fencing tokens below the highest it saw, and orders for another boot.  It keeps no state
+    /// over a restart, so only the boot count prevents a repeated order from being carried out
+    /// twice.
     Start {
         /// The job.
         job: id::Job,
         /// The attempt.
         attempt: u32,
-        /// The placer's fencing token.
+        /// The fencing token of the placing entry.
         token: u64,
-        /// The worker's boot count that the order is meant for.
+        /// The worker's boot count that the order is for.
         boot: u64,
-        /// What it may use.
+        /// The resources that it may use.
         size: Size,
     },
     /// Slow a task down.
@@ -207,7 +207,7 @@
         /// The job.
         job: id::Job,
     },
-    /// Stop a task, keeping what it has done.
+    /// Stop a task and keep its progress.
     Checkpoint {
         /// The job.
         job: id::Job,
--- a/crates/platform/src/traits.rs
+++ b/crates/platform/src/traits.rs
@@ -1,4 +1,4 @@
-//! The four borders.
+//! The platform's four interfaces.
 
 use crate::Error;
 use crate::message::{Changes, Listing, Order, Row, Space, Task, Transaction};
@@ -14,11 +14,11 @@
     /// consecutive revisions in their order.
     ///
     /// # Errors
-    /// `Conflict` and `Unavailable` mean that nothing was written; after `Lost` the caller
-    /// reads back before it decides.
+    /// `Conflict` and `Unavailable` mean that nothing was written; after `Lost` the sender reads
+    /// the rows back to learn whether the transaction took effect.
     async fn commit(&self, transaction: Transaction) -> Result<Revision, Error>;
 
-    /// Reads rows by key; a missing row comes back with revision nought and no value.
+    /// Reads rows by key; a missing row is returned with revision 0 and no value.
     ///
     /// # Errors
     /// `Unavailable`.
@@ -34,61 +34,61 @@
 /// The object store.
 #[async_trait]
 pub trait Objects: Send + Sync {
-    /// Stores an object whole.
+    /// Stores an object.
     ///
     /// # Errors
-    /// `Unavailable` and `Lost`; storing again is harmless, since objects are never changed.
+    /// `Unavailable` and `Lost`; a retry is safe, since objects are immutable.
     async fn put(&self, name: &str, body: Vec<u8>) -> Result<(), Error>;
 
-    /// Reads an object whole; none if there is none.
+    /// Reads an object; `None` if it does not exist.
     ///
     /// # Errors
     /// `Unavailable`.
     async fn get(&self, name: &str) -> Result<Option<Vec<u8>>, Error>;
 }
 
-/// The lagging list of live and leaving instances, and the reboots the platform makes.
+/// The list of live and leaving instances, which lags, and reboots of instances.
 #[async_trait]
 pub trait Roster: Send + Sync {
-    /// The list; none while its version is still `known`.
+    /// Reads the list; `None` while its version is still `known`.
     ///
-    /// At 1,300 instances the list is some 300 KB and is looked at twice a second, while it
-    /// changes a few hundred times a day; so an unchanged one is not sent again.
+    /// With 1,300 instances the list has about 300 KB and is polled twice a second, while it
+    /// changes a few hundred times a day; so an unchanged list is not sent again.
     ///
     /// # Errors
     /// `Unavailable`.
     async fn list(&self, known: &str) -> Result<Option<Listing>, Error>;
 
-    /// Reboots an instance, unless it has already booted more often than `boot`.
+    /// Reboots an instance, unless its boot count is already above `boot`.
     ///
     /// # Errors
-    /// `Unavailable` and `Lost`; asking again with the same count is harmless.
+    /// `Unavailable` and `Lost`; a retry with the same count is safe.
     async fn reboot(&self, name: &str, boot: u64) -> Result<(), Error>;
 }
 
 /// The workers that run jobs.
 #[async_trait]
 pub trait Workers: Send + Sync {
-    /// Gives an order.
+    /// Sends an order to a worker.
     ///
     /// # Errors
     /// `Refused` means that it did not take effect and will not; `Lost` that it may have.
     async fn order(&self, worker: &id::Worker, order: Order) -> Result<(), Error>;
 
-    /// All tasks of all workers, some time late.
+    /// Reads all tasks of all workers, with a lag.
     ///
     /// # Errors
     /// `Unavailable`.
     async fn tasks(&self) -> Result<Vec<Task>, Error>;
 
-    /// One job's tasks on one worker as they are now.
+    /// Reads the current state of a job's task on a worker.
     ///
     /// # Errors
     /// `Unavailable`.
     async fn inspect(&self, worker: &id::Worker, job: &id::Job) -> Result<Option<Task>, Error>;
 }
 
-/// The whole platform.
+/// All interfaces of the platform.
 #[derive(Clone)]
 pub struct Platform {
     /// The table.
