--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::router::{self, Denied, Slot, SlotRequest};
 use celerythread_http::Fault;
 use celerythread_http::body;
-use celerythread_http::client::{self, Answer, Connection, Failure};
+use celerythread_http::client::{self, Connection, Failure, ResponseHead};
 use celerythread_http::head::Length;
 use celerythread_http::stream::Stream;
 use celerythread_model::code::Code;
@@ -208,13 +208,13 @@
         Ok(Err(Failure { phase, fault })) => {
             let code = match fault {
                 Fault::Timeout { .. } => Code::MinionTimeout,
-                _ if phase == client::Phase::AnswerBegun => Code::AnswerBroken,
+                _ if phase == client::Phase::ResponseStarted => Code::AnswerBroken,
                 _ => Code::MinionLost,
             };
             return Err(failed_attempt(slot, code, policy_phase(phase), &fault));
         }
         Err(_) => {
-            let fault = Fault::Timeout { doing: "waiting for the answer until the deadline" };
+            let fault = Fault::Timeout { operation: "waiting for the answer until the deadline" };
             return Err(failed_attempt(slot, Code::MinionTimeout, Phase::AllWritten, &fault));
         }
     };
@@ -249,7 +249,7 @@
         client::Phase::Connected => Phase::Connected,
         client::Phase::PartWritten => Phase::PartWritten,
         client::Phase::AllWritten => Phase::AllWritten,
-        client::Phase::AnswerBegun => Phase::AnswerBegun,
+        client::Phase::ResponseStarted => Phase::AnswerBegun,
     }
 }
 
@@ -267,7 +267,7 @@
     prepared: &PreparedRequest,
     slot: Slot,
     connection: Connection,
-    answer: Answer,
+    answer: ResponseHead,
 ) -> Result<MinionAnswer, FailedAttempt> {
     let progress = prepared.service.progress.0;
     let limit = if prepared.keyed { MAX_STORED_ANSWER_BYTES } else { MAX_BUFFERED_ANSWER_BYTES };
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -227,7 +227,7 @@
         })
     }
 
-    fn refuse(&self, fault: &Fault) -> Response {
+    fn error_response(&self, fault: &Fault) -> Response {
         let code = fault.request_code();
         self.node.metrics.count_refusal(code);
         Problem::new(code, fault.to_string()).response()
--- a/crates/http/src/listener.rs
+++ b/crates/http/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections and serving each until a stop.
+//! Accepts connections and serves each until the server stops.
 
 use crate::server::{self, Handler, Limits, Stop};
 use async_std::net::{TcpListener, TcpStream};
@@ -7,52 +7,52 @@
 use std::time::Duration;
 use stop_token::future::FutureExt;
 
-/// Pause after a connection could not be accepted: out of descriptors, most likely, and they come
-/// back as connections end.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Delay after a failed accept: most likely the process is out of file descriptors, which are
+/// freed as connections end.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A connection counted until it ends.
-struct Counting(Arc<AtomicUsize>);
+/// Decrements the number of open connections when a connection ends.
+struct ConnectionGuard(Arc<AtomicUsize>);
 
-impl Drop for Counting {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// What a listener's connections share.
+/// State shared by the connections of a listener.
 #[derive(Clone)]
-pub struct Service {
-    /// What answers their requests.
+pub struct Server {
+    /// Handles the requests.
     pub handler: Arc<dyn Handler>,
-    /// Limits of each.
+    /// Limits of each connection.
     pub limits: Limits,
-    /// The two steps in which they stop.
+    /// Signals of a graceful stop.
     pub stop: Stop,
-    /// How many there are now.
+    /// Number of open connections.
     pub connections: Arc<AtomicUsize>,
-    /// Most of them at once; more are closed as they come.
-    pub most: usize,
+    /// Most open connections; further ones are closed when accepted.
+    pub max_connections: usize,
 }
 
-/// Accepts connections until the stop, and serves them.
-pub async fn serve(listener: TcpListener, service: Service) {
-    while let Ok(accepted) = listener.accept().timeout_at(service.stop.ended.clone()).await {
+/// Accepts and serves connections until `stop.ended`.
+pub async fn serve(listener: TcpListener, server: Server) {
+    while let Ok(accepted) = listener.accept().timeout_at(server.stop.ended.clone()).await {
         let Ok((stream, _)) = accepted else {
-            async_std::task::sleep(PAUSE).await;
+            async_std::task::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if service.connections.load(Ordering::SeqCst) >= service.most {
+        if server.connections.load(Ordering::SeqCst) >= server.max_connections {
             continue;
         }
-        service.connections.fetch_add(1, Ordering::SeqCst);
-        let counting = Counting(service.connections.clone());
-        async_std::task::spawn(serve_one(stream, service.clone(), counting));
+        server.connections.fetch_add(1, Ordering::SeqCst);
+        let guard = ConnectionGuard(server.connections.clone());
+        async_std::task::spawn(serve_connection(stream, server.clone(), guard));
     }
 }
 
-async fn serve_one(stream: TcpStream, service: Service, _counting: Counting) {
-    // Fails only on a connection that is gone already, which the first read tells.
+async fn serve_connection(stream: TcpStream, server: Server, _guard: ConnectionGuard) {
+    // Fails only on a connection that is already closed, which the first read detects.
     let _ = stream.set_nodelay(true);
-    server::serve(stream, service.handler, &service.limits, &service.stop).await;
+    server::serve(stream, server.handler, &server.limits, &server.stop).await;
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! The serving end: one connection, one request after the other.
+//! The server side: one connection, one request at a time.
 
 use crate::Fault;
 use crate::body;
@@ -16,34 +16,34 @@
 use stop_token::StopToken;
 use stop_token::future::FutureExt;
 
-/// Bytes of an answer written at once.
-const PIECE: usize = 64 * 1024;
+/// Most bytes of a response written at once.
+const MAX_WRITE_LEN: usize = 64 * 1024;
 
 /// Limits of one connection.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Largest request body.
-    pub body: Bytes,
+    pub max_body: Bytes,
     /// Longest wait between two requests.
-    pub idle: Span,
-    /// Longest time for a whole head.
-    pub head: Span,
-    /// Longest silence within a body, and longest stall while an answer is written.
-    pub progress: Span,
+    pub idle_timeout: Span,
+    /// Longest time for receiving a whole head.
+    pub head_timeout: Span,
+    /// Longest wait for each read of a body and each write of a response.
+    pub progress_timeout: Span,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            body: Bytes::mebi(8),
-            idle: Span::secs(60),
-            head: Span::secs(10),
-            progress: Span::secs(20),
+            max_body: Bytes::mebi(8),
+            idle_timeout: Span::secs(60),
+            head_timeout: Span::secs(10),
+            progress_timeout: Span::secs(20),
         }
     }
 }
 
-/// A request received whole.
+/// A completely received request.
 pub struct Request {
     /// The head, as `async-h1` parsed it.
     pub head: http_types::Request,
@@ -52,51 +52,52 @@
 }
 
 impl Request {
-    /// The first value of a header, as text.
+    /// The last value of a header, as text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.header(name).map(|values| values.last().as_str())
     }
 
-    /// The path without the query.
+    /// The path without the query string.
     pub fn path(&self) -> &str {
         self.head.url().path()
     }
 
-    /// A parameter of the query.
+    /// The first query parameter called `name`.
     pub fn query(&self, name: &str) -> Option<String> {
         let mut pairs = self.head.url().query_pairs();
         pairs.find(|(key, _)| key == name).map(|(_, value)| value.into_owned())
     }
 }
 
-/// What answers requests.
+/// Handles requests.
 #[async_trait]
 pub trait Handler: Send + Sync {
-    /// Refuses a request by its head, before its body is read; none lets it in.
+    /// Checks a request's head before its body is read: a response refuses the request, `None`
+    /// admits it.
     fn admit(&self, _head: &http_types::Request) -> Option<Response> {
         None
     }
 
-    /// Answers one request.
+    /// Handles one request.
     async fn handle(&self, request: Request) -> Response;
 
-    /// Answers a request that could not be read.
-    fn refuse(&self, fault: &Fault) -> Response;
+    /// The response to a request that could not be read.
+    fn error_response(&self, fault: &Fault) -> Response;
 }
 
-/// The two steps in which a server stops.
+/// The two signals of a graceful stop.
 #[derive(Clone)]
 pub struct Stop {
-    /// From then on each answer says that the connection closes after it.
+    /// From then on each response carries `Connection: close`.
     pub closing: StopToken,
     /// From then on no connection waits for another request.
     pub ended: StopToken,
 }
 
-/// Serves a connection until it ends or, between two requests, until the stop.
+/// Serves a connection until it ends or, between two requests, until `stop.ended`.
 ///
-/// A request of which a byte was received is read and answered even when the stop comes
-/// meanwhile: that is what makes a planned stop graceful.
+/// For a graceful stop, a request of which at least one byte was received is still read and
+/// answered.
 pub async fn serve(
     io: impl Duplex + 'static,
     handler: Arc<dyn Handler>,
@@ -104,18 +105,18 @@
     stop: &Stop,
 ) {
     let mut stream = Stream::new(io);
-    while serve_one(&mut stream, handler.as_ref(), limits, stop).await {}
+    while serve_request(&mut stream, handler.as_ref(), limits, stop).await {}
 }
 
-/// Whether the connection can carry another request.
-async fn serve_one(
+/// Serves one request and returns whether the connection can carry another one.
+async fn serve_request(
     stream: &mut Stream,
     handler: &dyn Handler,
     limits: &Limits,
     stop: &Stop,
 ) -> bool {
     if stream.buffered().is_empty() {
-        let first = stream.fill(limits.idle.0, "waiting for a request");
+        let first = stream.fill(limits.idle_timeout.0, "waiting for a request");
         match first.timeout_at(stop.ended.clone()).await {
             Ok(Ok(count)) if count > 0 => {}
             _ => return false,
@@ -124,68 +125,76 @@
     match read_head(stream, limits).await {
         Ok(head) => {
             let method = head.decoded.method();
-            let answered = match handler.admit(&head.decoded) {
-                Some(answer) => return reject(stream, head, answer, limits, stop).await,
+            let received = match handler.admit(&head.decoded) {
+                Some(response) => return reject(stream, head, response, limits, stop).await,
                 None => read_body(stream, head, limits).await,
             };
-            let (request, keep_alive) = match answered {
+            let (request, keep_alive) = match received {
                 Ok(read) => read,
-                Err(fault) => return end(stream, handler, &fault, limits).await,
+                Err(fault) => return respond_and_close(stream, handler, &fault, limits).await,
             };
-            let answer = handler.handle(request).await;
-            // A stopping server says so on its last answer, so that the client does not send
-            // another request into a connection that is about to close.
+            let response = handler.handle(request).await;
+            // A stopping server announces the close on its last response, so that the client does
+            // not send another request on a connection that is about to close.
             let keep_alive = keep_alive && !is_closing(stop);
-            write(stream, answer, method, keep_alive, limits).await.is_ok() && keep_alive
+            write_response(stream, response, method, keep_alive, limits).await.is_ok() && keep_alive
         }
         Err(Fault::Closed) => false,
-        Err(fault) => end(stream, handler, &fault, limits).await,
+        Err(fault) => respond_and_close(stream, handler, &fault, limits).await,
     }
 }
 
-/// Answers a request that could not be read.  Where the next one begins is not known then, so the connection ends.
-async fn end(stream: &mut Stream, handler: &dyn Handler, fault: &Fault, limits: &Limits) -> bool {
-    let answer = handler.refuse(fault);
-    let _ = write(stream, answer, Method::Get, false, limits).await;
+/// Responds to a request that could not be read and ends the connection, since the start of the
+/// next request is unknown.
+async fn respond_and_close(
+    stream: &mut Stream,
+    handler: &dyn Handler,
+    fault: &Fault,
+    limits: &Limits,
+) -> bool {
+    let response = handler.error_response(fault);
+    let _ = write_response(stream, response, Method::Get, false, limits).await;
     false
 }
 
-/// Answers a request whose body isn't wanted; whether the connection can carry another one.
+/// Refuses a request before its body is read and returns whether the connection can carry another
+/// one.
 ///
-/// The body is read all the same: closed with bytes unread, the connection would be reset, and the answer could be
-/// lost with it.
+/// The body is read and discarded: closing the connection with unread bytes would reset it, and
+/// the response could be lost.
 async fn reject(
     stream: &mut Stream,
     head: Head,
-    answer: Response,
+    response: Response,
     limits: &Limits,
     stop: &Stop,
 ) -> bool {
     let method = head.decoded.method();
-    // Its client may send the body or not, so where the next request begins is not known.
+    // A client that expects `100 Continue` may or may not send the body, so the start of the next
+    // request is unknown.
     let keep_alive = head.framing.keep_alive && !head.framing.expects_continue && !is_closing(stop);
-    if write(stream, answer, method, keep_alive, limits).await.is_err() || !keep_alive {
+    if write_response(stream, response, method, keep_alive, limits).await.is_err() || !keep_alive {
         return false;
     }
-    let mut reader = body::Reader::new(head.framing.length, limits.progress.0);
-    reader.discard(stream, limits.body.0).await.is_ok()
+    let mut reader = body::Reader::new(head.framing.length, limits.progress_timeout.0);
+    reader.discard(stream, limits.max_body.0).await.is_ok()
 }
 
 fn is_closing(stop: &Stop) -> bool {
     stop.closing.clone().now_or_never().is_some()
 }
 
-/// A head that was read, before its body.
+/// The head of a request whose body has not been read yet.
 struct Head {
     framing: head::Request,
     decoded: http_types::Request,
 }
 
 async fn read_head(stream: &mut Stream, limits: &Limits) -> Result<Head, Fault> {
-    let bytes = head::read(stream, limits.head.0).await?;
+    let bytes = head::read(stream, limits.head_timeout.0).await?;
     let mut framing = head::Request::parse(bytes)?;
     let bytes = std::mem::take(&mut framing.bytes);
-    match async_h1::server::decode(Memory::new(bytes)).await {
+    match async_h1::server::decode(MemoryIo::new(bytes)).await {
         Ok(Some((decoded, _))) => Ok(Head { framing, decoded }),
         Ok(None) => Err(Fault::Malformed { reason: "empty head".into() }),
         Err(error) => Err(Fault::Malformed { reason: error.to_string() }),
@@ -199,68 +208,68 @@
 ) -> Result<(Request, bool), Fault> {
     let Head { framing, decoded } = head;
     if framing.expects_continue {
-        // async-h1 would write this after the final answer; here it comes first.
-        stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n", limits.progress.0).await?;
+        // async-h1 would write this after the final response.
+        stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n", limits.progress_timeout.0).await?;
     }
-    let mut reader = body::Reader::new(framing.length, limits.progress.0);
-    let body = reader.collect(stream, limits.body.0).await.map_err(|fault| match fault {
-        // Ending inside the body is not ending between messages.
+    let mut reader = body::Reader::new(framing.length, limits.progress_timeout.0);
+    let body = reader.collect(stream, limits.max_body.0).await.map_err(|fault| match fault {
+        // The stream ended inside the body, not between messages.
         Fault::Closed => Fault::Truncated,
         other => other,
     })?;
     Ok((Request { head: decoded, body }, framing.keep_alive))
 }
 
-/// Writes an answer.  An answer whose body fails or falls short of its declared length ends
-/// the connection, so that the client sees it broken and never takes the next head for a body.
-async fn write(
+/// Writes a response.  A response whose body fails or is shorter than declared ends the connection,
+/// so that the client detects the error and never reads the next head as part of the body.
+async fn write_response(
     stream: &mut Stream,
-    mut answer: Response,
+    mut response: Response,
     method: Method,
     keep_alive: bool,
     limits: &Limits,
 ) -> Result<(), Fault> {
     if !keep_alive {
-        answer.insert_header("connection", "close");
+        response.insert_header("connection", "close");
     }
-    let declared = answer.len().filter(|_| method != Method::Head);
-    let mut encoder = async_h1::server::Encoder::new(answer, method);
-    let mut piece = vec![0; PIECE];
-    let mut counter = Counter::new(declared);
+    let declared = response.len().filter(|_| method != Method::Head);
+    let mut encoder = async_h1::server::Encoder::new(response, method);
+    let mut piece = vec![0; MAX_WRITE_LEN];
+    let mut counter = BodyCounter::new(declared);
     loop {
         let count = encoder.read(&mut piece).await.map_err(|source| Fault::Io { source })?;
         if count == 0 {
             break;
         }
-        counter.count(&piece[..count]);
-        stream.write_all(&piece[..count], limits.progress.0).await?;
+        counter.record(&piece[..count]);
+        stream.write_all(&piece[..count], limits.progress_timeout.0).await?;
     }
     if counter.is_short() { Err(Fault::Truncated) } else { Ok(()) }
 }
 
-/// Counts the body's bytes behind the head.
-struct Counter {
+/// Counts the bytes of the body, after the head, of an encoded response.
+struct BodyCounter {
     declared: Option<usize>,
     in_head: bool,
-    tail: Vec<u8>,
+    head_bytes: Vec<u8>,
     body: usize,
 }
 
-impl Counter {
+impl BodyCounter {
     fn new(declared: Option<usize>) -> Self {
-        Self { declared, in_head: true, tail: Vec::new(), body: 0 }
+        Self { declared, in_head: true, head_bytes: Vec::new(), body: 0 }
     }
 
-    fn count(&mut self, bytes: &[u8]) {
+    fn record(&mut self, bytes: &[u8]) {
         if !self.in_head {
             self.body += bytes.len();
             return;
         }
-        self.tail.extend_from_slice(bytes);
-        if let Some(at) = self.tail.windows(4).position(|window| window == b"\r\n\r\n") {
+        self.head_bytes.extend_from_slice(bytes);
+        if let Some(at) = self.head_bytes.windows(4).position(|window| window == b"\r\n\r\n") {
             self.in_head = false;
-            self.body = self.tail.len() - at - 4;
-            self.tail = Vec::new();
+            self.body = self.head_bytes.len() - at - 4;
+            self.head_bytes = Vec::new();
         }
     }
 
@@ -269,17 +278,17 @@
     }
 }
 
-/// A head in memory, in the shape that `async_h1::server::decode` wants.
+/// An in-memory head with the I/O traits that `async_h1::server::decode` requires.
 #[derive(Clone)]
-struct Memory(Arc<Mutex<Cursor<Vec<u8>>>>);
+struct MemoryIo(Arc<Mutex<Cursor<Vec<u8>>>>);
 
-impl Memory {
+impl MemoryIo {
     fn new(bytes: Vec<u8>) -> Self {
         Self(Arc::new(Mutex::new(Cursor::new(bytes))))
     }
 }
 
-impl Read for Memory {
+impl Read for MemoryIo {
     fn poll_read(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
@@ -290,7 +299,7 @@
     }
 }
 
-impl Write for Memory {
+impl Write for MemoryIo {
     fn poll_write(
         self: Pin<&mut Self>,
         _: &mut Context<'_>,
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,8 +1,8 @@
 //! The platform over HTTP, with JSON bodies.
 //!
-//! Calls carry a bounded wait.  What a failure leaves uncertain follows from the phase at which
-//! it struck: nothing written means that nothing happened; a commit of which some was written
-//! may have happened, and its caller reads back.
+//! Each step of a call has a timeout.  The phase in which a call failed tells whether it may have
+//! taken effect: a request of which nothing was written did not; a commit that was partly written
+//! may have, so its sender reads the rows back.
 
 use crate::message::{Changes, Listing, Order, Row, Space, Task, Transaction};
 use crate::{Error, Platform, traits};
@@ -18,18 +18,18 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Largest answer of the platform.
-const ANSWER_LIMIT: Bytes = Bytes::mebi(64);
+/// Largest response body of the platform.
+const MAX_RESPONSE_BODY: Bytes = Bytes::mebi(64);
 
 /// Most connections kept open between calls.
-const IDLE_CONNECTIONS: usize = 4;
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// How the platform is reached.
+/// Settings of the client.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its addresses; the next is tried when one does not connect.
+    /// The platform's addresses; the next one is tried when a connection fails.
     pub addresses: Vec<SocketAddr>,
-    /// Longest wait for each step of a call.
+    /// Timeout of each step of a call.
     pub timeout: Span,
 }
 
@@ -60,7 +60,7 @@
 pub struct ChangesQuery {
     /// The space.
     pub space: Space,
-    /// After this revision.
+    /// Rows changed after this revision are returned.
     pub since: Revision,
 }
 
@@ -69,7 +69,7 @@
 pub struct Reboot {
     /// The instance.
     pub name: String,
-    /// Its boot count so far.
+    /// The boot count at which the instance is rebooted.
     pub boot: u64,
 }
 
@@ -91,19 +91,19 @@
     pub job: id::Job,
 }
 
-/// What goes wrong below the platform's own answers, by whether the call may have happened.
-enum Trouble {
+/// A failure of the transport, by whether the call may have taken effect.
+enum CallError {
     NotSent(String),
     MaybeSent(String),
 }
 
 impl Client {
-    /// A client that connects when it is first used.
+    /// Creates a client that connects on first use.
     pub fn new(settings: Settings) -> Self {
         Self { settings, preferred: AtomicUsize::new(0), idle: Mutex::new(Vec::new()) }
     }
 
-    /// The four borders over one client.
+    /// The platform's four interfaces, over this client.
     pub fn platform(self) -> Platform {
         let client = Arc::new(self);
         Platform {
@@ -114,14 +114,14 @@
         }
     }
 
-    /// A connection that was used before only when the server has not closed it meanwhile.
-    async fn connection(&self) -> Result<Connection, Trouble> {
+    /// Returns an idle connection that the server has not closed, or else a new one.
+    async fn get_connection(&self) -> Result<Connection, CallError> {
         while let Some(mut connection) = self.take_idle() {
             if !connection.is_stale().await {
                 return Ok(connection);
             }
         }
-        let mut reason = String::from("no address is set");
+        let mut reason = String::from("no platform address is configured");
         let first = self.preferred.load(Ordering::Relaxed);
         let count = self.settings.addresses.len();
         for index in (first..first + count).map(|index| index % count) {
@@ -134,83 +134,85 @@
                 Err(fault) => reason = format!("{address}: {fault}"),
             }
         }
-        Err(Trouble::NotSent(reason))
+        Err(CallError::NotSent(reason))
     }
 
     fn take_idle(&self) -> Option<Connection> {
         self.idle.lock().pop()
     }
 
-    fn keep(&self, connection: Connection) {
+    fn put_idle(&self, connection: Connection) {
         let mut idle = self.idle.lock();
-        if idle.len() < IDLE_CONNECTIONS {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
         }
     }
 
-    async fn exchange(
+    async fn send_request(
         &self,
         method: Method,
         path: &str,
         body: Vec<u8>,
-    ) -> Result<(u16, Vec<u8>), Trouble> {
-        let mut connection = self.connection().await?;
-        // The address is only for the Host header; the connection is open already.
+    ) -> Result<(u16, Vec<u8>), CallError> {
+        let mut connection = self.get_connection().await?;
+        // Used only for the Host header; the connection is already open.
         let host = self.settings.addresses[0];
         let mut request = client::request(method, host, path)
-            .map_err(|fault| Trouble::NotSent(fault.to_string()))?;
+            .map_err(|fault| CallError::NotSent(fault.to_string()))?;
         request.set_body(body);
-        let wait = self.settings.timeout.0;
-        let answer = connection.send(request, wait).await.map_err(|failure| {
+        let timeout = self.settings.timeout.0;
+        let response = connection.send(request, timeout).await.map_err(|failure| {
             let reason = failure.fault.to_string();
             match failure.phase {
-                Phase::Connecting | Phase::Connected => Trouble::NotSent(reason),
-                _ => Trouble::MaybeSent(reason),
+                Phase::Connecting | Phase::Connected => CallError::NotSent(reason),
+                _ => CallError::MaybeSent(reason),
             }
         })?;
         let body = connection
-            .body(answer.length, wait, ANSWER_LIMIT.0)
+            .read_body(response.length, timeout, MAX_RESPONSE_BODY.0)
             .await
-            .map_err(|fault| Trouble::MaybeSent(fault.to_string()))?;
-        if answer.keep_alive {
-            self.keep(connection);
+            .map_err(|fault| CallError::MaybeSent(fault.to_string()))?;
+        if response.keep_alive {
+            self.put_idle(connection);
         }
-        Ok((answer.head.status().into(), body))
+        Ok((response.head.status().into(), body))
     }
 
-    /// A call that changes something: a lost answer stays `Lost`.
-    async fn change<T: DeserializeOwned>(
+    /// Makes a call that changes state: a lost response is `Lost`.
+    async fn call_mutating<T: DeserializeOwned>(
         &self,
         path: &str,
         query: &impl Serialize,
     ) -> Result<T, Error> {
         let body = serde_json::to_vec(query).expect("messages always serialize");
-        match self.exchange(Method::Post, path, body).await {
+        match self.send_request(Method::Post, path, body).await {
             Ok((status, body)) => decode(status, &body),
-            Err(Trouble::NotSent(reason)) => Err(Error::Unavailable { reason }),
-            Err(Trouble::MaybeSent(reason)) => Err(Error::Lost { reason }),
+            Err(CallError::NotSent(reason)) => Err(Error::Unavailable { reason }),
+            Err(CallError::MaybeSent(reason)) => Err(Error::Lost { reason }),
         }
     }
 
-    /// A call that only asks: a lost answer is no different from none.
-    async fn ask<T: DeserializeOwned>(
+    /// Makes a call that changes nothing: a lost response is `Unavailable`, since the call can be
+    /// repeated.
+    async fn call_read_only<T: DeserializeOwned>(
         &self,
         path: &str,
         query: &impl Serialize,
     ) -> Result<T, Error> {
-        self.change(path, query).await.map_err(|error| match error {
+        self.call_mutating(path, query).await.map_err(|error| match error {
             Error::Lost { reason } => Error::Unavailable { reason },
             other => other,
         })
     }
 }
 
-/// Takes the platform's own answer: a value, or an error that the platform vouches for.
+/// Decodes a response of the platform: a value, or the platform's own error.
 fn decode<T: DeserializeOwned>(status: u16, body: &[u8]) -> Result<T, Error> {
     if status == 200 {
-        // A success that cannot be understood did happen, so it must not count as not done.
+        // The call succeeded although its response is unreadable, so it must not be reported as
+        // without effect.
         return serde_json::from_slice(body)
-            .map_err(|error| Error::Lost { reason: format!("unreadable answer: {error}") });
+            .map_err(|error| Error::Lost { reason: format!("unreadable response: {error}") });
     }
     let error: Result<Error, _> = serde_json::from_slice(body);
     Err(error.unwrap_or_else(|_| match status {
@@ -222,35 +224,35 @@
 #[async_trait]
 impl traits::Table for Client {
     async fn commit(&self, transaction: Transaction) -> Result<Revision, Error> {
-        self.change("/table/commit", &transaction).await
+        self.call_mutating("/table/commit", &transaction).await
     }
 
     async fn read(&self, space: Space, keys: &[String]) -> Result<Vec<Row>, Error> {
-        self.ask("/table/read", &ReadQuery { space, keys: keys.to_vec() }).await
+        self.call_read_only("/table/read", &ReadQuery { space, keys: keys.to_vec() }).await
     }
 
     async fn changes(&self, space: Space, since: Revision) -> Result<Changes, Error> {
-        self.ask("/table/changes", &ChangesQuery { space, since }).await
+        self.call_read_only("/table/changes", &ChangesQuery { space, since }).await
     }
 }
 
 #[async_trait]
 impl traits::Objects for Client {
     async fn put(&self, name: &str, body: Vec<u8>) -> Result<(), Error> {
-        match self.exchange(Method::Put, &format!("/objects/{name}"), body).await {
+        match self.send_request(Method::Put, &format!("/objects/{name}"), body).await {
             Ok((200, _)) => Ok(()),
             Ok((status, body)) => decode(status, &body),
-            Err(Trouble::NotSent(reason)) => Err(Error::Unavailable { reason }),
-            Err(Trouble::MaybeSent(reason)) => Err(Error::Lost { reason }),
+            Err(CallError::NotSent(reason)) => Err(Error::Unavailable { reason }),
+            Err(CallError::MaybeSent(reason)) => Err(Error::Lost { reason }),
         }
     }
 
     async fn get(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
-        match self.exchange(Method::Get, &format!("/objects/{name}"), Vec::new()).await {
+        match self.send_request(Method::Get, &format!("/objects/{name}"), Vec::new()).await {
             Ok((200, body)) => Ok(Some(body)),
             Ok((404, _)) => Ok(None),
             Ok((status, body)) => decode(status, &body),
-            Err(Trouble::NotSent(reason) | Trouble::MaybeSent(reason)) => {
+            Err(CallError::NotSent(reason) | CallError::MaybeSent(reason)) => {
                 Err(Error::Unavailable { reason })
             }
         }
@@ -260,26 +262,26 @@
 #[async_trait]
 impl traits::Roster for Client {
     async fn list(&self, known: &str) -> Result<Option<Listing>, Error> {
-        self.ask("/roster/list", &known).await
+        self.call_read_only("/roster/list", &known).await
     }
 
     async fn reboot(&self, name: &str, boot: u64) -> Result<(), Error> {
-        self.change("/roster/reboot", &Reboot { name: name.into(), boot }).await
+        self.call_mutating("/roster/reboot", &Reboot { name: name.into(), boot }).await
     }
 }
 
 #[async_trait]
 impl traits::Workers for Client {
     async fn order(&self, worker: &id::Worker, order: Order) -> Result<(), Error> {
-        self.change("/workers/order", &Command { worker: worker.clone(), order }).await
+        self.call_mutating("/workers/order", &Command { worker: worker.clone(), order }).await
     }
 
     async fn tasks(&self) -> Result<Vec<Task>, Error> {
-        self.ask("/workers/tasks", &()).await
+        self.call_read_only("/workers/tasks", &()).await
     }
 
     async fn inspect(&self, worker: &id::Worker, job: &id::Job) -> Result<Option<Task>, Error> {
         let query = Inspection { worker: worker.clone(), job: job.clone() };
-        self.ask("/workers/inspect", &query).await
+        self.call_read_only("/workers/inspect", &query).await
     }
 }
--- a/crates/platform/src/memory/table.rs
+++ b/crates/platform/src/memory/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table in memory.
+//! The in-memory transactional table.
 
 use crate::message::{Changes, Row, Space, Transaction};
 use crate::{Error, traits};
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Most rows in one answer to `changes`.
-const PAGE: usize = 500;
+/// Most rows returned by one call of `changes`.
+const MAX_ROWS_PER_PAGE: usize = 500;
 
 /// A table in memory that counts its calls.
 #[derive(Default)]
@@ -23,8 +23,8 @@
 struct State {
     revision: Revision,
     rows: BTreeMap<(Space, String), Row>,
-    /// Each row's key by the revision of its last write: the feed of changes.  Revisions are
-    /// unique per row, since each write of a transaction takes the next one.
+    /// The change feed: each row's key by the revision of its last write.  Each write of a
+    /// transaction takes the next revision, so no two rows share one.
     feed: BTreeMap<(Space, Revision), String>,
 }
 
@@ -90,10 +90,14 @@
         self.reads.fetch_add(1, Ordering::Relaxed);
         let state = self.state.lock();
         let range = (space, since.next())..=(space, Revision(u64::MAX));
-        let mut rows: Vec<Row> =
-            state.feed.range(range).take(PAGE + 1).map(|(_, key)| state.row(space, key)).collect();
-        let more = rows.len() > PAGE;
-        rows.truncate(PAGE);
+        let mut rows: Vec<Row> = state
+            .feed
+            .range(range)
+            .take(MAX_ROWS_PER_PAGE + 1)
+            .map(|(_, key)| state.row(space, key))
+            .collect();
+        let more = rows.len() > MAX_ROWS_PER_PAGE;
+        rows.truncate(MAX_ROWS_PER_PAGE);
         let last = rows.last().map(|row| row.revision);
         let upto = if more { last.unwrap_or(since) } else { state.revision };
         Ok(Changes { rows, upto, more })
