--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -138,7 +138,7 @@
     let attempt = format!("{:016x}", rand::random::<u64>());
     let claim = Claim {
         attempt: attempt.parse().expect("hexadecimal digits are an id"),
-        entry: node.me.clone(),
+        entry: node.entry_id.clone(),
         fingerprint,
         stage: Stage::Running,
         made_at: node.clock.wall_ms(),
@@ -196,7 +196,7 @@
             // A conflict means that the row has changed hands, which only an operator can do.
             Ok(_) | Err(Trouble::Conflict(_)) => return,
             Err(Trouble::Unavailable) => {
-                if !node.pause(RETRY).await {
+                if !node.sleep_unless_stopped(RETRY).await {
                     return;
                 }
             }
@@ -211,7 +211,7 @@
     }
     let name = format!("answer-{}", held.claim.attempt);
     while node.platform.objects.put(&name, body.clone()).await.is_err() {
-        if !node.pause(RETRY).await {
+        if !node.sleep_unless_stopped(RETRY).await {
             break;
         }
     }
@@ -329,7 +329,7 @@
     let keys: Vec<String> = batch.iter().map(|operation| operation.key.clone()).collect();
     for _ in 0..READ_BACKS {
         let Ok(rows) = node.platform.table.read(Space::Claim, &keys).await else {
-            node.pause(RETRY / 5).await;
+            node.sleep_unless_stopped(RETRY / 5).await;
             continue;
         };
         let mut left = Vec::new();
@@ -362,7 +362,7 @@
     let key = operation.key.clone();
     node.claims.unsettled.fetch_add(1, Ordering::SeqCst);
     async_std::task::spawn(async move {
-        while node.pause(RETRY).await {
+        while node.sleep_unless_stopped(RETRY).await {
             let Ok(rows) = node.platform.table.read(Space::Claim, std::slice::from_ref(&key)).await
             else {
                 continue;
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -39,17 +39,17 @@
 use strum::VariantArray;
 
 /// Time between two looks at whether a stop is complete.
-const STOP_POLL: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time between two looks at the clock, for noticing pauses of this process.
-const TICK: Duration = Duration::from_millis(200);
+const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A gap between two looks that counts as a pause: ten of them in a row left out.
-const PAUSE: Duration = Duration::from_secs(2);
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
 /// Part of the time to a takeover that counts as a pause in any case: after a shorter one, living
 /// peers are heard again before they would be taken for lost.
-const PAUSE_PART: u32 = 2;
+const PAUSE_TAKEOVER_DIVISOR: u32 = 2;
 
 /// Most connections of callers at once; each can hold one request body in memory.
 const MAX_CONNECTIONS: usize = 4096;
@@ -93,7 +93,7 @@
     /// Settlements of keyed requests that were not committed at the bound.
     pub unsettled: usize,
     /// Whether slots were handed back and the registry left.
-    pub left: bool,
+    pub deregistered: bool,
 }
 
 impl Daemon {
@@ -114,11 +114,11 @@
         let endpoint = Arc::new(endpoint);
         let addresses = Addresses {
             peer: endpoint.local_address().context(PeersSnafu)?,
-            operator: local(&operators, settings.operator_listen)?,
+            operator: local_address(&operators, settings.operator_listen)?,
         };
-        let caller_address = local(&callers, settings.caller_listen)?;
+        let caller_address = local_address(&callers, settings.caller_listen)?;
         let (stop, closing, ended) = (StopSource::new(), StopSource::new(), StopSource::new());
-        let node = Arc::new(build(settings, platform, &stop));
+        let node = Arc::new(build_node(settings, platform, &stop));
         let daemon = Self {
             node,
             addresses,
@@ -137,7 +137,7 @@
 
     /// This process's id.
     pub fn id(&self) -> &id::Entry {
-        &self.node.me
+        &self.node.entry_id
     }
 
     /// Where callers reach it.
@@ -163,7 +163,7 @@
     /// Waits until it serves.
     pub async fn ready(&self) {
         while !self.node.ready.load(Ordering::SeqCst) {
-            async_std::task::sleep(STOP_POLL).await;
+            async_std::task::sleep(STOP_POLL_INTERVAL).await;
         }
     }
 
@@ -191,8 +191,12 @@
         async_std::task::spawn(peers::accept_forever(node.clone(), self.endpoint.clone()));
         async_std::task::spawn(claims::commit_forever(node.clone()));
         async_std::task::spawn(send_metrics(node.clone()));
-        async_std::task::spawn(watch_pauses(node.clone()));
-        async_std::task::spawn(join(node.clone(), self.addresses, self.endpoint.clone()));
+        async_std::task::spawn(watch_for_pauses(node.clone()));
+        async_std::task::spawn(register_and_serve(
+            node.clone(),
+            self.addresses,
+            self.endpoint.clone(),
+        ));
     }
 
     /// Stops gracefully: first the balancer sees that it is not ready, then no new work is
@@ -200,35 +204,35 @@
     /// is left.
     pub async fn stop(self) -> Report {
         let node = &self.node;
-        let bound = node.settings.stop_bound.0;
-        let began = node.clock.now();
-        node.note(Kind::Stopping);
+        let stop_timeout = node.settings.stop_timeout.0;
+        let started = node.clock.now();
+        node.record_event(Kind::Stopping);
         node.ready.store(false, Ordering::SeqCst);
         drop(self.closing);
         async_std::task::sleep(node.settings.stop_notice.0).await;
         node.stopping.store(true, Ordering::SeqCst);
-        let _ = timeout(bound, membership::announce_stop(node, self.addresses)).await;
+        let _ = timeout(stop_timeout, membership::announce_stop(node, self.addresses)).await;
         drop(self.ended);
-        let left = || bound.saturating_sub(node.clock.now().since(began));
+        let remaining = || stop_timeout.saturating_sub(node.clock.now().since(started));
         let busy = || {
             self.connections.load(Ordering::SeqCst) > 0
-                || node.flying.load(Ordering::SeqCst) > 0
+                || node.in_flight.load(Ordering::SeqCst) > 0
                 || node.claims.unsettled() > 0
         };
-        while busy() && !left().is_zero() {
-            async_std::task::sleep(STOP_POLL).await;
+        while busy() && !remaining().is_zero() {
+            async_std::task::sleep(STOP_POLL_INTERVAL).await;
         }
         let mut report = Report {
             unanswered: self.connections.load(Ordering::SeqCst),
             unsettled: node.claims.unsettled(),
-            left: false,
+            deregistered: false,
         };
-        while !left().is_zero() && !report.left {
-            let leaving =
-                async { owner::hand_back_all(node).await && membership::leave(node).await };
-            report.left = timeout(left(), leaving).await.unwrap_or(false);
-            if !report.left {
-                async_std::task::sleep(STOP_POLL * 5).await;
+        while !remaining().is_zero() && !report.deregistered {
+            let deregistration =
+                async { owner::release_all(node).await && membership::deregister(node).await };
+            report.deregistered = timeout(remaining(), deregistration).await.unwrap_or(false);
+            if !report.deregistered {
+                async_std::task::sleep(STOP_POLL_INTERVAL * 5).await;
             }
         }
         self.endpoint.close();
@@ -241,7 +245,7 @@
     TcpListener::bind(address).await.context(ListenSnafu { address })
 }
 
-fn local(listener: &TcpListener, address: SocketAddr) -> Result<SocketAddr, Error> {
+fn local_address(listener: &TcpListener, address: SocketAddr) -> Result<SocketAddr, Error> {
     listener.local_addr().context(ListenSnafu { address })
 }
 
@@ -251,11 +255,11 @@
     id.parse().expect("a checked name with hexadecimal digits is an id")
 }
 
-fn build(settings: Settings, platform: Platform, stop: &StopSource) -> Node {
+fn build_node(settings: Settings, platform: Platform, stop: &StopSource) -> Node {
     let clock = Clock::new();
-    let me = new_id(&settings.name);
+    let entry_id = new_id(&settings.name);
     let metrics = Arc::new(Metrics::new(&settings));
-    let timeline = Arc::new(Timeline::new(me.clone(), settings.events));
+    let timeline = Arc::new(Timeline::new(entry_id.clone(), settings.max_events));
     let table = Counted {
         inner: platform.table.clone(),
         metrics: metrics.clone(),
@@ -263,35 +267,35 @@
         clock,
         reachable: AtomicBool::new(true),
     };
-    let pause = PAUSE.min(settings.takeover_after.0 / PAUSE_PART);
-    let longest_beat = settings.beat.0.max(settings.far_beat.0);
+    let pause = PAUSE_THRESHOLD.min(settings.takeover_after.0 / PAUSE_TAKEOVER_DIVISOR);
+    let longest_heartbeat = settings.heartbeat_interval.0.max(settings.remote_heartbeat_interval.0);
     Node {
-        me,
-        memory: bounded::Pool::new(settings.memory.0),
+        entry_id,
+        memory: bounded::Pool::new(settings.body_memory.0),
         settings,
         clock,
         platform: Platform { table: Arc::new(table), ..platform },
         view: RwLock::new(View::default()),
         router: Mutex::new(Router::default()),
-        peers: RwLock::new(Peers::new(longest_beat)),
-        holding: Mutex::default(),
+        peers: RwLock::new(Peers::new(longest_heartbeat)),
+        grants_in_use: Mutex::default(),
         connections: Connections::default(),
         claims: Claims::new(),
         timeline,
         metrics,
         ready: AtomicBool::new(false),
-        pauses: Mutex::new(pause::Watch::new(pause)),
+        pause_detector: Mutex::new(pause::Watch::new(pause)),
         stopping: AtomicBool::new(false),
-        flying: AtomicUsize::new(0),
+        in_flight: AtomicUsize::new(0),
         wake: Wake::default(),
         stop: stop.token(),
     }
 }
 
 /// Registers, takes the first view, and starts everything that needs both.
-async fn join(node: Arc<Node>, addresses: Addresses, endpoint: Arc<Endpoint>) {
-    while follow::once(&node).await.is_err() {
-        if !node.pause(node.settings.poll.0).await {
+async fn register_and_serve(node: Arc<Node>, addresses: Addresses, endpoint: Arc<Endpoint>) {
+    while follow::refresh_view(&node).await.is_err() {
+        if !node.sleep_unless_stopped(node.settings.poll_interval.0).await {
             return;
         }
     }
@@ -300,30 +304,30 @@
     }
     // The rows are read after the registration: whoever changes the fleet from now on can see
     // that this entry must be reckoned with.
-    while follow::once(&node).await.is_err() {
-        if !node.pause(node.settings.poll.0).await {
+    while follow::refresh_view(&node).await.is_err() {
+        if !node.sleep_unless_stopped(node.settings.poll_interval.0).await {
             return;
         }
     }
     async_std::task::spawn(follow::follow_forever(node.clone()));
     async_std::task::spawn(peers::beat_forever(node.clone(), endpoint));
-    async_std::task::spawn(owner::own_forever(node.clone()));
+    async_std::task::spawn(owner::reconcile_forever(node.clone()));
     for duty in Duty::VARIANTS {
-        async_std::task::spawn(duty::carry_forever(node.clone(), *duty));
+        async_std::task::spawn(duty::run_forever(node.clone(), *duty));
     }
-    node.note(Kind::Started);
+    node.record_event(Kind::Started);
     node.ready.store(true, Ordering::SeqCst);
 }
 
 async fn send_metrics(node: Arc<Node>) {
-    while node.pause(node.settings.metrics_interval.0).await {
+    while node.sleep_unless_stopped(node.settings.metrics_interval.0).await {
         node.metrics.send();
     }
 }
 
 /// Notices that this process was paused.
-async fn watch_pauses(node: Arc<Node>) {
-    while node.pause(TICK).await {
-        node.note_running(node.clock.now());
+async fn watch_for_pauses(node: Arc<Node>) {
+    while node.sleep_unless_stopped(PAUSE_CHECK_INTERVAL).await {
+        node.detect_pause(node.clock.now());
     }
 }
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -7,7 +7,7 @@
 mod roster;
 mod waves;
 
-pub(crate) use fleet::{exchange, is_open};
+pub(crate) use fleet::{is_open, minion_replacement};
 pub(crate) use waves::target;
 
 use crate::duty::Duty;
@@ -18,26 +18,26 @@
 use std::sync::Arc;
 
 /// What a duty's holder remembers between two steps.
-pub(crate) enum Driver {
+pub(crate) enum Controller {
     /// Minions, waves and moves.
-    Fleet(Box<fleet::Fleet>),
+    Fleet(Box<fleet::Controller>),
     /// Jobs.
-    Jobs(Box<jobs::Jobs>),
+    Jobs(Box<jobs::Controller>),
 }
 
-impl Driver {
+impl Controller {
     pub(crate) fn new(duty: Duty) -> Self {
         match duty {
-            Duty::Fleet => Driver::Fleet(Box::default()),
-            Duty::Jobs => Driver::Jobs(Box::default()),
+            Duty::Fleet => Controller::Fleet(Box::default()),
+            Duty::Jobs => Controller::Jobs(Box::default()),
         }
     }
 
     /// Does what is due.
     pub(crate) async fn step(&mut self, node: &Arc<Node>, held: Held) {
         match self {
-            Driver::Fleet(fleet) => fleet.step(node, held).await,
-            Driver::Jobs(jobs) => jobs.step(node, held).await,
+            Controller::Fleet(fleet) => fleet.step(node, held).await,
+            Controller::Jobs(jobs) => jobs.step(node, held).await,
         }
     }
 }
--- a/crates/entry/src/drive/fleet.rs
+++ b/crates/entry/src/drive/fleet.rs
@@ -28,58 +28,58 @@
 
 /// What the holder remembers between two steps.
 #[derive(Default)]
-pub(crate) struct Fleet {
+pub(crate) struct Controller {
     pub(crate) roster: Roster,
     sizer: Sizer,
     utilisation: BTreeMap<id::Service, f64>,
     retention: Retention,
 }
 
-impl Fleet {
+impl Controller {
     /// One round.  Nothing new is begun while the platform does not answer: both its list and
     /// the table must have been read in this very round.
     pub(crate) async fn step(&mut self, node: &Arc<Node>, held: Held) {
-        if crate::follow::once(node).await.is_err() || !self.roster.refresh(node).await {
+        if crate::follow::refresh_view(node).await.is_err() || !self.roster.refresh(node).await {
             return;
         }
-        self.clear_entries(node, held).await;
+        self.remove_dead_entries(node, held).await;
         self.sync_minions(node, held).await;
-        self.carry_errands(node, held).await;
+        self.advance_errands(node, held).await;
         waves::step(self, node, held).await;
         self.decide_move(node, held).await;
         self.retention.step(node, held).await;
     }
 
     /// Removes registrations of entries whose instance is gone for certain.
-    async fn clear_entries(&mut self, node: &Arc<Node>, held: Held) {
+    async fn remove_dead_entries(&mut self, node: &Arc<Node>, held: Held) {
         let entries: Vec<id::Entry> = node.view.read().entries().keys().cloned().collect();
         let now = node.clock.now();
         for entry in entries {
-            let instance = membership::instance(&entry).to_owned();
-            if entry != node.me && self.roster.is_gone(&instance, now) {
+            let instance = membership::instance_name(&entry).to_owned();
+            if entry != node.entry_id && self.roster.is_gone(&instance, now) {
                 let key = fleet::key::<Registration>(&entry);
                 let revision = node.view.read().revision(&key);
                 let transaction = fenced(Duty::Fleet, held)
                     .check(Space::Fleet, &*key, revision)
                     .delete(Space::Fleet, key);
-                commit(node, transaction).await;
+                commit_and_refresh(node, transaction).await;
             }
         }
     }
 
     /// Writes rows for new minions, drains leaving ones, and removes those that are gone.
     async fn sync_minions(&mut self, node: &Arc<Node>, held: Held) {
-        let listed: Vec<Instance> = self.roster.of(Role::Minion).cloned().collect();
+        let listed: Vec<Instance> = self.roster.with_role(Role::Minion).cloned().collect();
         for instance in listed {
             let Ok(name) = instance.name.parse::<id::Minion>() else { continue };
             let known = node.view.read().minions().get(&name).cloned();
             match known {
-                None if !instance.leaving => add(node, held, name, &instance).await,
+                None if !instance.leaving => add_minion(node, held, name, &instance).await,
                 Some(minion) if instance.leaving && minion.state == State::Active => {
                     let row = movement::drain(&minion, None, instance.boot);
-                    if self.replace(node, held, &minion, &row, None).await {
+                    if self.replace_minion(node, held, &minion, &row, None).await {
                         let (minion, epoch) = (row.minion, row.epoch);
-                        node.note(Kind::DrainBegun { minion, epoch });
+                        node.record_event(Kind::DrainBegun { minion, epoch });
                     }
                 }
                 _ => {}
@@ -89,13 +89,13 @@
         let now = node.clock.now();
         for name in known {
             if self.roster.is_gone(name.as_str(), now) {
-                remove(node, held, &name).await;
+                remove_minion(node, held, &name).await;
             }
         }
     }
 
     /// Carries each minion that is out one step on.
-    async fn carry_errands(&mut self, node: &Arc<Node>, held: Held) {
+    async fn advance_errands(&mut self, node: &Arc<Node>, held: Held) {
         let out: Vec<Minion> = {
             let view = node.view.read();
             let out = view.minions().values().filter(|minion| minion.state != State::Active);
@@ -110,9 +110,9 @@
                 }
                 Step::Write(row) => {
                     let back = row.state == State::Active;
-                    if self.replace(node, held, &minion, &row, None).await && back {
+                    if self.replace_minion(node, held, &minion, &row, None).await && back {
                         let (minion, pool, epoch) = (row.minion, row.pool, row.epoch);
-                        node.note(Kind::Returned { minion, pool, epoch });
+                        node.record_event(Kind::Returned { minion, pool, epoch });
                     }
                 }
             }
@@ -135,7 +135,7 @@
 
     /// Writes a minion's row, with the disruption's row in the same transaction: what goes out
     /// is counted out, and what comes back is counted in, at the very moment.
-    pub(crate) async fn replace(
+    pub(crate) async fn replace_minion(
         &self,
         node: &Arc<Node>,
         held: Held,
@@ -145,7 +145,7 @@
     ) -> bool {
         let transaction = {
             let view = node.view.read();
-            let mut transaction = exchange(&view, fenced(Duty::Fleet, held), old, new);
+            let mut transaction = minion_replacement(&view, fenced(Duty::Fleet, held), old, new);
             if let Some((old, new)) = &wave {
                 let key = fleet::key::<Wave>(&old.wave);
                 let revision = view.revision(&key);
@@ -153,24 +153,24 @@
             }
             transaction
         };
-        commit(node, transaction).await
+        commit_and_refresh(node, transaction).await
     }
 
     /// How each service stands against its floor.
-    pub(crate) fn standings(&self, node: &Node) -> BTreeMap<id::Service, Standing> {
-        let ejected = ejected(node);
+    pub(crate) fn availability(&self, node: &Node) -> BTreeMap<id::Service, Standing> {
+        let ejected_minions = ejected_minions(node);
         let view = node.view.read();
         let healthy = |name: &id::Minion| {
             let listed = self.roster.get(name.as_str());
-            listed.is_some_and(|instance| !instance.leaving) && !ejected.contains(name)
+            listed.is_some_and(|instance| !instance.leaving) && !ejected_minions.contains(name)
         };
         let services = view.document().services.values();
         services
             .map(|service| {
                 let disruption = view.disruption(&service.service);
                 let minions = view.pool(&service.service);
-                let standing = Standing::count(service, minions, &disruption, healthy);
-                (service.service.clone(), standing)
+                let availability = Standing::count(service, minions, &disruption, healthy);
+                (service.service.clone(), availability)
             })
             .collect()
     }
@@ -188,24 +188,24 @@
             let errand = Errand { wave: None, target: decision.to };
             let boot = self.roster.get(minion.minion.as_str()).map_or(0, |i| i.boot);
             let row = movement::drain(&minion, Some(errand), boot);
-            if self.replace(node, held, &minion, &row, None).await {
-                node.note(Kind::DrainBegun { minion: row.minion, epoch: row.epoch });
+            if self.replace_minion(node, held, &minion, &row, None).await {
+                node.record_event(Kind::DrainBegun { minion: row.minion, epoch: row.epoch });
             }
         }
     }
 
     fn pools(&mut self, node: &Node) -> Vec<Pool> {
-        let standings = self.standings(node);
-        let used = utilisation(node);
+        let availability = self.availability(node);
+        let used = current_utilisation(node);
         let document = node.view.read().document().clone();
         let mut pools = Vec::new();
         for service in document.services.values() {
-            let standing = standings.get(&service.service).cloned().unwrap_or_default();
+            let availability = availability.get(&service.service).cloned().unwrap_or_default();
             let now = used.get(&service.service).copied().unwrap_or(0.0);
             let smoothed = self.utilisation.entry(service.service.clone()).or_insert(now);
             *smoothed += UTILISATION_WEIGHT * (now - *smoothed);
             // What is out by intent comes back: it is no reason for a move.
-            let serving = standing.serving + standing.out;
+            let serving = availability.serving + availability.out;
             pools.push(Pool {
                 service: service.service.clone(),
                 serving,
@@ -220,15 +220,15 @@
 }
 
 /// Commits, and brings the view up to date whatever came of it.
-pub(crate) async fn commit(node: &Arc<Node>, transaction: Transaction) -> bool {
+pub(crate) async fn commit_and_refresh(node: &Arc<Node>, transaction: Transaction) -> bool {
     let committed = node.platform.table.commit(transaction).await.is_ok();
-    let _ = crate::follow::once(node).await;
+    let _ = crate::follow::refresh_view(node).await;
     committed
 }
 
 /// The transaction that replaces a minion's row, conditional on everything the decision was
 /// made from: the minion, its ownership, and its service's disruption.
-pub(crate) fn exchange(
+pub(crate) fn minion_replacement(
     view: &View,
     transaction: Transaction,
     old: &Minion,
@@ -241,14 +241,14 @@
         &*ownership,
         view.revision(&ownership),
     );
-    let goes = old.state == State::Active && new.state != State::Active;
+    let leaves = old.state == State::Active && new.state != State::Active;
     let returns = old.state != State::Active && new.state == State::Active;
-    if goes || returns {
+    if leaves || returns {
         let mut disruption = view.disruption(&old.pool);
         let key = fleet::key::<Disruption>(&old.pool);
         let revision = view.revision(&key);
-        if goes {
-            disruption.out.insert(old.minion.clone(), cause(new));
+        if leaves {
+            disruption.out.insert(old.minion.clone(), disruption_cause(new));
         } else {
             disruption.out.remove(&old.minion);
         }
@@ -257,7 +257,7 @@
     transaction
 }
 
-fn cause(minion: &Minion) -> String {
+fn disruption_cause(minion: &Minion) -> String {
     match &minion.errand {
         Some(Errand { wave: Some(wave), .. }) => format!("wave {wave}"),
         Some(Errand { wave: None, target }) => format!("move to {target}"),
@@ -265,7 +265,7 @@
     }
 }
 
-async fn add(node: &Arc<Node>, held: Held, name: id::Minion, instance: &Instance) {
+async fn add_minion(node: &Arc<Node>, held: Held, name: id::Minion, instance: &Instance) {
     let Some(address) = instance.address else { return };
     let Some(pool) = pool_for(node, instance) else { return };
     let row = Minion {
@@ -282,7 +282,7 @@
     let key = fleet::key::<Minion>(&name);
     let revision = node.view.read().revision(&key);
     let transaction = fenced(Duty::Fleet, held).replace(Space::Fleet, key, revision, &row);
-    commit(node, transaction).await;
+    commit_and_refresh(node, transaction).await;
 }
 
 /// The pool that a new minion was bought for, else the one that lacks most.
@@ -300,7 +300,7 @@
 }
 
 /// Removes a minion that is gone for certain, with all that is noted of it.
-async fn remove(node: &Arc<Node>, held: Held, name: &id::Minion) {
+async fn remove_minion(node: &Arc<Node>, held: Held, name: &id::Minion) {
     let transaction = {
         let view = node.view.read();
         let Some(minion) = view.minions().get(name) else { return };
@@ -319,30 +319,30 @@
         }
         transaction
     };
-    commit(node, transaction).await;
+    commit_and_refresh(node, transaction).await;
 }
 
 /// Minions that their owners have set aside.
-fn ejected(node: &Node) -> BTreeSet<id::Minion> {
-    let mut ejected: BTreeSet<id::Minion> =
+fn ejected_minions(node: &Node) -> BTreeSet<id::Minion> {
+    let mut ejected_minions: BTreeSet<id::Minion> =
         node.router.lock().ledger.ejected(node.clock.now()).into_iter().collect();
     for (_, peer) in node.peers.read().iter() {
-        ejected.extend(peer.beat.iter().flat_map(|beat| beat.ejected.iter().cloned()));
+        ejected_minions.extend(peer.beat.iter().flat_map(|beat| beat.ejected.iter().cloned()));
     }
-    ejected
+    ejected_minions
 }
 
 /// The share of each service's slots in use, over all entries that answer.
-fn utilisation(node: &Node) -> BTreeMap<id::Service, f64> {
-    let mut rooms = node.router.lock().rooms(node.clock.now());
+fn current_utilisation(node: &Node) -> BTreeMap<id::Service, f64> {
+    let mut capacities = node.router.lock().rooms(node.clock.now());
     for (_, peer) in node.peers.read().iter() {
-        rooms.extend(peer.beat.iter().flat_map(|beat| beat.room.iter().cloned()));
+        capacities.extend(peer.beat.iter().flat_map(|beat| beat.room.iter().cloned()));
     }
     let mut sums: BTreeMap<id::Service, (u32, u32)> = BTreeMap::new();
-    for room in rooms {
-        let sum = sums.entry(room.service).or_default();
-        sum.0 += room.slots;
-        sum.1 += room.slots - room.free.min(room.slots) + room.waiting;
+    for capacity in capacities {
+        let sum = sums.entry(capacity.service).or_default();
+        sum.0 += capacity.slots;
+        sum.1 += capacity.slots - capacity.free.min(capacity.slots) + capacity.waiting;
     }
     let share = |(slots, used): (u32, u32)| f64::from(used) / f64::from(slots.max(1));
     sums.into_iter().map(|(service, sum)| (service, share(sum))).collect()
--- a/crates/entry/src/drive/jobs.rs
+++ b/crates/entry/src/drive/jobs.rs
@@ -7,7 +7,7 @@
 use super::roster::Roster;
 use crate::duty::Duty;
 use crate::node::Node;
-use board::Board;
+use board::JobCache;
 use celerythread_model::event::Kind;
 use celerythread_model::fleet;
 use celerythread_model::id;
@@ -25,42 +25,42 @@
 use std::sync::Arc;
 
 /// Most rows in one transaction: a wave of cancellations or starts is a few writes.
-const BATCH: usize = 100;
+const MAX_BATCH_ROWS: usize = 100;
 
 /// Attempts at an idempotent job before it counts as failed.
 const MAX_ATTEMPTS: u32 = 5;
 
 /// What the holder remembers between two steps.
 #[derive(Default)]
-pub(crate) struct Jobs {
-    board: Board,
+pub(crate) struct Controller {
+    jobs: JobCache,
     roster: Roster,
     estimates: Estimates,
     health: HashMap<id::Worker, Health>,
-    avoid: HashMap<id::Job, id::Worker>,
+    avoided_workers: HashMap<id::Job, id::Worker>,
     /// Attempts whose one order this process gave and saw refused: certainly not run.
-    refused: HashMap<id::Job, u32>,
+    refused_attempts: HashMap<id::Job, u32>,
 }
 
 /// A decided change of a job's row, and what follows once it is committed.
 struct Change {
-    old: Revision,
+    old_revision: Revision,
     job: Job,
-    then: Option<(id::Worker, Order)>,
+    order: Option<(id::Worker, Order)>,
 }
 
-impl Jobs {
+impl Controller {
     /// One round.  Nothing new is started while the platform does not answer.
     pub(crate) async fn step(&mut self, node: &Arc<Node>, held: Held) {
-        if !self.board.follow(node).await || !self.roster.refresh(node).await {
+        if !self.jobs.refresh(node).await || !self.roster.refresh(node).await {
             return;
         }
-        if self.board.is_empty() {
+        if self.jobs.is_empty() {
             // Nothing to settle, to stop or to place: the reports are not even asked for.
             return;
         }
         let Ok(tasks) = node.platform.workers.tasks().await else { return };
-        self.learn(&tasks);
+        self.update_estimates(&tasks);
         let settled = self.settle(node, &tasks).await;
         self.commit(node, held, settled).await;
         self.stop_cancelled(node, &tasks).await;
@@ -68,9 +68,9 @@
         self.commit(node, held, placed).await;
     }
 
-    fn learn(&mut self, tasks: &[Task]) {
+    fn update_estimates(&mut self, tasks: &[Task]) {
         for task in tasks {
-            if let Some((_, job)) = self.board.get(&task.job)
+            if let Some((_, job)) = self.jobs.get(&task.job)
                 && job.attempts == task.attempt
             {
                 let (kind, declared) = (&job.spec.kind, &job.spec.size);
@@ -87,38 +87,39 @@
     async fn commit(&mut self, node: &Arc<Node>, held: Held, changes: Vec<Change>) {
         let mut changes = changes;
         while !changes.is_empty() {
-            let rest = changes.split_off(changes.len().min(BATCH));
+            let rest = changes.split_off(changes.len().min(MAX_BATCH_ROWS));
             let batch = std::mem::replace(&mut changes, rest);
             let mut transaction = fenced(Duty::Jobs, held);
             for change in &batch {
                 let key = fleet::key::<Job>(&change.job.spec.job);
-                transaction = transaction.replace(Space::Job, key, change.old, &change.job);
+                transaction =
+                    transaction.replace(Space::Job, key, change.old_revision, &change.job);
             }
             match node.platform.table.commit(transaction).await {
-                Ok(last) => self.committed(node, batch, last).await,
+                Ok(last) => self.apply_committed(node, batch, last).await,
                 // Another has changed one of the rows, or nobody knows: look again first.
                 Err(_) => {
-                    self.board.follow(node).await;
+                    self.jobs.refresh(node).await;
                     return;
                 }
             }
         }
     }
 
-    async fn committed(&mut self, node: &Arc<Node>, batch: Vec<Change>, last: Revision) {
+    async fn apply_committed(&mut self, node: &Arc<Node>, batch: Vec<Change>, last: Revision) {
         let first = last.0 + 1 - batch.len() as u64;
         for (index, change) in batch.into_iter().enumerate() {
             let (job, stage) = (change.job.spec.job.clone(), change.job.stage);
             let attempt = change.job.attempts;
-            self.board.put(change.job, Revision(first + index as u64));
-            node.note(Kind::Job { job: job.clone(), stage });
-            if let Some((worker, order)) = change.then {
-                self.order(node, &job, attempt, worker, order).await;
+            self.jobs.upsert(change.job, Revision(first + index as u64));
+            node.record_event(Kind::Job { job: job.clone(), stage });
+            if let Some((worker, order)) = change.order {
+                self.send_order(node, &job, attempt, worker, order).await;
             }
         }
     }
 
-    async fn order(
+    async fn send_order(
         &mut self,
         node: &Node,
         job: &id::Job,
@@ -127,15 +128,15 @@
         order: Order,
     ) {
         if let Err(Error::Refused { .. }) = node.platform.workers.order(&worker, order).await {
-            self.refused.insert(job.clone(), attempt);
-            self.avoid.insert(job.clone(), worker);
+            self.refused_attempts.insert(job.clone(), attempt);
+            self.avoided_workers.insert(job.clone(), worker);
         }
     }
 
     /// Stops tasks whose job was cancelled.
     async fn stop_cancelled(&self, node: &Node, tasks: &[Task]) {
         for task in tasks.iter().filter(|task| settle::occupies(task)) {
-            let cancelled = self.board.get(&task.job);
+            let cancelled = self.jobs.get(&task.job);
             if cancelled.is_some_and(|(_, job)| job.stage == Stage::Cancelled) {
                 let order = Order::Stop { job: task.job.clone() };
                 let _ = node.platform.workers.order(&task.worker, order).await;
@@ -145,11 +146,11 @@
 
     fn place(&mut self, node: &Node, held: Held, tasks: &[Task]) -> Vec<Change> {
         let document = node.view.read().document().clone();
-        let mut rooms = self.rooms(node, tasks);
+        let mut candidates = self.candidate_workers(node, tasks);
         let mut used = self.used_by_team();
         let mut changes = Vec::new();
         let mut misses = Misses::default();
-        for (revision, job) in self.board.waiting() {
+        for (revision, job) in self.jobs.waiting() {
             let team = document.teams.get(&job.spec.team);
             let allowance = team.map(|team| Allowance {
                 quota: Size {
@@ -162,24 +163,24 @@
             let need = Need {
                 size: self.estimates.size(&job.spec.kind, &job.spec.size),
                 class: job.spec.class,
-                avoid: self.avoid.get(&job.spec.job).cloned(),
+                avoid: self.avoided_workers.get(&job.spec.job).cloned(),
             };
             if misses.covers(&need) {
                 continue;
             }
-            match placement::place(&need, &rooms, allowance) {
+            match placement::place(&need, &candidates, allowance) {
                 Placement::Start(worker) => {
-                    take_room(&mut rooms, &worker, &need.size);
+                    reserve_capacity(&mut candidates, &worker, &need.size);
                     *used.entry(job.spec.team.clone()).or_default() += need.size;
                     let boot = self.roster.get(worker.as_str()).map_or(0, |listed| listed.boot);
-                    let job = started(job, &worker, boot, held);
-                    let then = Some((worker, start_order(&job, need.size)));
-                    changes.push(Change { old: revision, job, then });
+                    let job = with_new_attempt(job, &worker, boot, held);
+                    let order = Some((worker, start_order(&job, need.size)));
+                    changes.push(Change { old_revision: revision, job, order });
                 }
                 Placement::PutAside(worker, jobs) => {
                     for name in jobs {
-                        changes.extend(self.put_aside(&name, &worker));
-                        forget_patient(&mut rooms, &worker, &name);
+                        changes.extend(self.preempt(&name, &worker));
+                        remove_preempted(&mut candidates, &worker, &name);
                     }
                 }
                 // A job that waits for its team's quota says nothing about the others.
@@ -187,26 +188,26 @@
                 Placement::Wait => {}
                 Placement::Impossible(reason) => {
                     let job = Job { stage: Stage::Failed, reason, ..job.clone() };
-                    changes.push(Change { old: revision, job, then: None });
+                    changes.push(Change { old_revision: revision, job, order: None });
                 }
             }
         }
         changes
     }
 
-    fn put_aside(&self, name: &id::Job, worker: &id::Worker) -> Option<Change> {
-        let (revision, job) = self.board.get(name)?;
+    fn preempt(&self, name: &id::Job, worker: &id::Worker) -> Option<Change> {
+        let (revision, job) = self.jobs.get(name)?;
         let reason = "put aside for urgent work".into();
         let job = Job { stage: Stage::Suspended, worker: None, reason, ..job.clone() };
         let order = Order::Checkpoint { job: name.clone() };
-        Some(Change { old: revision, job, then: Some((worker.clone(), order)) })
+        Some(Change { old_revision: revision, job, order: Some((worker.clone(), order)) })
     }
 
     /// What each worker has left, by what is learnt of the jobs that run on it.
-    fn rooms(&self, node: &Node, tasks: &[Task]) -> Vec<Room> {
+    fn candidate_workers(&self, node: &Node, tasks: &[Task]) -> Vec<Room> {
         let now = node.clock.now();
-        let mut rooms: BTreeMap<id::Worker, Room> = BTreeMap::new();
-        for instance in self.roster.of(Role::Worker).filter(|instance| !instance.leaving) {
+        let mut candidates: BTreeMap<id::Worker, Room> = BTreeMap::new();
+        for instance in self.roster.with_role(Role::Worker).filter(|instance| !instance.leaving) {
             let Ok(worker) = instance.name.parse::<id::Worker>() else { continue };
             let resting = self.health.get(&worker).is_some_and(|health| match health.state(now) {
                 State::Trusted => false,
@@ -214,7 +215,7 @@
                 // Tried again gently: one task at a time.
                 State::Probing => tasks.iter().any(|t| t.worker == worker && settle::occupies(t)),
             });
-            let room = Room {
+            let candidate = Room {
                 worker: worker.clone(),
                 zone: instance.zone.clone(),
                 rack: instance.rack.clone(),
@@ -223,24 +224,25 @@
                 resting,
                 patient: Default::default(),
             };
-            rooms.insert(worker, room);
+            candidates.insert(worker, candidate);
         }
-        for job in self.board.running() {
-            let Some(room) = job.worker.as_ref().and_then(|worker| rooms.get_mut(worker)) else {
+        for job in self.jobs.running() {
+            let Some(candidate) = job.worker.as_ref().and_then(|worker| candidates.get_mut(worker))
+            else {
                 continue;
             };
             let size = self.estimates.size(&job.spec.kind, &job.spec.size);
-            room.free -= size;
+            candidate.free -= size;
             if job.spec.class == Class::Patient {
-                room.patient.push(Patient { job: job.spec.job.clone(), size });
+                candidate.patient.push(Patient { job: job.spec.job.clone(), size });
             }
         }
-        rooms.into_values().collect()
+        candidates.into_values().collect()
     }
 
     fn used_by_team(&self) -> HashMap<id::Team, Size> {
         let mut used: HashMap<id::Team, Size> = HashMap::new();
-        for job in self.board.running() {
+        for job in self.jobs.running() {
             let size = self.estimates.size(&job.spec.kind, &job.spec.size);
             *used.entry(job.spec.team.clone()).or_default() += size;
         }
@@ -249,7 +251,7 @@
 }
 
 /// A job with a new attempt on a worker.
-fn started(job: &Job, worker: &id::Worker, boot: u64, held: Held) -> Job {
+fn with_new_attempt(job: &Job, worker: &id::Worker, boot: u64, held: Held) -> Job {
     Job {
         stage: Stage::Running,
         worker: Some(worker.clone()),
@@ -276,21 +278,21 @@
     allowance.is_none_or(|allowance| (allowance.used + need.size).fits(&allowance.quota))
 }
 
-fn take_room(rooms: &mut [Room], worker: &id::Worker, size: &Size) {
-    if let Some(room) = rooms.iter_mut().find(|room| room.worker == *worker) {
-        room.free -= *size;
+fn reserve_capacity(candidates: &mut [Room], worker: &id::Worker, size: &Size) {
+    if let Some(candidate) = candidates.iter_mut().find(|candidate| candidate.worker == *worker) {
+        candidate.free -= *size;
     }
 }
 
 /// A job that is being put aside cannot be put aside for a second urgent one, and what it frees
 /// is already spoken for.
-fn forget_patient(rooms: &mut [Room], worker: &id::Worker, job: &id::Job) {
-    if let Some(room) = rooms.iter_mut().find(|room| room.worker == *worker) {
-        room.patient.retain(|patient| patient.job != *job);
+fn remove_preempted(candidates: &mut [Room], worker: &id::Worker, job: &id::Job) {
+    if let Some(candidate) = candidates.iter_mut().find(|candidate| candidate.worker == *worker) {
+        candidate.patient.retain(|patient| patient.job != *job);
     }
 }
 
 /// Whether another attempt may be made.
-fn may_repeat(job: &Job) -> bool {
+fn may_retry(job: &Job) -> bool {
     job.spec.idempotence == Idempotence::Idempotent && job.attempts < MAX_ATTEMPTS
 }
--- a/crates/entry/src/drive/jobs/board.rs
+++ b/crates/entry/src/drive/jobs/board.rs
@@ -10,20 +10,20 @@
 
 /// All jobs that are not settled, with their rows' revisions.
 #[derive(Default)]
-pub(crate) struct Board {
+pub(crate) struct JobCache {
     jobs: BTreeMap<id::Job, (Revision, Job)>,
     upto: Revision,
 }
 
-impl Board {
+impl JobCache {
     /// Reads what changed.  Tells whether the table answered.
-    pub(crate) async fn follow(&mut self, node: &Node) -> bool {
+    pub(crate) async fn refresh(&mut self, node: &Node) -> bool {
         loop {
             let Ok(changes) = node.platform.table.changes(Space::Job, self.upto).await else {
                 return false;
             };
             for row in &changes.rows {
-                self.take(row);
+                self.apply_row(row);
             }
             self.upto = changes.upto;
             if !changes.more {
@@ -32,12 +32,12 @@
         }
     }
 
-    fn take(&mut self, row: &Row) {
+    fn apply_row(&mut self, row: &Row) {
         let Some(Ok(name)) = row.key.strip_prefix(Job::PREFIX).map(str::parse::<id::Job>) else {
             return;
         };
         match row.decode::<Job>() {
-            Some(job) => self.put(job, row.revision),
+            Some(job) => self.upsert(job, row.revision),
             None => {
                 self.jobs.remove(&name);
             }
@@ -45,10 +45,10 @@
     }
 
     /// Takes a row in that this process has written or read; an older one is ignored.
-    pub(crate) fn put(&mut self, job: Job, revision: Revision) {
+    pub(crate) fn upsert(&mut self, job: Job, revision: Revision) {
         let name = job.spec.job.clone();
-        let held = self.jobs.get(&name).map_or(Revision(0), |(held, _)| *held);
-        if revision <= held {
+        let known = self.jobs.get(&name).map_or(Revision(0), |(known, _)| *known);
+        if revision <= known {
             return;
         }
         // A cancelled job stays known so that its task is stopped; the others are settled.
--- a/crates/entry/src/drive/jobs/settle.rs
+++ b/crates/entry/src/drive/jobs/settle.rs
@@ -1,6 +1,6 @@
 //! What became of the jobs that were started.
 
-use super::{Change, Jobs, may_repeat};
+use super::{Change, Controller, may_retry};
 use crate::node::Node;
 use celerythread_model::id;
 use celerythread_model::job::{Job, Stage};
@@ -15,16 +15,16 @@
     matches!(task.phase, Phase::Running | Phase::Throttled)
 }
 
-impl Jobs {
+impl Controller {
     /// Decides about every running job by the reports, which lag, and by asking the worker
     /// where they say nothing.
     pub(super) async fn settle(&mut self, node: &Node, tasks: &[Task]) -> Vec<Change> {
         let reported: HashMap<(&id::Worker, &id::Job), &Task> =
             tasks.iter().map(|task| ((&task.worker, &task.job), task)).collect();
         let running: Vec<(Revision, Job)> = self
-            .board
+            .jobs
             .running()
-            .filter_map(|job| self.board.get(&job.spec.job))
+            .filter_map(|job| self.jobs.get(&job.spec.job))
             .map(|(revision, job)| (revision, job.clone()))
             .collect();
         let mut changes = Vec::new();
@@ -32,17 +32,17 @@
             let Some(worker) = job.worker.clone() else { continue };
             let task = reported.get(&(&worker, &job.spec.job)).copied();
             let next = match task.filter(|task| task.attempt == job.attempts) {
-                Some(task) => self.by_report(node, &job, &worker, task),
-                None => self.without_report(node, &job, &worker).await,
+                Some(task) => self.outcome_by_report(node, &job, &worker, task),
+                None => self.outcome_without_report(node, &job, &worker).await,
             };
             if let Some(job) = next {
-                changes.push(Change { old: revision, job, then: None });
+                changes.push(Change { old_revision: revision, job, order: None });
             }
         }
         changes
     }
 
-    fn by_report(
+    fn outcome_by_report(
         &mut self,
         node: &Node,
         job: &Job,
@@ -62,16 +62,16 @@
                 Some(Job { stage: Stage::Done, ..job.clone() })
             }
             Phase::Failed => {
-                self.note_failure(node, worker);
-                self.avoid.insert(job.spec.job.clone(), worker.clone());
-                Some(retried(job, &format!("attempt {} failed on {worker}", job.attempts)))
+                self.record_worker_failure(node, worker);
+                self.avoided_workers.insert(job.spec.job.clone(), worker.clone());
+                Some(after_failure(job, &format!("attempt {} failed on {worker}", job.attempts)))
             }
         }
     }
 
     /// Judges a worker by its siblings: one that fails everything it starts is set aside, and
     /// tried again later with one task.
-    fn note_failure(&mut self, node: &Node, worker: &id::Worker) {
+    fn record_worker_failure(&mut self, node: &Node, worker: &id::Worker) {
         let others = self.health.iter().filter(|(name, _)| *name != worker);
         let rates: Vec<f64> = others.map(|(_, health)| health.failure_rate()).collect();
         let siblings = rates.iter().sum::<f64>() / rates.len().max(1) as f64;
@@ -81,22 +81,32 @@
 
     /// The reports say nothing of the attempt: it was never started, or its worker is gone or
     /// was restarted.
-    async fn without_report(&mut self, node: &Node, job: &Job, worker: &id::Worker) -> Option<Job> {
+    async fn outcome_without_report(
+        &mut self,
+        node: &Node,
+        job: &Job,
+        worker: &id::Worker,
+    ) -> Option<Job> {
         let attempt = job.attempts;
-        if self.refused.remove(&job.spec.job) == Some(attempt) {
+        if self.refused_attempts.remove(&job.spec.job) == Some(attempt) {
             let reason = format!("{worker} refused attempt {attempt}");
             return Some(Job { stage: Stage::Queued, worker: None, reason, ..job.clone() });
         }
         if self.roster.is_gone(worker.as_str(), node.clock.now()) {
-            return Some(lost(job, format!("{worker} is gone with attempt {attempt}")));
+            return Some(after_loss(job, format!("{worker} is gone with attempt {attempt}")));
         }
         if self.roster.get(worker.as_str()).is_some_and(|listed| listed.boot > job.boot) {
-            return Some(lost(job, format!("{worker} was restarted under attempt {attempt}")));
+            return Some(after_loss(
+                job,
+                format!("{worker} was restarted under attempt {attempt}"),
+            ));
         }
         let inspected = node.platform.workers.inspect(worker, &job.spec.job).await.ok()?;
         match inspected {
-            Some(task) if task.attempt == attempt => self.by_report(node, job, worker, &task),
-            _ => self.order_again(node, job, worker).await,
+            Some(task) if task.attempt == attempt => {
+                self.outcome_by_report(node, job, worker, &task)
+            }
+            _ => self.resend_order(node, job, worker).await,
         }
     }
 
@@ -106,21 +116,22 @@
     /// The same boot of the worker carries an attempt out once, however often it is ordered.
     /// Another boot refuses; then the attempt may have run on the boot before, and a
     /// non-idempotent job is not run again.
-    async fn order_again(&self, node: &Node, job: &Job, worker: &id::Worker) -> Option<Job> {
+    async fn resend_order(&self, node: &Node, job: &Job, worker: &id::Worker) -> Option<Job> {
         let size = self.estimates.size(&job.spec.kind, &job.spec.size);
         let ordered = node.platform.workers.order(worker, super::start_order(job, size)).await;
         match ordered {
-            Err(celerythread_platform::Error::Refused { reason }) => {
-                Some(lost(job, format!("{worker} refused attempt {}: {reason}", job.attempts)))
-            }
+            Err(celerythread_platform::Error::Refused { reason }) => Some(after_loss(
+                job,
+                format!("{worker} refused attempt {}: {reason}", job.attempts),
+            )),
             _ => None,
         }
     }
 }
 
 /// A job whose attempt is over without success, and certainly so.
-fn retried(job: &Job, reason: &str) -> Job {
-    let stage = match (job.spec.idempotence, may_repeat(job)) {
+fn after_failure(job: &Job, reason: &str) -> Job {
+    let stage = match (job.spec.idempotence, may_retry(job)) {
         (Idempotence::Idempotent, true) => Stage::Queued,
         // A failed non-idempotent step has run; it is not run a second time.
         _ => Stage::Failed,
@@ -130,8 +141,8 @@
 }
 
 /// A job whose worker is gone: an idempotent one goes elsewhere, of another nobody can tell.
-fn lost(job: &Job, reason: String) -> Job {
-    if may_repeat(job) {
+fn after_loss(job: &Job, reason: String) -> Job {
+    if may_retry(job) {
         return Job { stage: Stage::Queued, worker: None, reason, ..job.clone() };
     }
     let stage = match job.spec.idempotence {
--- a/crates/entry/src/drive/retention.rs
+++ b/crates/entry/src/drive/retention.rs
@@ -13,10 +13,10 @@
 use std::time::Duration;
 
 /// Time between two looks when there was nothing to clear.
-const INTERVAL: Duration = Duration::from_secs(60);
+const SCAN_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Most claims cleared in one transaction.
-const BATCH: usize = 100;
+const MAX_BATCH_CLAIMS: usize = 100;
 
 /// How far the claims were looked through.
 ///
@@ -24,58 +24,58 @@
 /// look, and the next begins where this one stopped.
 #[derive(Default)]
 pub(crate) struct Retention {
-    cleared: Revision,
-    looked: Option<Moment>,
+    scanned_to: Revision,
+    scanned_at: Option<Moment>,
 }
 
 impl Retention {
     /// Clears a batch of old claims, if it is time to look.
     pub(crate) async fn step(&mut self, node: &Arc<Node>, held: Held) {
         let now = node.clock.now();
-        if self.looked.is_some_and(|looked| now.since(looked) < INTERVAL) {
+        if self.scanned_at.is_some_and(|scanned_at| now.since(scanned_at) < SCAN_INTERVAL) {
             return;
         }
-        let changes = node.platform.table.changes(Space::Claim, self.cleared).await;
+        let changes = node.platform.table.changes(Space::Claim, self.scanned_to).await;
         let Ok(changes) = changes else { return };
-        let (old, upto, more) = self.split(node, &changes.rows);
-        if !old.is_empty() {
+        let (expired, upto, more) = self.select_expired(node, &changes.rows);
+        if !expired.is_empty() {
             let mut transaction = fenced(Duty::Fleet, held);
-            for row in old {
-                transaction = clear(transaction, row);
+            for row in expired {
+                transaction = delete_claim(transaction, row);
             }
             // A claim that changed meanwhile is looked at again.
             if node.platform.table.commit(transaction).await.is_err() {
                 return;
             }
         }
-        self.cleared = upto;
-        self.looked = if more { None } else { Some(now) };
+        self.scanned_to = upto;
+        self.scanned_at = if more { None } else { Some(now) };
     }
 
     /// The rows to clear, up to where the look came, and whether more may be old.
-    fn split<'a>(&self, node: &Node, rows: &'a [Row]) -> (Vec<&'a Row>, Revision, bool) {
-        let kept = node.view.read().document().claim_retention.0.as_millis() as u64;
-        let oldest = node.clock.wall_ms().saturating_sub(kept);
-        let mut old = Vec::new();
-        let mut upto = self.cleared;
+    fn select_expired<'a>(&self, node: &Node, rows: &'a [Row]) -> (Vec<&'a Row>, Revision, bool) {
+        let retention_ms = node.view.read().document().claim_retention.0.as_millis() as u64;
+        let cutoff_ms = node.clock.wall_ms().saturating_sub(retention_ms);
+        let mut expired = Vec::new();
+        let mut upto = self.scanned_to;
         for row in rows {
-            if old.len() == BATCH {
-                return (old, upto, true);
+            if expired.len() == MAX_BATCH_CLAIMS {
+                return (expired, upto, true);
             }
             if let Some(claim) = row.decode::<Claim>() {
-                if claim.made_at > oldest {
-                    return (old, upto, false);
+                if claim.made_at > cutoff_ms {
+                    return (expired, upto, false);
                 }
-                old.push(row);
+                expired.push(row);
             }
             upto = row.revision;
         }
-        let more = !old.is_empty();
-        (old, upto, more)
+        let more = !expired.is_empty();
+        (expired, upto, more)
     }
 }
 
-fn clear(transaction: Transaction, row: &Row) -> Transaction {
+fn delete_claim(transaction: Transaction, row: &Row) -> Transaction {
     let transaction = transaction.check(Space::Claim, &*row.key, row.revision);
     transaction.delete(Space::Claim, &*row.key)
 }
--- a/crates/entry/src/drive/roster.rs
+++ b/crates/entry/src/drive/roster.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Added to the list's lag before an absent instance counts as gone.
-const MARGIN: Duration = Duration::from_millis(500);
+const ABSENCE_MARGIN: Duration = Duration::from_millis(500);
 
 /// The list as last read, with since when each known name has been absent.
 #[derive(Default)]
@@ -16,7 +16,7 @@
     absent_since: HashMap<String, Moment>,
     lag: Duration,
     version: String,
-    read: bool,
+    loaded: bool,
 }
 
 impl Roster {
@@ -27,7 +27,7 @@
         self.version = listing.version;
         self.lag = Duration::from_millis(listing.lag_ms);
         self.instances = listing.instances.into_iter().map(|i| (i.name.clone(), i)).collect();
-        self.read = true;
+        self.loaded = true;
         true
     }
 
@@ -37,7 +37,7 @@
     }
 
     /// Listed instances of a role.
-    pub(crate) fn of(&self, role: Role) -> impl Iterator<Item = &Instance> {
+    pub(crate) fn with_role(&self, role: Role) -> impl Iterator<Item = &Instance> {
         self.instances.values().filter(move |instance| instance.role == role)
     }
 
@@ -46,11 +46,11 @@
     /// A new instance is not listed yet for as long as the list lags, so absence alone proves
     /// nothing; it must have lasted, by our own clock, since we first looked for the name.
     pub(crate) fn is_gone(&mut self, name: &str, now: Moment) -> bool {
-        if !self.read || self.instances.contains_key(name) {
+        if !self.loaded || self.instances.contains_key(name) {
             self.absent_since.remove(name);
             return false;
         }
         let since = *self.absent_since.entry(name.into()).or_insert(now);
-        now.since(since) > self.lag + MARGIN
+        now.since(since) > self.lag + ABSENCE_MARGIN
     }
 }
--- a/crates/entry/src/drive/waves.rs
+++ b/crates/entry/src/drive/waves.rs
@@ -1,7 +1,7 @@
 //! Running declared waves.
 
 use super::fenced;
-use super::fleet::{Fleet, commit, is_open};
+use super::fleet::{Controller, commit_and_refresh, is_open};
 use crate::duty::Duty;
 use crate::node::Node;
 use celerythread_model::event::Kind;
@@ -15,12 +15,12 @@
 use std::sync::Arc;
 
 /// Carries every open wave one step on, the earliest deadline first.
-pub(crate) async fn step(fleet: &mut Fleet, node: &Arc<Node>, held: Held) {
+pub(crate) async fn step(fleet: &mut Controller, node: &Arc<Node>, held: Held) {
     let mut waves: Vec<Wave> = node.view.read().waves().values().cloned().collect();
     waves.retain(is_open);
     waves.sort_by_key(|wave| (wave.deadline.unwrap_or(u64::MAX), wave.declared_at));
     for wave in waves {
-        let wave = note_returned(node, held, wave).await;
+        let wave = complete_if_done(node, held, wave).await;
         if is_open(&wave) {
             advance(fleet, node, held, &wave).await;
         }
@@ -49,44 +49,44 @@
 }
 
 /// Ends a wave of which nothing is left and nothing is out.
-async fn note_returned(node: &Arc<Node>, held: Held, wave: Wave) -> Wave {
+async fn complete_if_done(node: &Arc<Node>, held: Held, wave: Wave) -> Wave {
     let (left, out) = {
         let view = node.view.read();
-        let out = view.minions().values().filter(|m| belongs(m, &wave.wave)).count();
+        let out = view.minions().values().filter(|m| belongs_to(m, &wave.wave)).count();
         (targets(&view, &wave).len(), out)
     };
     if left > 0 || out > 0 {
         return wave;
     }
     let done = Wave { progress: Progress::Done, waiting_for: String::new(), ..wave.clone() };
-    if write(node, held, &done).await { done } else { wave }
+    if write_wave(node, held, &done).await { done } else { wave }
 }
 
-fn belongs(minion: &Minion, wave: &id::Wave) -> bool {
+fn belongs_to(minion: &Minion, wave: &id::Wave) -> bool {
     minion.errand.as_ref().is_some_and(|errand| errand.wave.as_ref() == Some(wave))
 }
 
 /// Takes out what may go now, or notes what the wave waits for.
-async fn advance(fleet: &mut Fleet, node: &Arc<Node>, held: Held, wave: &Wave) {
-    if let Some(waiting_for) = not_yet(node, wave) {
+async fn advance(fleet: &mut Controller, node: &Arc<Node>, held: Held, wave: &Wave) {
+    if let Some(waiting_for) = waiting_reason(node, wave) {
         set_progress(node, held, wave, Progress::Paused, waiting_for).await;
         return;
     }
-    let (targets, begun, weight, out) = {
+    let (targets, racks_out, weight, out) = {
         let view = node.view.read();
         // Only what comes back is worth waiting for.
         let out: Vec<&Minion> = view.minions().values().filter(|m| m.errand.is_some()).collect();
-        let begun: Vec<id::Rack> = out.iter().map(|m| m.rack.clone()).collect();
+        let racks_out: Vec<id::Rack> = out.iter().map(|m| m.rack.clone()).collect();
         let targets: Vec<Target> = targets(&view, wave)
             .into_iter()
             .filter(|t| !out.iter().any(|minion| minion.minion == t.minion))
             .collect();
-        (targets, begun, view.document().rollout_weight, out.len())
+        (targets, racks_out, view.document().rollout_weight, out.len())
     };
-    let standings = fleet.standings(node);
-    let next = wave::next(&targets, &standings, weight, &begun);
+    let availability = fleet.availability(node);
+    let next = wave::next(&targets, &availability, weight, &racks_out);
     if next.is_empty() && out == 0 && !targets.is_empty() {
-        let services = wave::waiting_for(&targets, &standings);
+        let services = wave::waiting_for(&targets, &availability);
         let names: Vec<String> = services.iter().map(ToString::to_string).collect();
         let waiting_for = format!("at the floor: {}", names.join(", "));
         set_progress(node, held, wave, Progress::Paused, waiting_for).await;
@@ -96,7 +96,7 @@
         set_progress(node, held, wave, Progress::Running, String::new()).await;
     }
     for name in next {
-        if !take_out(fleet, node, held, &wave.wave, &name).await {
+        if !drain_minion(fleet, node, held, &wave.wave, &name).await {
             // Something changed under us; the next round decides anew.
             return;
         }
@@ -107,7 +107,7 @@
 ///
 /// This compares the holder's wall clock with a time that an operator chose; it decides when a
 /// wave goes on, never who may write.
-fn not_yet(node: &Node, wave: &Wave) -> Option<String> {
+fn waiting_reason(node: &Node, wave: &Wave) -> Option<String> {
     let now = node.clock.wall_ms();
     if now < wave.starts_at {
         return Some("its start".into());
@@ -122,8 +122,8 @@
 
 /// Drains one minion and moves it from `remaining` to `done`, in one transaction with the
 /// disruption's row.
-async fn take_out(
-    fleet: &Fleet,
+async fn drain_minion(
+    fleet: &Controller,
     node: &Arc<Node>,
     held: Held,
     wave: &id::Wave,
@@ -144,11 +144,11 @@
     let mut next = current.clone();
     next.remaining.retain(|left| left != name);
     next.done.push(name.clone());
-    let taken = fleet.replace(node, held, &old, &row, Some((&current, next))).await;
-    if taken {
-        node.note(Kind::DrainBegun { minion: row.minion, epoch: row.epoch });
+    let drained = fleet.replace_minion(node, held, &old, &row, Some((&current, next))).await;
+    if drained {
+        node.record_event(Kind::DrainBegun { minion: row.minion, epoch: row.epoch });
     }
-    taken
+    drained
 }
 
 async fn set_progress(
@@ -162,16 +162,16 @@
         return;
     }
     let row = Wave { progress, waiting_for, ..wave.clone() };
-    write(node, held, &row).await;
+    write_wave(node, held, &row).await;
 }
 
-async fn write(node: &Arc<Node>, held: Held, wave: &Wave) -> bool {
+async fn write_wave(node: &Arc<Node>, held: Held, wave: &Wave) -> bool {
     let key = fleet::key::<Wave>(&wave.wave);
     let revision = node.view.read().revision(&key);
     let transaction = fenced(Duty::Fleet, held).replace(Space::Fleet, key, revision, wave);
-    let written = commit(node, transaction).await;
+    let written = commit_and_refresh(node, transaction).await;
     if written {
-        node.note(Kind::Wave { wave: wave.wave.clone(), progress: wave.progress });
+        node.record_event(Kind::Wave { wave: wave.wave.clone(), progress: wave.progress });
     }
     written
 }
--- a/crates/entry/src/duty.rs
+++ b/crates/entry/src/duty.rs
@@ -13,10 +13,10 @@
 use strum::{Display, VariantArray};
 
 /// Time between two steps of a duty.
-const STEP: Duration = Duration::from_millis(500);
+const STEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Renewals in a term.
-const RENEWALS: u32 = 4;
+const RENEWALS_PER_TERM: u32 = 4;
 
 /// What one entry does for all.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, VariantArray)]
@@ -36,47 +36,48 @@
 }
 
 /// Tries to carry a duty, and carries it while the lease lasts.
-pub(crate) async fn carry_forever(node: Arc<Node>, duty: Duty) {
+pub(crate) async fn run_forever(node: Arc<Node>, duty: Duty) {
     let mut observer = Observer::default();
     let mut held: Option<Held> = None;
-    let mut driver = drive::Driver::new(duty);
-    let renewal = node.settings.lease_term.0 / RENEWALS;
-    let mut looked = None;
+    let mut controller = drive::Controller::new(duty);
+    let renewal_interval = node.settings.lease_term.0 / RENEWALS_PER_TERM;
+    let mut checked_at = None;
     loop {
         let now = node.clock.now();
-        if looked.is_none_or(|at| now.since(at) >= renewal) {
-            looked = Some(now);
+        if checked_at.is_none_or(|at| now.since(at) >= renewal_interval) {
+            checked_at = Some(now);
             let before = held;
-            held = look(&node, duty, &mut observer, held).await;
-            note_change(&node, duty, before, held);
+            held = renew_or_acquire(&node, duty, &mut observer, held).await;
+            record_change(&node, duty, before, held);
             if before.map(|held| held.token) != held.map(|held| held.token) {
                 // What was remembered belongs to a time that others have acted in since.
-                driver = drive::Driver::new(duty);
+                controller = drive::Controller::new(duty);
             }
         }
         let term = node.settings.lease_term.0;
         if let Some(held) = held.filter(|held| held.is_fresh(node.clock.now(), term)) {
-            driver.step(&node, held).await;
+            controller.step(&node, held).await;
         }
         // Who does not carry the duty has nothing to do before the next look at the lease.
-        let rest = if held.is_some() { STEP.min(renewal) } else { renewal };
-        if !node.pause(rest).await || node.is_stopping() {
+        let delay =
+            if held.is_some() { STEP_INTERVAL.min(renewal_interval) } else { renewal_interval };
+        if !node.sleep_unless_stopped(delay).await || node.is_stopping() {
             break;
         }
     }
     if let Some(held) = held {
-        give_back(&node, duty, held).await;
+        release(&node, duty, held).await;
     }
 }
 
 /// Reads the lease, and renews or takes it.
-async fn look(
+async fn renew_or_acquire(
     node: &Arc<Node>,
     duty: Duty,
     observer: &mut Observer,
     held: Option<Held>,
 ) -> Option<Held> {
-    if !node.view.read().entries().contains_key(&node.me) {
+    if !node.view.read().entries().contains_key(&node.entry_id) {
         return None;
     }
     let key = duty.key();
@@ -85,7 +86,7 @@
     let now = node.clock.now();
     let lease: Option<Lease> = row.decode();
     let term = node.settings.lease_term.0;
-    let next = match observer.observe(&node.me, lease.as_ref(), row.revision, now, term) {
+    let next = match observer.observe(&node.entry_id, lease.as_ref(), row.revision, now, term) {
         Action::Stand => return None,
         Action::Renew(next) | Action::Take(next) => next,
     };
@@ -99,22 +100,22 @@
     }
 }
 
-fn note_change(node: &Node, duty: Duty, before: Option<Held>, after: Option<Held>) {
+fn record_change(node: &Node, duty: Duty, before: Option<Held>, after: Option<Held>) {
     let (before, after) = (before.map(|held| held.token), after.map(|held| held.token));
     if before == after {
         return;
     }
     if let Some(token) = before {
-        node.note(Kind::LeaseLost { duty: duty.to_string(), token });
+        node.record_event(Kind::LeaseLost { duty: duty.to_string(), token });
     }
     if let Some(token) = after {
-        node.note(Kind::LeaseTaken { duty: duty.to_string(), token });
+        node.record_event(Kind::LeaseTaken { duty: duty.to_string(), token });
     }
 }
 
-async fn give_back(node: &Arc<Node>, duty: Duty, held: Held) {
+async fn release(node: &Arc<Node>, duty: Duty, held: Held) {
     let row = Lease { holder: None, token: held.token, beat: 0 };
     let transaction = Transaction::new().replace(Space::Lease, duty.key(), held.revision, &row);
     let _ = node.platform.table.commit(transaction).await;
-    note_change(node, duty, Some(held), None);
+    record_change(node, duty, Some(held), None);
 }
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -13,11 +13,11 @@
 /// Follows the table until the process ends.
 pub(crate) async fn follow_forever(node: Arc<Node>) {
     loop {
-        if once(&node).await.is_err() {
+        if refresh_view(&node).await.is_err() {
             peers::relay(&node).await;
         }
-        node.wake.wait(node.settings.poll.0).await;
-        if !node.pause(std::time::Duration::ZERO).await {
+        node.wake.wait(node.settings.poll_interval.0).await;
+        if !node.sleep_unless_stopped(std::time::Duration::ZERO).await {
             return;
         }
     }
@@ -27,11 +27,11 @@
 ///
 /// # Errors
 /// The platform's.
-pub(crate) async fn once(node: &Arc<Node>) -> Result<(), celerythread_platform::Error> {
+pub(crate) async fn refresh_view(node: &Arc<Node>) -> Result<(), celerythread_platform::Error> {
     loop {
         let since = node.view.read().upto();
         let changes = node.platform.table.changes(Space::Fleet, since).await?;
-        apply(node, &changes.rows, changes.upto);
+        apply_rows(node, &changes.rows, changes.upto);
         if !changes.more {
             return Ok(());
         }
@@ -39,19 +39,19 @@
 }
 
 /// Takes rows into the view and acts on what changed.
-pub(crate) fn apply(node: &Node, rows: &[Row], upto: Revision) {
+pub(crate) fn apply_rows(node: &Node, rows: &[Row], upto: Revision) {
     node.timeline.witness(Clock::statement(upto));
     let before = node.view.read().config_number();
     let changed = node.view.write().apply(rows, upto);
     if changed.config {
-        put_in_force(node, before);
+        apply_config(node, before);
     }
     if changed.fleet || changed.config {
         refresh_slots(node);
     }
 }
 
-fn put_in_force(node: &Node, before: Revision) {
+fn apply_config(node: &Node, before: Revision) {
     let document = node.view.read().document().clone();
     let bounds: HashMap<_, _> = document
         .services
@@ -64,7 +64,7 @@
     node.router.lock().set_bounds(bounds);
     let number = node.view.read().config_number();
     if number > before {
-        node.note(Kind::ConfigInForce { number });
+        node.record_event(Kind::ConfigInForce { number });
     }
 }
 
@@ -74,11 +74,12 @@
     let mut router = node.router.lock();
     let owned: Vec<_> = router.ledger.owned().cloned().collect();
     for name in owned {
-        let ours = view.owners().get(&name).is_some_and(|row| row.owner.as_ref() == Some(&node.me));
+        let ours =
+            view.owners().get(&name).is_some_and(|row| row.owner.as_ref() == Some(&node.entry_id));
         match view.minions().get(&name) {
             Some(minion) if ours => {
                 let active = minion.state == State::Active;
-                let spec = crate::owner::spec(&view, minion, active);
+                let spec = crate::owner::minion_spec(&view, minion, active);
                 router.ledger.own(name, spec, None);
             }
             _ => router.ledger.disown(&name),
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -202,9 +202,9 @@
 impl Handler for Front {
     async fn handle(&self, request: Request) -> Response {
         self.node.count(Counter::Requests);
-        self.node.flying.fetch_add(1, Ordering::SeqCst);
+        self.node.in_flight.fetch_add(1, Ordering::SeqCst);
         let answer = self.answer(request).await;
-        self.node.flying.fetch_sub(1, Ordering::SeqCst);
+        self.node.in_flight.fetch_sub(1, Ordering::SeqCst);
         answer.unwrap_or_else(|problem| {
             self.node.metrics.refuse(problem.code);
             problem.response()
--- a/crates/entry/src/membership.rs
+++ b/crates/entry/src/membership.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// Wait between two tries to register.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Where this entry is reached.
 #[derive(Clone, Copy, Debug)]
@@ -26,9 +26,9 @@
     pub(crate) operator: SocketAddr,
 }
 
-fn row(node: &Node, addresses: Addresses, stopping: bool) -> Registration {
+fn registration(node: &Node, addresses: Addresses, stopping: bool) -> Registration {
     Registration {
-        entry: node.me.clone(),
+        entry: node.entry_id.clone(),
         zone: node.settings.zone.clone(),
         peer_address: addresses.peer,
         operator_address: addresses.operator,
@@ -38,11 +38,12 @@
 
 /// Registers this process, trying until it succeeds.  Tells whether it did before the stop.
 pub(crate) async fn register(node: &Arc<Node>, addresses: Addresses) -> bool {
-    let key = fleet::key::<Registration>(&node.me);
-    let row = row(node, addresses, false);
+    let key = fleet::key::<Registration>(&node.entry_id);
+    let registration = registration(node, addresses, false);
     loop {
-        let mut transaction = Transaction::new().replace(Space::Fleet, &*key, Revision(0), &row);
-        for (stale, revision) in replaced(node, addresses.peer) {
+        let mut transaction =
+            Transaction::new().replace(Space::Fleet, &*key, Revision(0), &registration);
+        for (stale, revision) in predecessor_rows(node, addresses.peer) {
             transaction = transaction.check(Space::Fleet, &*stale, revision);
             transaction = transaction.delete(Space::Fleet, stale);
         }
@@ -50,29 +51,29 @@
             Ok(_) => return true,
             // A lost answer shows as a conflict with our own row on the next try.
             Err(Error::Conflict { rows }) => {
-                let ours = rows.iter().any(|standing| standing.key == key);
+                let ours = rows.iter().any(|existing| existing.key == key);
                 if ours {
                     return true;
                 }
             }
             Err(_) => {}
         }
-        if !node.pause(RETRY).await {
+        if !node.sleep_unless_stopped(RETRY_DELAY).await {
             return false;
         }
-        let _ = crate::follow::once(node).await;
+        let _ = crate::follow::refresh_view(node).await;
     }
 }
 
 /// Rows of earlier processes at our own peer address: we could not have bound it while they
 /// lived.
-fn replaced(node: &Node, peer: SocketAddr) -> Vec<(String, Revision)> {
+fn predecessor_rows(node: &Node, peer: SocketAddr) -> Vec<(String, Revision)> {
     let view = node.view.read();
-    let stale = view.entries().values().filter(|row| row.peer_address == peer);
-    let stale = stale.filter(|row| row.entry != node.me);
+    let stale = view.entries().values().filter(|registration| registration.peer_address == peer);
+    let stale = stale.filter(|registration| registration.entry != node.entry_id);
     stale
-        .map(|row| {
-            let key = fleet::key::<Registration>(&row.entry);
+        .map(|registration| {
+            let key = fleet::key::<Registration>(&registration.entry);
             let revision = view.revision(&key);
             (key, revision)
         })
@@ -81,23 +82,23 @@
 
 /// Says in the registry that this entry takes no new work.
 pub(crate) async fn announce_stop(node: &Arc<Node>, addresses: Addresses) {
-    let key = fleet::key::<Registration>(&node.me);
+    let key = fleet::key::<Registration>(&node.entry_id);
     let revision = node.view.read().revision(&key);
-    let row = row(node, addresses, true);
-    let transaction = Transaction::new().replace(Space::Fleet, key, revision, &row);
+    let registration = registration(node, addresses, true);
+    let transaction = Transaction::new().replace(Space::Fleet, key, revision, &registration);
     // Best effort: peers also learn it from the beats.
     let _ = node.platform.table.commit(transaction).await;
-    let _ = crate::follow::once(node).await;
+    let _ = crate::follow::refresh_view(node).await;
 }
 
 /// Removes this entry from the registry.  Only called when it holds no work and no slots.
-pub(crate) async fn leave(node: &Arc<Node>) -> bool {
-    let key = fleet::key::<Registration>(&node.me);
+pub(crate) async fn deregister(node: &Arc<Node>) -> bool {
+    let key = fleet::key::<Registration>(&node.entry_id);
     let transaction = Transaction::new().delete(Space::Fleet, key);
     node.platform.table.commit(transaction).await.is_ok()
 }
 
 /// The instance of an entry: its id without the part that is new with every start.
-pub(crate) fn instance(entry: &id::Entry) -> &str {
+pub(crate) fn instance_name(entry: &id::Entry) -> &str {
     entry.as_str().rsplit_once('.').map_or(entry.as_str(), |(instance, _)| instance)
 }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -31,7 +31,7 @@
 /// The shared parts of a daemon.
 pub(crate) struct Node {
     /// This process's id, new with every start.
-    pub(crate) me: id::Entry,
+    pub(crate) entry_id: id::Entry,
     /// What it was told.
     pub(crate) settings: Settings,
     /// Its clocks.
@@ -45,7 +45,7 @@
     /// The other entries.
     pub(crate) peers: RwLock<Peers>,
     /// Grants of peers in use here, by their owner.
-    pub(crate) holding: Mutex<HashMap<id::Entry, HashSet<u64>>>,
+    pub(crate) grants_in_use: Mutex<HashMap<id::Entry, HashSet<u64>>>,
     /// Idle connections to minions.
     pub(crate) connections: Connections,
     /// Keyed requests.
@@ -59,11 +59,11 @@
     /// Whether the balancer may send callers here.
     pub(crate) ready: AtomicBool,
     /// Notices when this process stood still.
-    pub(crate) pauses: Mutex<pause::Watch>,
+    pub(crate) pause_detector: Mutex<pause::Watch>,
     /// Whether no new work is taken any more.
     pub(crate) stopping: AtomicBool,
     /// Requests of callers being worked on.
-    pub(crate) flying: AtomicUsize,
+    pub(crate) in_flight: AtomicUsize,
     /// Set by an operator's change, so that it is followed up at once.
     pub(crate) wake: Wake,
     /// Ends the background tasks.
@@ -72,7 +72,7 @@
 
 impl Node {
     /// Notes an event on the time line.
-    pub(crate) fn note(&self, kind: Kind) {
+    pub(crate) fn record_event(&self, kind: Kind) {
         self.timeline.note(self.clock.wall_ms(), kind);
     }
 
@@ -82,15 +82,15 @@
     }
 
     /// Sleeps; tells whether the task should go on.
-    pub(crate) async fn pause(&self, time: Duration) -> bool {
+    pub(crate) async fn sleep_unless_stopped(&self, time: Duration) -> bool {
         use stop_token::future::FutureExt;
         async_std::task::sleep(time).timeout_at(self.stop.clone()).await.is_ok()
     }
 
     /// Notes that this process runs.  After a standstill it brings the view up to date at once:
     /// what it knew may be long out of date.
-    pub(crate) fn note_running(&self, now: Moment) {
-        if self.pauses.lock().observe(now) {
+    pub(crate) fn detect_pause(&self, now: Moment) {
+        if self.pause_detector.lock().observe(now) {
             self.count(Counter::Pauses);
             self.wake.wake();
         }
@@ -98,7 +98,7 @@
 
     /// For how long a peer last heard at `heard` could have been heard again and wasn't.
     pub(crate) fn silence(&self, heard: Moment, now: Moment) -> Duration {
-        self.pauses.lock().silence(heard, now)
+        self.pause_detector.lock().silence(heard, now)
     }
 
     /// Counts one.
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -26,12 +26,12 @@
         Self { node }
     }
 
-    async fn answer(&self, request: &Request) -> Result<Response, Problem> {
+    async fn route(&self, request: &Request) -> Result<Response, Problem> {
         let node = &self.node;
         match (request.head.method(), request.path()) {
-            (Method::Get, "/live") => Ok(text("live\n".into())),
-            (Method::Get, "/ready") => ready(node),
-            (Method::Get, "/metrics") => Ok(text(node.metrics.page())),
+            (Method::Get, "/live") => Ok(text_response("live\n".into())),
+            (Method::Get, "/ready") => readiness(node),
+            (Method::Get, "/metrics") => Ok(text_response(node.metrics.page())),
             (Method::Get, "/v1/status") => Ok(json(&status::status(node))),
             (Method::Get, "/v1/timeline") => Ok(json(&node.timeline.events())),
             (Method::Get, "/v1/minions") => Ok(json(&pools::minions(node))),
@@ -55,7 +55,7 @@
 #[async_trait]
 impl Handler for Operator {
     async fn handle(&self, request: Request) -> Response {
-        self.answer(&request).await.unwrap_or_else(|problem| problem.response())
+        self.route(&request).await.unwrap_or_else(|problem| problem.response())
     }
 
     fn refuse(&self, fault: &Fault) -> Response {
@@ -63,7 +63,7 @@
     }
 }
 
-fn text(body: String) -> Response {
+fn text_response(body: String) -> Response {
     let mut response = Response::new(StatusCode::Ok);
     response.set_body(body);
     response.insert_header("content-type", "text/plain; charset=utf-8");
@@ -71,9 +71,9 @@
 }
 
 /// Whether the balancer may send callers here.
-fn ready(node: &Node) -> Result<Response, Problem> {
+fn readiness(node: &Node) -> Result<Response, Problem> {
     if node.ready.load(Ordering::SeqCst) && node.view.read().config().is_some() {
-        return Ok(text("ready\n".into()));
+        return Ok(text_response("ready\n".into()));
     }
     let detail = if node.is_stopping() {
         "this instance is stopping"
@@ -84,11 +84,11 @@
 }
 
 /// The failure of a platform call, as an operator is told it.
-fn platform(error: &celerythread_platform::Error) -> Problem {
+fn platform_problem(error: &celerythread_platform::Error) -> Problem {
     Problem::new(error.code(), error.to_string())
 }
 
 /// A malformed part of an operator's request.
-fn wrong(error: impl ToString) -> Problem {
+fn bad_request(error: impl ToString) -> Problem {
     Problem::new(Code::BadRequest, error.to_string())
 }
--- a/crates/entry/src/operator/config.rs
+++ b/crates/entry/src/operator/config.rs
@@ -1,6 +1,6 @@
 //! Configuration: checked, applied against a base, shown, and its history.
 
-use super::{platform, wrong};
+use super::{bad_request, platform_problem};
 use crate::node::Node;
 use crate::problem::{Problem, body, json};
 use celerythread_http::server::Request;
@@ -20,10 +20,10 @@
 use std::sync::Arc;
 
 /// Configurations told by `history` unless more are asked for.
-const HISTORY: u64 = 20;
+const DEFAULT_HISTORY_LEN: u64 = 20;
 
 /// Tries of an apply whose answer was lost.
-const TRIES: u32 = 5;
+const MAX_ATTEMPTS: u32 = 5;
 
 /// An operator's change.
 #[derive(Deserialize)]
@@ -50,24 +50,27 @@
 }
 
 pub(crate) async fn history(node: &Arc<Node>, request: &Request) -> Result<Response, Problem> {
-    let most = request.query("most").map_or(Ok(HISTORY), |text| text.parse()).map_err(wrong)?;
+    let max_entries = request
+        .query("most")
+        .map_or(Ok(DEFAULT_HISTORY_LEN), |text| text.parse())
+        .map_err(bad_request)?;
     let current = node.view.read().config_number().0;
-    let first = current.saturating_sub(most) + 1;
+    let first = current.saturating_sub(max_entries) + 1;
     let keys: Vec<String> = (first..=current).rev().map(|n| history_key(Revision(n))).collect();
     let rows = node.platform.table.read(Space::History, &keys).await;
-    let rows = rows.map_err(|error| platform(&error))?;
+    let rows = rows.map_err(|error| platform_problem(&error))?;
     let configs: Vec<Config> = rows.iter().filter_map(|row| row.decode()).collect();
     Ok(json(&configs))
 }
 
 pub(crate) fn check(request: &Request) -> Result<Response, Problem> {
     let files: Files = body(request)?;
-    let document =
-        Document::read(&files.template, &files.parameters).map_err(|found| mistakes(&found))?;
+    let document = Document::read(&files.template, &files.parameters)
+        .map_err(|found| mistakes_problem(&found))?;
     Ok(json(&document))
 }
 
-fn mistakes(found: &[Mistake]) -> Problem {
+fn mistakes_problem(found: &[Mistake]) -> Problem {
     let code = found.first().map_or(Code::BadRequest, |mistake| mistake.code);
     let detail = format!("{} mistakes", found.len());
     let extra = serde_json::to_value(found).unwrap_or_default();
@@ -89,40 +92,41 @@
 /// answer was lost is found again under its id instead of being made twice.
 pub(crate) async fn apply(node: &Arc<Node>, request: &Request) -> Result<Response, Problem> {
     let change: Change = body(request)?;
-    Document::read(&change.template, &change.parameters).map_err(|found| mistakes(&found))?;
-    for _ in 0..TRIES {
-        if let Some(config) = made_before(node, &change).await? {
-            return accepted(node, config).await;
+    Document::read(&change.template, &change.parameters)
+        .map_err(|found| mistakes_problem(&found))?;
+    for _ in 0..MAX_ATTEMPTS {
+        if let Some(config) = find_applied_change(node, &change).await? {
+            return accepted_response(node, config).await;
         }
-        crate::follow::once(node).await.map_err(|error| platform(&error))?;
-        let standing = node.view.read().config_number();
-        if standing != change.base {
-            return Err(stale(node, &change).await);
+        crate::follow::refresh_view(node).await.map_err(|error| platform_problem(&error))?;
+        let current = node.view.read().config_number();
+        if current != change.base {
+            return Err(stale_base(node, &change).await);
         }
         let config = Config {
-            number: standing.next(),
+            number: current.next(),
             change: change.change.clone(),
             author: change.author.clone(),
             template: change.template.clone(),
             parameters: change.parameters.clone(),
         };
-        let transaction = transaction(node, &config);
+        let transaction = config_transaction(node, &config);
         match node.platform.table.commit(transaction).await {
             Ok(revision) => {
                 let (number, change) = (config.number, config.change.clone());
                 let kind = Kind::ConfigAccepted { number, change };
                 node.timeline.note_at(node.clock.wall_ms(), revision, kind);
-                return accepted(node, config).await;
+                return accepted_response(node, config).await;
             }
             // Somebody was faster, or nobody knows: the next round finds out which.
             Err(Error::Conflict { .. } | Error::Lost { .. }) => {}
-            Err(error) => return Err(platform(&error)),
+            Err(error) => return Err(platform_problem(&error)),
         }
     }
     Err(Problem::new(Code::PlatformUnknown, "apply it again under the same change id"))
 }
 
-fn transaction(node: &Node, config: &Config) -> Transaction {
+fn config_transaction(node: &Node, config: &Config) -> Transaction {
     let revision = node.view.read().revision(fleet::CONFIG_KEY);
     Transaction::new()
         .replace(Space::Fleet, fleet::CONFIG_KEY, revision, config)
@@ -131,10 +135,10 @@
 }
 
 /// The configuration that this change id has made already.
-async fn made_before(node: &Arc<Node>, change: &Change) -> Result<Option<Config>, Problem> {
+async fn find_applied_change(node: &Arc<Node>, change: &Change) -> Result<Option<Config>, Problem> {
     let keys = [change_key(&change.change)];
     let rows = node.platform.table.read(Space::History, &keys).await;
-    let rows = rows.map_err(|error| platform(&error))?;
+    let rows = rows.map_err(|error| platform_problem(&error))?;
     let Some(config) = rows.first().and_then(|row| row.decode::<Config>()) else {
         return Ok(None);
     };
@@ -146,16 +150,16 @@
     Ok(Some(config))
 }
 
-async fn accepted(node: &Arc<Node>, config: Config) -> Result<Response, Problem> {
+async fn accepted_response(node: &Arc<Node>, config: Config) -> Result<Response, Problem> {
     // In force here before the operator is answered.
-    let _ = crate::follow::once(node).await;
+    let _ = crate::follow::refresh_view(node).await;
     node.wake.wake();
     Ok(json(&config))
 }
 
 /// The refusal of a change that was made against an older configuration, with what has changed
 /// since.
-async fn stale(node: &Arc<Node>, change: &Change) -> Problem {
+async fn stale_base(node: &Arc<Node>, change: &Change) -> Problem {
     let current = node.view.read().config().cloned();
     let keys = [history_key(change.base)];
     let rows = node.platform.table.read(Space::History, &keys).await.unwrap_or_default();
--- a/crates/entry/src/operator/jobs.rs
+++ b/crates/entry/src/operator/jobs.rs
@@ -1,6 +1,6 @@
 //! Submitting, listing and cancelling jobs.
 
-use super::platform;
+use super::platform_problem;
 use crate::node::Node;
 use crate::problem::{Problem, body, json};
 use celerythread_http::server::Request;
@@ -17,10 +17,10 @@
 use std::sync::Arc;
 
 /// Most jobs changed in one transaction.
-const BATCH: usize = 100;
+const MAX_BATCH_JOBS: usize = 100;
 
 /// Tries of a batch that raced the placer.
-const TRIES: u32 = 5;
+const MAX_ATTEMPTS: u32 = 5;
 
 #[derive(Deserialize)]
 struct Cancellation {
@@ -32,7 +32,7 @@
     let mut since = Revision(0);
     loop {
         let changes = node.platform.table.changes(Space::Job, since).await;
-        let changes = changes.map_err(|error| platform(&error))?;
+        let changes = changes.map_err(|error| platform_problem(&error))?;
         jobs.extend(changes.rows.iter().filter_map(Row::decode::<Job>));
         since = changes.upto;
         if !changes.more {
@@ -56,22 +56,22 @@
         submitted_at: node.clock.wall_ms(),
     };
     let key = fleet::key::<Job>(&job.spec.job);
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let transaction = Transaction::new().replace(Space::Job, &*key, Revision(0), &job);
         match node.platform.table.commit(transaction).await {
             Ok(_) => return Ok(json(&job)),
-            Err(Error::Conflict { rows }) => return known(&rows, &job),
+            Err(Error::Conflict { rows }) => return existing_job(&rows, &job),
             Err(Error::Lost { .. }) => {}
-            Err(error) => return Err(platform(&error)),
+            Err(error) => return Err(platform_problem(&error)),
         }
     }
     Err(Problem::new(Code::PlatformUnknown, "submit it again under the same name"))
 }
 
-fn known(rows: &[Row], job: &Job) -> Result<Response, Problem> {
-    let standing = rows.first().and_then(Row::decode::<Job>);
-    match standing.filter(|standing| standing.spec == job.spec) {
-        Some(standing) => Ok(json(&standing)),
+fn existing_job(rows: &[Row], job: &Job) -> Result<Response, Problem> {
+    let existing = rows.first().and_then(Row::decode::<Job>);
+    match existing.filter(|existing| existing.spec == job.spec) {
+        Some(existing) => Ok(json(&existing)),
         None => {
             let detail = format!("there is another job {}", job.spec.job);
             Err(Problem::new(Code::ChangeReused, detail))
@@ -89,7 +89,7 @@
     if spec.size.cpu > team.cpu || spec.size.accelerators.0 > team.accelerators {
         return impossible(format!("it needs more than the whole quota of {}", spec.team));
     }
-    let listing = node.platform.roster.list("").await.map_err(|error| platform(&error))?;
+    let listing = node.platform.roster.list("").await.map_err(|error| platform_problem(&error))?;
     let listing = listing.unwrap_or_default();
     let mut workers = listing.instances.iter().filter(|i| i.role == Role::Worker).peekable();
     // Without any worker listed nothing is known; the placer decides once there are some.
@@ -103,7 +103,7 @@
 pub(crate) async fn cancel(node: &Arc<Node>, request: &Request) -> Result<Response, Problem> {
     let cancellation: Cancellation = body(request)?;
     let mut cancelled = Vec::new();
-    for batch in cancellation.jobs.chunks(BATCH) {
+    for batch in cancellation.jobs.chunks(MAX_BATCH_JOBS) {
         cancelled.extend(cancel_batch(node, batch).await?);
     }
     Ok(json(&serde_json::json!({ "cancelled": cancelled })))
@@ -111,9 +111,9 @@
 
 async fn cancel_batch(node: &Arc<Node>, names: &[id::Job]) -> Result<Vec<id::Job>, Problem> {
     let keys: Vec<String> = names.iter().map(fleet::key::<Job>).collect();
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let rows = node.platform.table.read(Space::Job, &keys).await;
-        let rows = rows.map_err(|error| platform(&error))?;
+        let rows = rows.map_err(|error| platform_problem(&error))?;
         let mut transaction = Transaction::new();
         let mut cancelled = Vec::new();
         for row in rows {
@@ -132,7 +132,7 @@
             // The placer changed one of them, or nobody knows: those already cancelled are
             // left out of the next try.
             Err(Error::Conflict { .. } | Error::Lost { .. }) => {}
-            Err(error) => return Err(platform(&error)),
+            Err(error) => return Err(platform_problem(&error)),
         }
     }
     Err(Problem::new(Code::PlatformUnknown, "cancel them again"))
--- a/crates/entry/src/operator/maintenance.rs
+++ b/crates/entry/src/operator/maintenance.rs
@@ -1,6 +1,6 @@
 //! Declaring, listing and cancelling maintenance.
 
-use super::{platform, wrong};
+use super::{bad_request, platform_problem};
 use crate::drive;
 use crate::node::Node;
 use crate::problem::{Problem, body, json};
@@ -22,13 +22,13 @@
 use std::sync::Arc;
 
 /// Time that draining adds to a reboot in the forecast.
-const DRAIN: std::time::Duration = std::time::Duration::from_secs(5);
+const DRAIN_TIME: std::time::Duration = std::time::Duration::from_secs(5);
 
 /// The row whose revision orders declarations: two of them never overlook each other.
-const DECLARATIONS: &str = "declarations";
+const DECLARATIONS_KEY: &str = "declarations";
 
 /// Tries of a declaration that raced another one.
-const TRIES: u32 = 5;
+const MAX_ATTEMPTS: u32 = 5;
 
 /// What an operator declares; an empty list means all.
 #[derive(Deserialize)]
@@ -53,13 +53,13 @@
 
 impl Declaration {
     fn covers(&self, minion: &Minion) -> bool {
-        fn picks<T: Ord>(set: &BTreeSet<T>, value: &T) -> bool {
+        fn matches<T: Ord>(set: &BTreeSet<T>, value: &T) -> bool {
             set.is_empty() || set.contains(value)
         }
-        picks(&self.zones, &minion.zone)
-            && picks(&self.racks, &minion.rack)
-            && picks(&self.services, &minion.pool)
-            && picks(&self.minions, &minion.minion)
+        matches(&self.zones, &minion.zone)
+            && matches(&self.racks, &minion.rack)
+            && matches(&self.services, &minion.pool)
+            && matches(&self.minions, &minion.minion)
     }
 }
 
@@ -75,28 +75,28 @@
 /// Declares a wave, or refuses it with the reason.
 pub(crate) async fn declare(node: &Arc<Node>, request: &Request) -> Result<Response, Problem> {
     let declaration: Declaration = body(request)?;
-    for _ in 0..TRIES {
-        crate::follow::once(node).await.map_err(|error| platform(&error))?;
-        if let Some(standing) = node.view.read().waves().get(&declaration.wave) {
+    for _ in 0..MAX_ATTEMPTS {
+        crate::follow::refresh_view(node).await.map_err(|error| platform_problem(&error))?;
+        if let Some(existing) = node.view.read().waves().get(&declaration.wave) {
             // The same name again is the same declaration, for a lost answer.
-            return Ok(json(standing));
+            return Ok(json(existing));
         }
-        let (row, forecast) = plan(node, &declaration)?;
-        let transaction = transaction(node, &row);
+        let (row, forecast) = plan_wave(node, &declaration)?;
+        let transaction = declaration_transaction(node, &row);
         match node.platform.table.commit(transaction).await {
             Ok(_) => {
-                let _ = crate::follow::once(node).await;
-                node.note(Kind::Wave { wave: row.wave.clone(), progress: row.progress });
-                return Ok(json(&answer(&row, &forecast)));
+                let _ = crate::follow::refresh_view(node).await;
+                node.record_event(Kind::Wave { wave: row.wave.clone(), progress: row.progress });
+                return Ok(json(&declaration_response(&row, &forecast)));
             }
             Err(Error::Conflict { .. } | Error::Lost { .. }) => {}
-            Err(error) => return Err(platform(&error)),
+            Err(error) => return Err(platform_problem(&error)),
         }
     }
     Err(Problem::new(Code::PlatformUnknown, "declare it again under the same name"))
 }
 
-fn answer(wave: &Wave, forecast: &Forecast) -> serde_json::Value {
+fn declaration_response(wave: &Wave, forecast: &Forecast) -> serde_json::Value {
     serde_json::json!({
         "wave": wave.wave,
         "instances": wave.remaining.len(),
@@ -106,19 +106,16 @@
     })
 }
 
-fn transaction(node: &Node, row: &Wave) -> Transaction {
+fn declaration_transaction(node: &Node, row: &Wave) -> Transaction {
     let view = node.view.read();
-    let order = view.revision(DECLARATIONS);
-    Transaction::new().replace(Space::Fleet, DECLARATIONS, order, &row.wave).replace(
-        Space::Fleet,
-        fleet::key::<Wave>(&row.wave),
-        Revision(0),
-        row,
-    )
+    let declarations_revision = view.revision(DECLARATIONS_KEY);
+    Transaction::new()
+        .replace(Space::Fleet, DECLARATIONS_KEY, declarations_revision, &row.wave)
+        .replace(Space::Fleet, fleet::key::<Wave>(&row.wave), Revision(0), row)
 }
 
 /// The wave's row with its forecast, or why it cannot be.
-fn plan(node: &Node, declaration: &Declaration) -> Result<(Wave, Forecast), Problem> {
+fn plan_wave(node: &Node, declaration: &Declaration) -> Result<(Wave, Forecast), Problem> {
     let view = node.view.read();
     let targets: Vec<Target> =
         view.minions().values().filter(|m| declaration.covers(m)).map(drive::target).collect();
@@ -127,19 +124,19 @@
     }
     refuse_overlap(&view, &targets)?;
     let document = view.document();
-    let standings: BTreeMap<id::Service, Standing> = document
+    let availability: BTreeMap<id::Service, Standing> = document
         .services
         .values()
         .map(|service| {
             let disruption = view.disruption(&service.service);
             let minions = view.pool(&service.service);
-            let standing = Standing::count(service, minions, &disruption, |_| true);
-            (service.service.clone(), standing)
+            let availability = Standing::count(service, minions, &disruption, |_| true);
+            (service.service.clone(), availability)
         })
         .collect();
     refuse_unknown_window(document, declaration)?;
-    let each = document.reboot.0 + DRAIN;
-    let forecast = wave::forecast(&targets, &standings, document.rollout_weight, each);
+    let each = document.reboot.0 + DRAIN_TIME;
+    let forecast = wave::forecast(&targets, &availability, document.rollout_weight, each);
     if let Some(stuck) = &forecast.stuck {
         let detail = format!("{stuck} has nothing to spare above its floor");
         return Err(Problem::new(Code::WaveTooLate, detail));
@@ -203,8 +200,8 @@
 /// Cancels a wave: nothing more is taken out, and what is out returns.
 pub(crate) async fn cancel(node: &Arc<Node>, request: &Request) -> Result<Response, Problem> {
     let cancellation: Cancellation = body(request)?;
-    for _ in 0..TRIES {
-        crate::follow::once(node).await.map_err(|error| platform(&error))?;
+    for _ in 0..MAX_ATTEMPTS {
+        crate::follow::refresh_view(node).await.map_err(|error| platform_problem(&error))?;
         let (revision, row) = {
             let view = node.view.read();
             let key = fleet::key::<Wave>(&cancellation.wave);
@@ -226,13 +223,13 @@
         let transaction = Transaction::new().replace(Space::Fleet, key, revision, &next);
         match node.platform.table.commit(transaction).await {
             Ok(_) => {
-                let _ = crate::follow::once(node).await;
-                node.note(Kind::Wave { wave: name.clone(), progress: next.progress });
+                let _ = crate::follow::refresh_view(node).await;
+                node.record_event(Kind::Wave { wave: name.clone(), progress: next.progress });
                 return Ok(json(&next));
             }
             Err(Error::Conflict { .. } | Error::Lost { .. }) => {}
-            Err(error) => return Err(platform(&error)),
+            Err(error) => return Err(platform_problem(&error)),
         }
     }
-    Err(wrong("the wave keeps changing; try again"))
+    Err(bad_request("the wave keeps changing; try again"))
 }
--- a/crates/entry/src/operator/pools.rs
+++ b/crates/entry/src/operator/pools.rs
@@ -1,6 +1,6 @@
 //! Pools, minions, and moves that an operator asks for.
 
-use super::{platform, wrong};
+use super::{bad_request, platform_problem};
 use crate::drive;
 use crate::node::Node;
 use crate::problem::{Problem, body, json};
@@ -17,7 +17,7 @@
 
 /// A minion with who hands out its slots.
 #[derive(Serialize)]
-pub(crate) struct Listed {
+pub(crate) struct ListedMinion {
     #[serde(flatten)]
     minion: Minion,
     owner: Option<id::Entry>,
@@ -33,11 +33,11 @@
     out: Vec<id::Minion>,
 }
 
-pub(crate) fn minions(node: &Node) -> Vec<Listed> {
+pub(crate) fn minions(node: &Node) -> Vec<ListedMinion> {
     let view = node.view.read();
     let owner = |name| view.owners().get(name).and_then(|row| row.owner.clone());
     let minions = view.minions().values();
-    minions.map(|m| Listed { minion: m.clone(), owner: owner(&m.minion) }).collect()
+    minions.map(|m| ListedMinion { minion: m.clone(), owner: owner(&m.minion) }).collect()
 }
 
 pub(crate) fn pools(node: &Node) -> Vec<Pool> {
@@ -68,18 +68,18 @@
 /// so two operators, or an operator and a wave, cannot both take the last that may go.
 pub(crate) async fn move_minion(node: &Arc<Node>, request: &Request) -> Result<Response, Problem> {
     let order: MoveOrder = body(request)?;
-    let name: id::Minion = order.minion.parse().map_err(wrong)?;
-    let target: id::Service = order.target.parse().map_err(wrong)?;
-    crate::follow::once(node).await.map_err(|error| platform(&error))?;
-    let (transaction, row) = prepare(node, &name, target)?;
+    let name: id::Minion = order.minion.parse().map_err(bad_request)?;
+    let target: id::Service = order.target.parse().map_err(bad_request)?;
+    crate::follow::refresh_view(node).await.map_err(|error| platform_problem(&error))?;
+    let (transaction, row) = prepare_move(node, &name, target)?;
     let committed = node.platform.table.commit(transaction).await;
-    let _ = crate::follow::once(node).await;
-    committed.map_err(|error| platform(&error))?;
-    node.note(Kind::DrainBegun { minion: row.minion.clone(), epoch: row.epoch });
+    let _ = crate::follow::refresh_view(node).await;
+    committed.map_err(|error| platform_problem(&error))?;
+    node.record_event(Kind::DrainBegun { minion: row.minion.clone(), epoch: row.epoch });
     Ok(json(&row))
 }
 
-fn prepare(
+fn prepare_move(
     node: &Node,
     name: &id::Minion,
     target: id::Service,
@@ -104,6 +104,6 @@
         return Err(Problem::new(Code::WrongState, detail));
     }
     let row = movement::drain(minion, Some(Errand { wave: None, target }), minion.boot);
-    let transaction = drive::exchange(&view, Transaction::new(), minion, &row);
+    let transaction = drive::minion_replacement(&view, Transaction::new(), minion, &row);
     Ok((transaction, row))
 }
--- a/crates/entry/src/operator/status.rs
+++ b/crates/entry/src/operator/status.rs
@@ -44,7 +44,7 @@
     let rooms = node.router.lock().rooms(now);
     let peers = node.peers.read();
     let entries = view.entries().values().map(|row| {
-        let myself = row.entry == node.me;
+        let myself = row.entry == node.entry_id;
         let peer = peers.get(&row.entry);
         let beat = peer.and_then(|peer| peer.beat.as_ref());
         let heard = peer.map_or_else(Default::default, |peer| peer.heard);
@@ -59,7 +59,7 @@
         }
     });
     Status {
-        me: node.me.clone(),
+        me: node.entry_id.clone(),
         workspace: view.document().workspace.clone(),
         config: view.config_number(),
         view: view.upto(),
--- a/crates/entry/src/owner.rs
+++ b/crates/entry/src/owner.rs
@@ -15,10 +15,10 @@
 use std::time::Duration;
 
 /// Time between two looks at what should be owned.
-const INTERVAL: Duration = Duration::from_millis(400);
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
 /// What the slot ledger needs to know of a minion.
-pub(crate) fn spec(view: &View, minion: &Minion, active: bool) -> Spec {
+pub(crate) fn minion_spec(view: &View, minion: &Minion, active: bool) -> Spec {
     let service = view.document().services.get(&minion.pool);
     Spec {
         service: minion.pool.clone(),
@@ -30,21 +30,21 @@
 }
 
 /// Keeps the ownership of minions' slots as it should be.
-pub(crate) async fn own_forever(node: Arc<Node>) {
+pub(crate) async fn reconcile_forever(node: Arc<Node>) {
     let mut last = None;
-    while node.pause(INTERVAL).await {
+    while node.sleep_unless_stopped(CHECK_INTERVAL).await {
         let now = node.clock.now();
         node.router.lock().tick(now);
-        let seen = Seen::look(&node);
-        if seen.is_settled(&node, last.as_ref()) {
+        let input = PlanInput::capture(&node);
+        if input.is_unchanged(&node, last.as_ref()) {
             continue;
         }
         let steps = plan(&node);
         // A step may have to be tried again, for example a hand-over that waits for work in
         // flight; so there is nothing settled about a plan that has any.
-        last = steps.is_empty().then_some(seen);
+        last = steps.is_empty().then_some(input);
         for step in steps {
-            carry_out(&node, step).await;
+            execute(&node, step).await;
         }
     }
 }
@@ -53,13 +53,13 @@
 ///
 /// Assigning 1,300 minions anew four times a second would be most of an idle entry's work.
 #[derive(Eq, PartialEq)]
-struct Seen {
+struct PlanInput {
     upto: Revision,
     candidates: Vec<(id::Entry, bool, bool)>,
 }
 
-impl Seen {
-    fn look(node: &Node) -> Self {
+impl PlanInput {
+    fn capture(node: &Node) -> Self {
         let view = node.view.read();
         let candidates = candidates(node, &view).into_values();
         Self {
@@ -69,12 +69,13 @@
     }
 
     /// Whether nothing changed, and nothing of ours waits for work in flight to end.
-    fn is_settled(&self, node: &Node, last: Option<&Seen>) -> bool {
+    fn is_unchanged(&self, node: &Node, last: Option<&PlanInput>) -> bool {
         if last != Some(self) {
             return false;
         }
         let view = node.view.read();
-        let mut ours = view.owners().values().filter(|row| row.owner.as_ref() == Some(&node.me));
+        let mut ours =
+            view.owners().values().filter(|row| row.owner.as_ref() == Some(&node.entry_id));
         !ours.any(|row| {
             let draining =
                 view.minions().get(&row.minion).is_some_and(|m| m.state != State::Active);
@@ -85,19 +86,19 @@
 
 /// One step for one minion.
 enum Step {
-    Take(Ownership),
-    HandBack(Ownership),
+    Acquire(Ownership),
+    Release(Ownership),
     ConfirmIdle(Ownership),
-    Settle(Ownership),
+    PruneFormers(Ownership),
 }
 
 fn candidates(node: &Node, view: &View) -> BTreeMap<id::Entry, Candidate> {
     let now = node.clock.now();
     // Woken up, this may run before the regular look at the clock.
-    node.note_running(now);
+    node.detect_pause(now);
     let peers = node.peers.read();
     let of = |row: &fleet::Registration| {
-        let myself = row.entry == node.me;
+        let myself = row.entry == node.entry_id;
         let peer = peers.get(&row.entry);
         // A peer never heard counts from our own start.
         let heard = peer.map_or_else(Default::default, |peer| peer.heard);
@@ -117,7 +118,7 @@
 /// Everything that this entry should do now.
 fn plan(node: &Node) -> Vec<Step> {
     let view = node.view.read();
-    if !view.entries().contains_key(&node.me) {
+    if !view.entries().contains_key(&node.entry_id) {
         // Not registered, or cleared away by mistake: what is not registered hands out nothing.
         return Vec::new();
     }
@@ -128,18 +129,19 @@
         .values()
         .map(|minion| (minion.minion.clone(), (minion.pool.clone(), minion.zone.clone())))
         .collect();
-    let should = ownership::assign(&minions, &list);
+    let assignment = ownership::assign(&minions, &list);
     let registered: BTreeSet<id::Entry> = view.entries().keys().cloned().collect();
     let mut steps = Vec::new();
     for name in minions.keys() {
-        let standing = view.owners().get(name);
-        let action = ownership::decide(&node.me, name, standing, should.get(name), &candidates);
+        let current = view.owners().get(name);
+        let action =
+            ownership::decide(&node.entry_id, name, current, assignment.get(name), &candidates);
         match action {
-            Action::Take(row) => steps.push(Step::Take(row)),
-            Action::HandBack(row) => steps.push(Step::HandBack(row)),
+            Action::Take(row) => steps.push(Step::Acquire(row)),
+            Action::HandBack(row) => steps.push(Step::Release(row)),
             Action::Keep => {}
         }
-        if let Some(row) = standing.filter(|row| row.owner.as_ref() == Some(&node.me)) {
+        if let Some(row) = current.filter(|row| row.owner.as_ref() == Some(&node.entry_id)) {
             steps.extend(confirmation(node, &view, row, &registered));
         }
     }
@@ -164,9 +166,9 @@
         };
         beat.view >= taken_over && !beat.load.iter().any(|load| load.minion == row.minion)
     };
-    let settled = ownership::settled_formers(row, registered, confirmed);
-    if settled.former.len() < row.former.len() {
-        return Some(Step::Settle(settled));
+    let pruned = ownership::settled_formers(row, registered, confirmed);
+    if pruned.former.len() < row.former.len() {
+        return Some(Step::PruneFormers(pruned));
     }
     let minion = view.minions().get(&row.minion)?;
     let waiting = minion.state == State::Draining && row.idle_at != Some(minion.epoch);
@@ -175,18 +177,18 @@
         .then(|| Step::ConfirmIdle(Ownership { idle_at: Some(minion.epoch), ..row.clone() }))
 }
 
-async fn carry_out(node: &Arc<Node>, step: Step) {
+async fn execute(node: &Arc<Node>, step: Step) {
     match step {
-        Step::Take(row) => take(node, row).await,
-        Step::HandBack(row) => hand_back(node, row).await,
+        Step::Acquire(row) => acquire_minion(node, row).await,
+        Step::Release(row) => release_minion(node, row).await,
         Step::ConfirmIdle(row) => {
-            if write(node, &row).await {
+            if write_ownership(node, &row).await {
                 let epoch = row.idle_at.unwrap_or_default();
-                node.note(Kind::DrainDone { minion: row.minion, epoch });
+                node.record_event(Kind::DrainDone { minion: row.minion, epoch });
             }
         }
-        Step::Settle(row) => {
-            if write(node, &row).await && row.former.is_empty() {
+        Step::PruneFormers(row) => {
+            if write_ownership(node, &row).await && row.former.is_empty() {
                 node.router.lock().ledger.release_reserved(&row.minion);
             }
         }
@@ -195,7 +197,7 @@
 
 /// Writes an ownership row, conditional on it and on the minion's row: whoever moves the
 /// minion meanwhile is not overlooked.
-async fn write(node: &Arc<Node>, row: &Ownership) -> bool {
+async fn write_ownership(node: &Arc<Node>, row: &Ownership) -> bool {
     let (own_key, minion_key) =
         (fleet::key::<Ownership>(&row.minion), fleet::key::<Minion>(&row.minion));
     let (own_revision, minion_revision) = {
@@ -210,22 +212,24 @@
     );
     let committed = node.platform.table.commit(transaction).await.is_ok();
     // Whatever happened, the view must show it before the next step.
-    let _ = crate::follow::once(node).await;
+    let _ = crate::follow::refresh_view(node).await;
     committed
 }
 
-async fn take(node: &Arc<Node>, row: Ownership) {
-    if !write(node, &row).await {
+async fn acquire_minion(node: &Arc<Node>, row: Ownership) {
+    if !write_ownership(node, &row).await {
         return;
     }
     let takeover = !row.former.is_empty();
     let now = node.clock.now();
     {
         let view = node.view.read();
-        let ours =
-            view.owners().get(&row.minion).is_some_and(|r| r.owner.as_ref() == Some(&node.me));
+        let ours = view
+            .owners()
+            .get(&row.minion)
+            .is_some_and(|r| r.owner.as_ref() == Some(&node.entry_id));
         let Some(minion) = view.minions().get(&row.minion).filter(|_| ours) else { return };
-        let spec = spec(&view, minion, minion.state == State::Active);
+        let spec = minion_spec(&view, minion, minion.state == State::Active);
         let reserved = row.former.last().map(|former| {
             let outstanding = node.peers.read().last_load(former, &row.minion);
             let service = view.document().services.get(&minion.pool);
@@ -236,11 +240,11 @@
         router.ledger.own(row.minion.clone(), spec, reserved);
         router.tick(now);
     }
-    node.note(Kind::SlotsTaken { minion: row.minion, takeover });
+    node.record_event(Kind::SlotsTaken { minion: row.minion, takeover });
 }
 
 /// Stops handing out, and gives the minion back once nothing is outstanding.
-async fn hand_back(node: &Arc<Node>, row: Ownership) {
+async fn release_minion(node: &Arc<Node>, row: Ownership) {
     let now = node.clock.now();
     let idle = {
         let view = node.view.read();
@@ -248,7 +252,7 @@
         if !router.ledger.owns(&row.minion) {
             true
         } else if let Some(minion) = view.minions().get(&row.minion) {
-            let spec = spec(&view, minion, false);
+            let spec = minion_spec(&view, minion, false);
             router.ledger.own(row.minion.clone(), spec, None);
             router.ledger.is_idle(&row.minion, now)
         } else {
@@ -258,22 +262,22 @@
     if !idle {
         return;
     }
-    if write(node, &row).await {
+    if write_ownership(node, &row).await {
         node.router.lock().ledger.disown(&row.minion);
-        node.note(Kind::SlotsGiven { minion: row.minion });
+        node.record_event(Kind::SlotsGiven { minion: row.minion });
     }
 }
 
 /// Gives everything back, for a graceful stop.  Tells whether nothing is left.
-pub(crate) async fn hand_back_all(node: &Arc<Node>) -> bool {
+pub(crate) async fn release_all(node: &Arc<Node>) -> bool {
     let rows: Vec<Ownership> = {
         let view = node.view.read();
-        let ours = view.owners().values().filter(|row| row.owner.as_ref() == Some(&node.me));
+        let ours = view.owners().values().filter(|row| row.owner.as_ref() == Some(&node.entry_id));
         ours.map(|row| Ownership { owner: None, ..row.clone() }).collect()
     };
     for row in &rows {
-        hand_back(node, row.clone()).await;
+        release_minion(node, row.clone()).await;
     }
     let view = node.view.read();
-    !view.owners().values().any(|row| row.owner.as_ref() == Some(&node.me))
+    !view.owners().values().any(|row| row.owner.as_ref() == Some(&node.entry_id))
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -235,10 +235,14 @@
             .collect();
         (router.rooms(now), load, router.ledger.ejected(now))
     };
-    let holding =
-        node.holding.lock().get(to).map(|held| held.iter().copied().collect()).unwrap_or_default();
+    let holding = node
+        .grants_in_use
+        .lock()
+        .get(to)
+        .map(|held| held.iter().copied().collect())
+        .unwrap_or_default();
     Beat {
-        entry: node.me.clone(),
+        entry: node.entry_id.clone(),
         clock: node.timeline.clock(),
         config,
         view,
@@ -260,7 +264,7 @@
         router::finish_own(node, grant, Verdict::Unused, now.since(since));
     }
     if heard.anew {
-        node.note(Kind::Peer { peer: entry, reachable: true });
+        node.record_event(Kind::Peer { peer: entry, reachable: true });
     }
 }
 
@@ -268,20 +272,20 @@
 pub(crate) async fn beat_forever(node: Arc<Node>, endpoint: Arc<Endpoint>) {
     let mut last: HashMap<id::Entry, Moment> = HashMap::new();
     // Half a beat: what is due in between is sent with the next look.
-    let tick = node.settings.beat.0 / 2;
-    while node.pause(tick).await {
+    let tick = node.settings.heartbeat_interval.0 / 2;
+    while node.sleep_unless_stopped(tick).await {
         let now = node.clock.now();
         let registered = note_zones(&node);
         settle_unregistered(&node, now);
         last.retain(|entry, _| registered.iter().any(|(known, _, _)| known == entry));
         for (entry, address, zone) in registered {
             let interval = if zone == node.settings.zone {
-                node.settings.beat
+                node.settings.heartbeat_interval
             } else {
-                node.settings.far_beat
+                node.settings.remote_heartbeat_interval
             };
             let due = last.get(&entry).is_none_or(|at| now.since(*at) + tick / 2 >= interval.0);
-            if entry > node.me && due {
+            if entry > node.entry_id && due {
                 last.insert(entry.clone(), now);
                 async_std::task::spawn(beat_once(node.clone(), endpoint.clone(), entry, address));
             }
@@ -296,7 +300,7 @@
     let mut peers = node.peers.write();
     let entries = view.entries();
     peers.all.retain(|entry, _| entries.contains_key(entry));
-    let others = entries.values().filter(|row| row.entry != node.me);
+    let others = entries.values().filter(|row| row.entry != node.entry_id);
     others
         .map(|row| {
             peers.all.entry(row.entry.clone()).or_default().zone = Some(row.zone.clone());
@@ -339,7 +343,7 @@
         }
     }
     for peer in silent {
-        node.note(Kind::Peer { peer, reachable: false });
+        node.record_event(Kind::Peer { peer, reachable: false });
     }
 }
 
@@ -440,7 +444,7 @@
     let fetched = async_std::future::timeout(EXCHANGE_LIMIT, fetch_rows(&link, since)).await;
     let Ok(Ok((rows, upto))) = fetched else { return false };
     node.metrics.add(Counter::RelayedRows, rows.len() as u64);
-    crate::follow::apply(node, &rows, upto);
+    crate::follow::apply_rows(node, &rows, upto);
     true
 }
 
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -226,7 +226,7 @@
         if !healthy {
             node.count(Counter::Ejections);
         }
-        node.note(celerythread_model::event::Kind::Health { minion, healthy });
+        node.record_event(celerythread_model::event::Kind::Health { minion, healthy });
     }
 }
 
@@ -252,7 +252,7 @@
 }
 
 fn release(node: &Node, owner: &id::Entry, grant: u64) {
-    if let Some(held) = node.holding.lock().get_mut(owner) {
+    if let Some(held) = node.grants_in_use.lock().get_mut(owner) {
         held.remove(&grant);
     }
 }
@@ -431,7 +431,7 @@
     let Some(link) = node.peers.read().link(peer) else { return Reply::Gone };
     let Ok(mut channel) = link.open().await else { return Reply::Gone };
     let question = Frame::Ask(frame::Ask {
-        entry: node.me.clone(),
+        entry: node.entry_id.clone(),
         service: want.service.clone(),
         class: want.class,
         left_ms: want.deadline.since(node.clock.now()).as_millis() as u64,
@@ -448,7 +448,7 @@
         }
         _ => return Reply::Gone,
     };
-    node.holding.lock().entry(peer.clone()).or_default().insert(grant.grant);
+    node.grants_in_use.lock().entry(peer.clone()).or_default().insert(grant.grant);
     if link.is_closed() {
         // The owner has lost this link and may already have counted the slot as free.
         release(node, peer, grant.grant);
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -34,7 +34,7 @@
     /// Limits of callers' connections.
     pub caller_limits: Limits,
     /// Bytes of request bodies held in memory at once.
-    pub memory: Bytes,
+    pub body_memory: Bytes,
     /// Where operators reach it.
     pub operator_listen: SocketAddr,
     /// Where peers reach it.
@@ -42,15 +42,15 @@
     /// Its keys.
     pub keys: identity::Settings,
     /// Time between two beats to a peer of the own availability zone.
-    pub beat: Span,
+    pub heartbeat_interval: Span,
     /// Time between two beats to a peer of another one.
-    pub far_beat: Span,
+    pub remote_heartbeat_interval: Span,
     /// Silence after which a peer's minions are taken over.
     pub takeover_after: Span,
     /// How the platform is reached.
     pub platform: http::Settings,
     /// Time between two reads of the table's changes.
-    pub poll: Span,
+    pub poll_interval: Span,
     /// Shortest time between two transactions of keyed requests' claims.
     pub claim_interval: Span,
     /// Term of a duty's lease.
@@ -64,11 +64,11 @@
     /// Time between two sendings of counters.
     pub metrics_interval: Span,
     /// Longest time that a graceful stop waits for work in flight.
-    pub stop_bound: Span,
+    pub stop_timeout: Span,
     /// Time for the balancer to see that the instance is not ready.
     pub stop_notice: Span,
     /// Events kept for the time line.
-    pub events: usize,
+    pub max_events: usize,
 }
 
 impl Default for Settings {
@@ -79,24 +79,24 @@
             zone: "zone".parse().expect("a valid id"),
             caller_listen: any_port,
             caller_limits: Limits::default(),
-            memory: Bytes::mebi(64),
+            body_memory: Bytes::mebi(64),
             operator_listen: any_port,
             peer_listen: any_port,
             keys: identity::Settings::default(),
-            beat: Span::secs(1),
-            far_beat: Span::secs(1),
+            heartbeat_interval: Span::secs(1),
+            remote_heartbeat_interval: Span::secs(1),
             takeover_after: Span::secs(6),
             platform: http::Settings::default(),
-            poll: Span::millis(500),
+            poll_interval: Span::millis(500),
             claim_interval: Span::millis(40),
             lease_term: Span::secs(8),
             log_format: LogFormat::default(),
             log_level: log::LevelFilter::Info,
             statsd: None,
             metrics_interval: Span::secs(10),
-            stop_bound: Span::secs(60),
+            stop_timeout: Span::secs(60),
             stop_notice: Span::secs(2),
-            events: 4096,
+            max_events: 4096,
         }
     }
 }
@@ -112,18 +112,18 @@
     /// Every mistake at once.
     pub fn read(text: &str) -> Result<Self, Vec<Mistake>> {
         Reader::read_whole(text, &SECTIONS, |reader| {
-            let settings = Self::take(reader);
-            settings.check(reader);
+            let settings = Self::read_keys(reader);
+            settings.check_consistency(reader);
             settings
         })
     }
 
-    fn take(reader: &mut Reader) -> Self {
+    fn read_keys(reader: &mut Reader) -> Self {
         let base = Settings::default();
         let limits = base.caller_limits.clone();
         let second = Span::secs(1);
         let hour = Span::secs(3600);
-        let tick = Span::millis(10);
+        let shortest = Span::millis(10);
         Settings {
             name: reader
                 .required::<id::Entry>("instance", "name")
@@ -139,13 +139,19 @@
                     Bytes::mebi(64),
                 ),
                 idle: reader.ranged("caller", "idle_timeout", limits.idle, second, hour),
-                head: reader.ranged("caller", "head_timeout", limits.head, tick, hour),
-                progress: reader.ranged("caller", "progress_timeout", limits.progress, tick, hour),
+                head: reader.ranged("caller", "head_timeout", limits.head, shortest, hour),
+                progress: reader.ranged(
+                    "caller",
+                    "progress_timeout",
+                    limits.progress,
+                    shortest,
+                    hour,
+                ),
             },
-            memory: reader.ranged(
+            body_memory: reader.ranged(
                 "caller",
                 "memory",
-                base.memory,
+                base.body_memory,
                 Bytes::mebi(1),
                 Bytes::mebi(1024),
             ),
@@ -156,8 +162,20 @@
                 certificate: reader.required("peer", "certificate").unwrap_or_default(),
                 key: reader.required::<PathBuf>("peer", "key").unwrap_or_default(),
             },
-            beat: reader.ranged("peer", "beat", base.beat, tick, Span::secs(60)),
-            far_beat: reader.ranged("peer", "far_beat", base.far_beat, tick, Span::secs(60)),
+            heartbeat_interval: reader.ranged(
+                "peer",
+                "beat",
+                base.heartbeat_interval,
+                shortest,
+                Span::secs(60),
+            ),
+            remote_heartbeat_interval: reader.ranged(
+                "peer",
+                "far_beat",
+                base.remote_heartbeat_interval,
+                shortest,
+                Span::secs(60),
+            ),
             takeover_after: reader.ranged(
                 "peer",
                 "takeover_after",
@@ -171,11 +189,17 @@
                     "platform",
                     "timeout",
                     base.platform.timeout,
-                    tick,
+                    shortest,
                     Span::secs(60),
                 ),
             },
-            poll: reader.ranged("platform", "poll", base.poll, tick, Span::secs(5)),
+            poll_interval: reader.ranged(
+                "platform",
+                "poll",
+                base.poll_interval,
+                shortest,
+                Span::secs(5),
+            ),
             claim_interval: reader.ranged(
                 "platform",
                 "claim_interval",
@@ -200,32 +224,35 @@
                 Span::millis(100),
                 hour,
             ),
-            stop_bound: reader.ranged("stop", "bound", base.stop_bound, second, hour),
+            stop_timeout: reader.ranged("stop", "bound", base.stop_timeout, second, hour),
             stop_notice: reader.ranged("stop", "notice", base.stop_notice, Span::millis(0), hour),
-            events: reader.ranged("log", "events", base.events, 16, 1_000_000),
+            max_events: reader.ranged("log", "events", base.max_events, 16, 1_000_000),
         }
     }
 
     /// What no single key can tell.
-    fn check(&self, reader: &mut Reader) {
+    fn check_consistency(&self, reader: &mut Reader) {
         if self.platform.addresses.is_empty() {
             let text = "at least one address must be given".into();
             reader.note(Code::MissingKey, "platform", "addresses", text);
         }
-        if self.takeover_after.0 < self.beat.0 * 3 {
+        if self.takeover_after.0 < self.heartbeat_interval.0 * 3 {
             let text = format!(
                 "takeover_after {} is less than three beats of {}; a healthy peer would be taken over",
-                self.takeover_after, self.beat
+                self.takeover_after, self.heartbeat_interval
             );
             reader.note(Code::Contradiction, "peer", "takeover_after", text);
         }
-        if self.lease_term.0 < self.poll.0 * 4 {
-            let text = format!("term {} is less than four polls of {}", self.lease_term, self.poll);
+        if self.lease_term.0 < self.poll_interval.0 * 4 {
+            let text = format!(
+                "term {} is less than four polls of {}",
+                self.lease_term, self.poll_interval
+            );
             reader.note(Code::Contradiction, "lease", "term", text);
         }
-        if self.memory < self.caller_limits.body {
+        if self.body_memory < self.caller_limits.body {
             let text =
-                format!("{} cannot hold one body of {}", self.memory, self.caller_limits.body);
+                format!("{} cannot hold one body of {}", self.body_memory, self.caller_limits.body);
             reader.note(Code::Contradiction, "caller", "memory", text);
         }
         let tcp = [self.caller_listen, self.operator_listen];
--- a/crates/entry/tests/settings.rs
+++ b/crates/entry/tests/settings.rs
@@ -28,7 +28,7 @@
 fn a_short_file_is_enough() {
     let settings = Settings::read(GOOD).unwrap();
     assert_eq!(settings.platform.addresses.len(), 2);
-    assert_eq!(settings.poll, Settings::default().poll);
+    assert_eq!(settings.poll_interval, Settings::default().poll_interval);
 }
 
 #[test]
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -90,7 +90,7 @@
         let report = daemon.stop().await;
         println!(
             "stopped unanswered={} unsettled={} left={}",
-            report.unanswered, report.unsettled, report.left
+            report.unanswered, report.unsettled, report.deregistered
         );
         Ok(())
     })
--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -161,13 +161,13 @@
         Settings {
             name: format!("e{index}"),
             zone: zone(index, self.shape.zones).parse().unwrap(),
-            beat: Span::millis(100),
-            far_beat: Span::millis(100),
+            heartbeat_interval: Span::millis(100),
+            remote_heartbeat_interval: Span::millis(100),
             takeover_after: Span::millis(1000),
-            poll: Span::millis(50),
+            poll_interval: Span::millis(50),
             lease_term: Span::millis(800),
             stop_notice: Span::millis(50),
-            stop_bound: Span::secs(5),
+            stop_timeout: Span::secs(5),
             ..Settings::default()
         }
     }
--- a/tests/all/stop.rs
+++ b/tests/all/stop.rs
@@ -46,7 +46,7 @@
     });
     let report = daemon.stop().await;
     looking.await;
-    assert_eq!((report.unanswered, report.unsettled, report.left), (0, 0, true));
+    assert_eq!((report.unanswered, report.unsettled, report.deregistered), (0, 0, true));
     async_std::task::sleep(Duration::from_millis(400)).await;
     over.store(true, Ordering::SeqCst);
     let mut asked = Vec::new();
