--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starting a daemon, and stopping it without cutting a request off.
+//! Starting a daemon, and stopping it gracefully: requests in flight are finished.
 
 use crate::bounded;
 use crate::claims::{self, Claims};
@@ -38,17 +38,17 @@
 use stop_token::StopSource;
 use strum::VariantArray;
 
-/// Time between two looks at whether a stop is complete.
+/// Time between two checks whether a stop is complete.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two looks at the clock, for noticing pauses of this process.
+/// Time between two reads of the clock to detect pauses of this process.
 const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A gap between two looks that counts as a pause: ten of them in a row left out.
+/// A gap between two reads of the clock that counts as a pause: ten missed in a row.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// Part of the time to a takeover that counts as a pause in any case: after a shorter one, living
-/// peers are heard again before they would be taken for lost.
+/// A gap of the takeover time divided by this counts as a pause in any case.  After a shorter
+/// one, live peers are heard again before their minions would be taken over.
 const PAUSE_TAKEOVER_DIVISOR: u32 = 2;
 
 /// Most connections of callers at once; each can hold one request body in memory.
@@ -57,7 +57,7 @@
 /// Why a daemon could not start.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// An address cannot be listened at.
+    /// Listening at an address failed.
     #[snafu(display("cannot listen at {address}: {source}"))]
     Listen {
         /// The address.
@@ -68,7 +68,7 @@
     /// The peers' socket cannot be opened.
     #[snafu(display("cannot open the peers' socket: {source}"))]
     Peers {
-        /// Why.
+        /// The error of the endpoint.
         source: celerythread_wire::Error,
     },
 }
@@ -85,14 +85,14 @@
     connections: Arc<AtomicUsize>,
 }
 
-/// How a graceful stop went.
+/// The result of a graceful stop.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Report {
-    /// Callers' connections that were still being answered at the bound.
+    /// Callers' connections still open at the timeout.
     pub unanswered: usize,
-    /// Settlements of keyed requests that were not committed at the bound.
+    /// Results of keyed requests that were not committed at the timeout.
     pub unsettled: usize,
-    /// Whether slots were handed back and the registry left.
+    /// Whether all slots were released and the entry's registration removed.
     pub deregistered: bool,
 }
 
@@ -135,32 +135,32 @@
         Ok(daemon)
     }
 
-    /// This process's id.
+    /// This process's id, new with every start.
     pub fn id(&self) -> &id::Entry {
         &self.node.entry_id
     }
 
-    /// Where callers reach it.
+    /// The address that serves callers.
     pub fn caller_address(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where operators reach it.
+    /// The address that serves operators.
     pub fn operator_address(&self) -> SocketAddr {
         self.addresses.operator
     }
 
-    /// Where peers reach it.
+    /// The address that serves peers.
     pub fn peer_address(&self) -> SocketAddr {
         self.addresses.peer
     }
 
-    /// Its counters.
+    /// Its metrics.
     pub fn metrics(&self) -> &Arc<Metrics> {
         &self.node.metrics
     }
 
-    /// Waits until it serves.
+    /// Waits until it is ready to serve callers.
     pub async fn ready(&self) {
         while !self.node.ready.load(Ordering::SeqCst) {
             async_std::task::sleep(STOP_POLL_INTERVAL).await;
@@ -199,9 +199,9 @@
         ));
     }
 
-    /// Stops gracefully: first the balancer sees that it is not ready, then no new work is
-    /// taken, then what is in flight is finished, then slots are handed back and the registry
-    /// is left.
+    /// Stops gracefully: first the load balancer sees that it is not ready, then new work is
+    /// refused, then work in flight is finished, then slots are released and the registration
+    /// is removed.
     pub async fn stop(self) -> Report {
         let node = &self.node;
         let stop_timeout = node.settings.stop_timeout.0;
@@ -249,7 +249,7 @@
     listener.local_addr().context(ListenSnafu { address })
 }
 
-/// An id that no process before or after has.
+/// An id of this process: a random suffix tells it from earlier and later ones.
 fn new_id(name: &str) -> id::Entry {
     let id = format!("{name}.{:08x}", rand::random::<u32>());
     id.parse().expect("a checked name with hexadecimal digits is an id")
@@ -292,7 +292,7 @@
     }
 }
 
-/// Registers, takes the first view, and starts everything that needs both.
+/// Reads the first view, registers, and starts the tasks that need both.
 async fn register_and_serve(node: Arc<Node>, addresses: Addresses, endpoint: Arc<Endpoint>) {
     while follow::refresh_view(&node).await.is_err() {
         if !node.sleep_unless_stopped(node.settings.poll_interval.0).await {
@@ -302,8 +302,8 @@
     if !membership::register(&node, addresses).await {
         return;
     }
-    // The rows are read after the registration: whoever changes the fleet from now on can see
-    // that this entry must be reckoned with.
+    // Read the rows again after the registration: whoever changes the fleet from now on sees
+    // this entry in the registry.
     while follow::refresh_view(&node).await.is_err() {
         if !node.sleep_unless_stopped(node.settings.poll_interval.0).await {
             return;
@@ -325,7 +325,7 @@
     }
 }
 
-/// Notices that this process was paused.
+/// Detects that this process was paused.
 async fn watch_for_pauses(node: Arc<Node>) {
     while node.sleep_unless_stopped(PAUSE_CHECK_INTERVAL).await {
         node.detect_pause(node.clock.now());
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -1,5 +1,5 @@
-//! Carrying out the duties: each step looks at the world anew and does what is due, so a
-//! replaced holder goes on where the last one stopped.
+//! Controllers that carry out the duties.  Each step reads the current state and does what is
+//! due, so a new holder continues where the former one stopped.
 
 mod fleet;
 mod jobs;
@@ -17,11 +17,11 @@
 use celerythread_policy::lease::Held;
 use std::sync::Arc;
 
-/// What a duty's holder remembers between two steps.
+/// The state that a duty's holder keeps between two steps.
 pub(crate) enum Controller {
-    /// Minions, waves and moves.
+    /// Controls minions, waves and moves.
     Fleet(Box<fleet::Controller>),
-    /// Jobs.
+    /// Controls jobs.
     Jobs(Box<jobs::Controller>),
 }
 
@@ -42,8 +42,8 @@
     }
 }
 
-/// A transaction that only commits while the duty's lease is still held: a holder that was
-/// paused past its term finds the lease's row changed and its writes refused.
+/// A transaction that commits only while the duty's lease is still held.  The writes of a holder
+/// that was paused past its term are refused once another one has changed the lease's row.
 pub(crate) fn fenced(duty: Duty, held: Held) -> Transaction {
     Transaction::new().check(Space::Lease, duty.key(), held.revision)
 }
--- a/crates/entry/src/drive/fleet.rs
+++ b/crates/entry/src/drive/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet's holder: keeps the minions' rows, clears away dead entries, carries minions
-//! through their errands, and decides moves.
+//! The fleet controller: keeps the minions' rows, removes registrations of terminated entries,
+//! advances minions through their errands, and decides moves between pools.
 
 use super::retention::Retention;
 use super::roster::Roster;
@@ -23,10 +23,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Weight of the newest measurement of a pool's utilisation.
+/// Weight of the newest sample in the moving average of a pool's utilisation.
 const UTILISATION_WEIGHT: f64 = 0.1;
 
-/// What the holder remembers between two steps.
+/// The state kept between two steps.
 #[derive(Default)]
 pub(crate) struct Controller {
     pub(crate) roster: Roster,
@@ -36,8 +36,8 @@
 }
 
 impl Controller {
-    /// One round.  Nothing new is begun while the platform does not answer: both its list and
-    /// the table must have been read in this very round.
+    /// One round.  Nothing new is started while the platform does not answer: both its list and
+    /// the table must have been read in this round.
     pub(crate) async fn step(&mut self, node: &Arc<Node>, held: Held) {
         if crate::follow::refresh_view(node).await.is_err() || !self.roster.refresh(node).await {
             return;
@@ -50,7 +50,7 @@
         self.retention.step(node, held).await;
     }
 
-    /// Removes registrations of entries whose instance is gone for certain.
+    /// Removes registrations of entries whose instance has certainly terminated.
     async fn remove_dead_entries(&mut self, node: &Arc<Node>, held: Held) {
         let entries: Vec<id::Entry> = node.view.read().entries().keys().cloned().collect();
         let now = node.clock.now();
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Writes rows for new minions, drains leaving ones, and removes those that are gone.
+    /// Writes rows for new minions, drains leaving ones, and removes terminated ones.
     async fn sync_minions(&mut self, node: &Arc<Node>, held: Held) {
         let listed: Vec<Instance> = self.roster.with_role(Role::Minion).cloned().collect();
         for instance in listed {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Carries each minion that is out one step on.
+    /// Advances each minion that is out of service by one step.
     async fn advance_errands(&mut self, node: &Arc<Node>, held: Held) {
         let out: Vec<Minion> = {
             let view = node.view.read();
@@ -105,7 +105,8 @@
             match self.next_step(node, &minion) {
                 Step::Wait => {}
                 Step::Reboot(boot) => {
-                    // A lost answer shows in the list, and asking twice is harmless.
+                    // If the answer is lost, the list shows the reboot; a repeated request is
+                    // harmless.
                     let _ = node.platform.roster.reboot(minion.minion.as_str(), boot).await;
                 }
                 Step::Write(row) => {
@@ -133,8 +134,8 @@
         })
     }
 
-    /// Writes a minion's row, with the disruption's row in the same transaction: what goes out
-    /// is counted out, and what comes back is counted in, at the very moment.
+    /// Writes a minion's row and its pool's disruption row in one transaction, so that the count
+    /// of minions out of service is exact at every revision.
     pub(crate) async fn replace_minion(
         &self,
         node: &Arc<Node>,
@@ -156,7 +157,7 @@
         commit_and_refresh(node, transaction).await
     }
 
-    /// How each service stands against its floor.
+    /// The availability of each service against its floor.
     pub(crate) fn availability(&self, node: &Node) -> BTreeMap<id::Service, Standing> {
         let ejected_minions = ejected_minions(node);
         let view = node.view.read();
@@ -204,7 +205,7 @@
             let now = used.get(&service.service).copied().unwrap_or(0.0);
             let smoothed = self.utilisation.entry(service.service.clone()).or_insert(now);
             *smoothed += UTILISATION_WEIGHT * (now - *smoothed);
-            // What is out by intent comes back: it is no reason for a move.
+            // A minion that is out on purpose returns, so it is no reason for a move.
             let serving = availability.serving + availability.out;
             pools.push(Pool {
                 service: service.service.clone(),
@@ -219,14 +220,14 @@
     }
 }
 
-/// Commits, and brings the view up to date whatever came of it.
+/// Commits, then refreshes the view whether the commit succeeded or not.
 pub(crate) async fn commit_and_refresh(node: &Arc<Node>, transaction: Transaction) -> bool {
     let committed = node.platform.table.commit(transaction).await.is_ok();
     let _ = crate::follow::refresh_view(node).await;
     committed
 }
 
-/// The transaction that replaces a minion's row, conditional on everything the decision was
+/// The transaction that replaces a minion's row, conditional on every row that the decision was
 /// made from: the minion, its ownership, and its service's disruption.
 pub(crate) fn minion_replacement(
     view: &View,
@@ -285,7 +286,7 @@
     commit_and_refresh(node, transaction).await;
 }
 
-/// The pool that a new minion was bought for, else the one that lacks most.
+/// The pool that a new minion was bought for, or else the one with the largest shortfall.
 fn pool_for(node: &Node, instance: &Instance) -> Option<id::Service> {
     let view = node.view.read();
     let document = view.document();
@@ -299,7 +300,7 @@
     lacking.max().map(|(_, service)| service.clone())
 }
 
-/// Removes a minion that is gone for certain, with all that is noted of it.
+/// Removes the rows of a minion that has certainly terminated.
 async fn remove_minion(node: &Arc<Node>, held: Held, name: &id::Minion) {
     let transaction = {
         let view = node.view.read();
@@ -322,7 +323,7 @@
     commit_and_refresh(node, transaction).await;
 }
 
-/// Minions that their owners have set aside.
+/// Minions that their owners have ejected as unhealthy.
 fn ejected_minions(node: &Node) -> BTreeSet<id::Minion> {
     let mut ejected_minions: BTreeSet<id::Minion> =
         node.router.lock().ledger.ejected(node.clock.now()).into_iter().collect();
@@ -332,7 +333,7 @@
     ejected_minions
 }
 
-/// The share of each service's slots in use, over all entries that answer.
+/// The share of each service's slots in use or waited for, over all entries that answer.
 fn current_utilisation(node: &Node) -> BTreeMap<id::Service, f64> {
     let mut capacities = node.router.lock().rooms(node.clock.now());
     for (_, peer) in node.peers.read().iter() {
@@ -348,7 +349,7 @@
     sums.into_iter().map(|(service, sum)| (service, share(sum))).collect()
 }
 
-/// Whether a wave still has something to do.
+/// Whether a wave is neither done nor cancelled.
 pub(crate) fn is_open(wave: &Wave) -> bool {
     matches!(wave.progress, Progress::Running | Progress::Paused)
 }
--- a/crates/entry/src/drive/jobs.rs
+++ b/crates/entry/src/drive/jobs.rs
@@ -1,4 +1,5 @@
-//! The jobs' holder: settles what runs, starts what waits, puts patient work aside.
+//! The job controller: records ended attempts, starts waiting jobs, and preempts patient jobs
+//! for urgent ones.
 
 mod board;
 mod settle;
@@ -24,13 +25,13 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Most rows in one transaction: a wave of cancellations or starts is a few writes.
+/// Most rows in one transaction; many starts or cancellations at once take a few writes.
 const MAX_BATCH_ROWS: usize = 100;
 
-/// Attempts at an idempotent job before it counts as failed.
+/// Attempts at an idempotent job before it is marked as failed.
 const MAX_ATTEMPTS: u32 = 5;
 
-/// What the holder remembers between two steps.
+/// The state kept between two steps.
 #[derive(Default)]
 pub(crate) struct Controller {
     jobs: JobCache,
@@ -38,11 +39,11 @@
     estimates: Estimates,
     health: HashMap<id::Worker, Health>,
     avoided_workers: HashMap<id::Job, id::Worker>,
-    /// Attempts whose one order this process gave and saw refused: certainly not run.
+    /// Attempts whose only order this process sent and saw refused; they certainly never ran.
     refused_attempts: HashMap<id::Job, u32>,
 }
 
-/// A decided change of a job's row, and what follows once it is committed.
+/// A decided change of a job's row, and the order to send once it is committed.
 struct Change {
     old_revision: Revision,
     job: Job,
@@ -56,7 +57,7 @@
             return;
         }
         if self.jobs.is_empty() {
-            // Nothing to settle, to stop or to place: the reports are not even asked for.
+            // Nothing to settle, stop or place, so the reports need not be read.
             return;
         }
         let Ok(tasks) = node.platform.workers.tasks().await else { return };
@@ -79,11 +80,11 @@
         }
     }
 
-    /// Commits changes in a few transactions, and gives the orders that follow from them.
+    /// Commits changes in batches and sends their orders.
     ///
-    /// The row goes first: an order whose row was refused is never given, and one whose row
-    /// was written is given again by the next holder, with the same attempt, which the worker
-    /// carries out once.
+    /// The row is written first.  An order whose row was refused is never sent; one whose row was
+    /// written is sent again by the next holder with the same attempt number, and a worker
+    /// executes each attempt once.
     async fn commit(&mut self, node: &Arc<Node>, held: Held, changes: Vec<Change>) {
         let mut changes = changes;
         while !changes.is_empty() {
@@ -97,7 +98,7 @@
             }
             match node.platform.table.commit(transaction).await {
                 Ok(last) => self.apply_committed(node, batch, last).await,
-                // Another has changed one of the rows, or nobody knows: look again first.
+                // A row was changed by another writer, or the outcome is unknown: read again first.
                 Err(_) => {
                     self.jobs.refresh(node).await;
                     return;
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Stops tasks whose job was cancelled.
+    /// Stops the tasks of cancelled jobs.
     async fn stop_cancelled(&self, node: &Node, tasks: &[Task]) {
         for task in tasks.iter().filter(|task| settle::occupies(task)) {
             let cancelled = self.jobs.get(&task.job);
@@ -183,7 +184,7 @@
                         remove_preempted(&mut candidates, &worker, &name);
                     }
                 }
-                // A job that waits for its team's quota says nothing about the others.
+                // A job held back by its team's quota tells nothing about other teams' jobs.
                 Placement::Wait if fits_quota(allowance, &need) => misses.note(&need),
                 Placement::Wait => {}
                 Placement::Impossible(reason) => {
@@ -203,7 +204,7 @@
         Some(Change { old_revision: revision, job, order: Some((worker.clone(), order)) })
     }
 
-    /// What each worker has left, by what is learnt of the jobs that run on it.
+    /// Each worker with its free capacity, by the learnt sizes of the jobs that run on it.
     fn candidate_workers(&self, node: &Node, tasks: &[Task]) -> Vec<Room> {
         let now = node.clock.now();
         let mut candidates: BTreeMap<id::Worker, Room> = BTreeMap::new();
@@ -212,7 +213,7 @@
             let resting = self.health.get(&worker).is_some_and(|health| match health.state(now) {
                 State::Trusted => false,
                 State::Resting(_) => true,
-                // Tried again gently: one task at a time.
+                // A worker being probed gets one task at a time.
                 State::Probing => tasks.iter().any(|t| t.worker == worker && settle::occupies(t)),
             });
             let candidate = Room {
@@ -263,7 +264,7 @@
     }
 }
 
-/// The order that starts a job's present attempt, the same each time it is given.
+/// The order that starts a job's current attempt; the same each time it is sent.
 fn start_order(job: &Job, size: Size) -> Order {
     Order::Start {
         job: job.spec.job.clone(),
@@ -284,8 +285,8 @@
     }
 }
 
-/// A job that is being put aside cannot be put aside for a second urgent one, and what it frees
-/// is already spoken for.
+/// Removes a preempted job from its worker's candidates: it can't be preempted for a second
+/// urgent job, as the capacity that it frees is already assigned.
 fn remove_preempted(candidates: &mut [Room], worker: &id::Worker, job: &id::Job) {
     if let Some(candidate) = candidates.iter_mut().find(|candidate| candidate.worker == *worker) {
         candidate.patient.retain(|patient| patient.job != *job);
--- a/crates/entry/src/drive/jobs/board.rs
+++ b/crates/entry/src/drive/jobs/board.rs
@@ -1,4 +1,4 @@
-//! The jobs' rows, followed from the table.
+//! A local copy of the jobs' rows, kept up to date from the table.
 
 use crate::node::Node;
 use celerythread_model::fleet::Row as _;
@@ -8,7 +8,7 @@
 use celerythread_model::unit::Revision;
 use std::collections::BTreeMap;
 
-/// All jobs that are not settled, with their rows' revisions.
+/// All unsettled jobs and the cancelled ones, with the revisions of their rows.
 #[derive(Default)]
 pub(crate) struct JobCache {
     jobs: BTreeMap<id::Job, (Revision, Job)>,
@@ -16,7 +16,7 @@
 }
 
 impl JobCache {
-    /// Reads what changed.  Tells whether the table answered.
+    /// Reads the changes since the last refresh.  Returns whether the table answered.
     pub(crate) async fn refresh(&mut self, node: &Node) -> bool {
         loop {
             let Ok(changes) = node.platform.table.changes(Space::Job, self.upto).await else {
@@ -44,14 +44,14 @@
         }
     }
 
-    /// Takes a row in that this process has written or read; an older one is ignored.
+    /// Stores a row that this process has written or read, unless a newer one is known.
     pub(crate) fn upsert(&mut self, job: Job, revision: Revision) {
         let name = job.spec.job.clone();
         let known = self.jobs.get(&name).map_or(Revision(0), |(known, _)| *known);
         if revision <= known {
             return;
         }
-        // A cancelled job stays known so that its task is stopped; the others are settled.
+        // A cancelled job is kept so that its task is stopped; other final jobs are settled.
         if job.stage.is_final() && job.stage != Stage::Cancelled {
             self.jobs.remove(&name);
         } else {
@@ -59,12 +59,12 @@
         }
     }
 
-    /// A job with its row's revision.
+    /// A job with its row's revision, if it is known.
     pub(crate) fn get(&self, name: &id::Job) -> Option<(Revision, &Job)> {
         self.jobs.get(name).map(|(revision, job)| (*revision, job))
     }
 
-    /// Whether no job is left to be looked after.
+    /// Whether no job needs attention.
     pub(crate) fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
@@ -74,7 +74,7 @@
         self.jobs.values().map(|(_, job)| job).filter(|job| job.stage == Stage::Running)
     }
 
-    /// Jobs that wait for a worker: urgent first, then by submission.
+    /// Jobs that wait for a worker: urgent ones first, then by submission time.
     pub(crate) fn waiting(&self) -> Vec<(Revision, &Job)> {
         let waits = |stage| matches!(stage, Stage::Queued | Stage::Suspended);
         let mut waiting: Vec<(Revision, &Job)> = self
--- a/crates/entry/src/drive/jobs/settle.rs
+++ b/crates/entry/src/drive/jobs/settle.rs
@@ -1,4 +1,4 @@
-//! What became of the jobs that were started.
+//! Deciding the outcome of started attempts.
 
 use super::{Change, Controller, may_retry};
 use crate::node::Node;
@@ -10,14 +10,14 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Whether a task takes room on its worker.
+/// Whether a task uses capacity of its worker.
 pub(super) fn occupies(task: &Task) -> bool {
     matches!(task.phase, Phase::Running | Phase::Throttled)
 }
 
 impl Controller {
-    /// Decides about every running job by the reports, which lag, and by asking the worker
-    /// where they say nothing.
+    /// Decides the outcome of every running job from the reports, which lag, and by asking the
+    /// worker if they don't list the attempt.
     pub(super) async fn settle(&mut self, node: &Node, tasks: &[Task]) -> Vec<Change> {
         let reported: HashMap<(&id::Worker, &id::Job), &Task> =
             tasks.iter().map(|task| ((&task.worker, &task.job), task)).collect();
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Judges a worker by its siblings: one that fails everything it starts is set aside, and
-    /// tried again later with one task.
+    /// Compares a worker's failure rate with that of the others.  One that fails everything it
+    /// starts is ejected and later probed with one task.
     fn record_worker_failure(&mut self, node: &Node, worker: &id::Worker) {
         let others = self.health.iter().filter(|(name, _)| *name != worker);
         let rates: Vec<f64> = others.map(|(_, health)| health.failure_rate()).collect();
@@ -79,8 +79,8 @@
         health.fail(node.clock.now(), siblings, true);
     }
 
-    /// The reports say nothing of the attempt: it was never started, or its worker is gone or
-    /// was restarted.
+    /// The outcome of an attempt that no report lists: it was never started, or its worker has
+    /// terminated or was restarted.
     async fn outcome_without_report(
         &mut self,
         node: &Node,
@@ -110,12 +110,12 @@
         }
     }
 
-    /// Gives the order of an attempt again that shows no task: its answer was lost, or its giver
-    /// was gone before it gave it.
+    /// Sends the start order of an attempt without a task again: the order or its answer was lost,
+    /// or the former holder stopped before it sent the order.
     ///
-    /// The same boot of the worker carries an attempt out once, however often it is ordered.
-    /// Another boot refuses; then the attempt may have run on the boot before, and a
-    /// non-idempotent job is not run again.
+    /// Within one boot a worker executes an attempt once, however often it is ordered.  Another
+    /// boot refuses the order; the attempt may have run on the earlier boot, so a non-idempotent
+    /// job is not run again.
     async fn resend_order(&self, node: &Node, job: &Job, worker: &id::Worker) -> Option<Job> {
         let size = self.estimates.size(&job.spec.kind, &job.spec.size);
         let ordered = node.platform.workers.order(worker, super::start_order(job, size)).await;
@@ -129,18 +129,19 @@
     }
 }
 
-/// A job whose attempt is over without success, and certainly so.
+/// A job whose attempt has certainly ended without success.
 fn after_failure(job: &Job, reason: &str) -> Job {
     let stage = match (job.spec.idempotence, may_retry(job)) {
         (Idempotence::Idempotent, true) => Stage::Queued,
-        // A failed non-idempotent step has run; it is not run a second time.
+        // A failed non-idempotent job has run; it is not run a second time.
         _ => Stage::Failed,
     };
     let worker = if stage == Stage::Queued { None } else { job.worker.clone() };
     Job { stage, worker, reason: reason.into(), ..job.clone() }
 }
 
-/// A job whose worker is gone: an idempotent one goes elsewhere, of another nobody can tell.
+/// A job whose attempt was lost with its worker or boot: an idempotent one is queued again, the
+/// outcome of a non-idempotent one is unknown.
 fn after_loss(job: &Job, reason: String) -> Job {
     if may_retry(job) {
         return Job { stage: Stage::Queued, worker: None, reason, ..job.clone() };
--- a/crates/entry/src/drive/retention.rs
+++ b/crates/entry/src/drive/retention.rs
@@ -1,4 +1,4 @@
-//! Clearing away claims that are older than the configuration keeps them.
+//! Deleting claims older than the configured retention.
 
 use super::fenced;
 use crate::duty::Duty;
@@ -12,16 +12,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two looks when there was nothing to clear.
+/// Time between two scans once no expired claim is left.
 const SCAN_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Most claims cleared in one transaction.
+/// Most claims deleted in one transaction.
 const MAX_BATCH_CLAIMS: usize = 100;
 
-/// How far the claims were looked through.
+/// The position of the scan for expired claims.
 ///
-/// The table gives its rows in the order of their last write, so the first young one ends a
-/// look, and the next begins where this one stopped.
+/// The table returns rows in the order of their last write, so a scan ends at the first claim
+/// that has not expired, and the next one continues there.
 #[derive(Default)]
 pub(crate) struct Retention {
     scanned_to: Revision,
@@ -29,7 +29,7 @@
 }
 
 impl Retention {
-    /// Clears a batch of old claims, if it is time to look.
+    /// Deletes a batch of expired claims if a scan is due.
     pub(crate) async fn step(&mut self, node: &Arc<Node>, held: Held) {
         let now = node.clock.now();
         if self.scanned_at.is_some_and(|scanned_at| now.since(scanned_at) < SCAN_INTERVAL) {
@@ -43,7 +43,7 @@
             for row in expired {
                 transaction = delete_claim(transaction, row);
             }
-            // A claim that changed meanwhile is looked at again.
+            // The transaction fails if a claim changed meanwhile; the next step scans again.
             if node.platform.table.commit(transaction).await.is_err() {
                 return;
             }
@@ -52,7 +52,7 @@
         self.scanned_at = if more { None } else { Some(now) };
     }
 
-    /// The rows to clear, up to where the look came, and whether more may be old.
+    /// The rows to delete, the revision that the scan reached, and whether more may have expired.
     fn select_expired<'a>(&self, node: &Node, rows: &'a [Row]) -> (Vec<&'a Row>, Revision, bool) {
         let retention_ms = node.view.read().document().claim_retention.0.as_millis() as u64;
         let cutoff_ms = node.clock.wall_ms().saturating_sub(retention_ms);
--- a/crates/entry/src/drive/roster.rs
+++ b/crates/entry/src/drive/roster.rs
@@ -1,4 +1,5 @@
-//! What the platform's lagging list says, remembered long enough to be certain.
+//! The platform's list of instances.  The list lags, so an absence is tracked until it proves
+//! that the instance has terminated.
 
 use crate::node::Node;
 use celerythread_platform::message::{Instance, Role};
@@ -6,10 +7,10 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Added to the list's lag before an absent instance counts as gone.
+/// Added to the list's lag before an absent instance counts as terminated.
 const ABSENCE_MARGIN: Duration = Duration::from_millis(500);
 
-/// The list as last read, with since when each known name has been absent.
+/// The list as last read, and since when each absent name has been missing.
 #[derive(Default)]
 pub(crate) struct Roster {
     instances: BTreeMap<String, Instance>,
@@ -20,7 +21,7 @@
 }
 
 impl Roster {
-    /// Reads the list.  Tells whether it could be read.
+    /// Reads the list.  Returns whether it could be read.
     pub(crate) async fn refresh(&mut self, node: &Node) -> bool {
         let Ok(listing) = node.platform.roster.list(&self.version).await else { return false };
         let Some(listing) = listing else { return true };
@@ -41,10 +42,10 @@
         self.instances.values().filter(move |instance| instance.role == role)
     }
 
-    /// Whether an instance is gone for certain: absent for longer than the list lags.
+    /// Whether an instance has certainly terminated: absent for longer than the list lags.
     ///
-    /// A new instance is not listed yet for as long as the list lags, so absence alone proves
-    /// nothing; it must have lasted, by our own clock, since we first looked for the name.
+    /// A new instance isn't listed until the lag has passed, so a single absence proves nothing.
+    /// The time is measured on this process's clock from the first query for the name.
     pub(crate) fn is_gone(&mut self, name: &str, now: Moment) -> bool {
         if !self.loaded || self.instances.contains_key(name) {
             self.absent_since.remove(name);
--- a/crates/entry/src/drive/waves.rs
+++ b/crates/entry/src/drive/waves.rs
@@ -14,7 +14,7 @@
 use celerythread_policy::wave::{self, Target};
 use std::sync::Arc;
 
-/// Carries every open wave one step on, the earliest deadline first.
+/// Advances every open wave by one step, the earliest deadline first.
 pub(crate) async fn step(fleet: &mut Controller, node: &Arc<Node>, held: Held) {
     let mut waves: Vec<Wave> = node.view.read().waves().values().cloned().collect();
     waves.retain(is_open);
@@ -27,14 +27,14 @@
     }
 }
 
-/// What is left of a wave, as targets; minions that are gone or being taken away need no
-/// maintenance.
+/// The remaining targets of a wave, without minions that were removed or are being removed: these
+/// need no maintenance.
 fn targets(view: &View, wave: &Wave) -> Vec<Target> {
     let minions = wave.remaining.iter().filter_map(|name| view.minions().get(name));
     minions.filter(|minion| !is_leaving(minion)).map(target).collect()
 }
 
-/// Whether a minion is out for good: drained without an errand.
+/// Whether a minion is being removed for good: drained without an errand.
 fn is_leaving(minion: &Minion) -> bool {
     minion.state != State::Active && minion.errand.is_none()
 }
@@ -48,7 +48,7 @@
     }
 }
 
-/// Ends a wave of which nothing is left and nothing is out.
+/// Marks a wave as done once no target remains and none is out of service.
 async fn complete_if_done(node: &Arc<Node>, held: Held, wave: Wave) -> Wave {
     let (left, out) = {
         let view = node.view.read();
@@ -66,7 +66,7 @@
     minion.errand.as_ref().is_some_and(|errand| errand.wave.as_ref() == Some(wave))
 }
 
-/// Takes out what may go now, or notes what the wave waits for.
+/// Drains the minions that may go now, or records what the wave waits for.
 async fn advance(fleet: &mut Controller, node: &Arc<Node>, held: Held, wave: &Wave) {
     if let Some(waiting_for) = waiting_reason(node, wave) {
         set_progress(node, held, wave, Progress::Paused, waiting_for).await;
@@ -74,7 +74,7 @@
     }
     let (targets, racks_out, weight, out) = {
         let view = node.view.read();
-        // Only what comes back is worth waiting for.
+        // Only minions that return are waited for.
         let out: Vec<&Minion> = view.minions().values().filter(|m| m.errand.is_some()).collect();
         let racks_out: Vec<id::Rack> = out.iter().map(|m| m.rack.clone()).collect();
         let targets: Vec<Target> = targets(&view, wave)
@@ -97,16 +97,16 @@
     }
     for name in next {
         if !drain_minion(fleet, node, held, &wave.wave, &name).await {
-            // Something changed under us; the next round decides anew.
+            // A row changed meanwhile; the next round decides from its new state.
             return;
         }
     }
 }
 
-/// Why a wave may take nothing out at this time, if so.
+/// Why a wave may not drain any minion at this time, if so.
 ///
-/// This compares the holder's wall clock with a time that an operator chose; it decides when a
-/// wave goes on, never who may write.
+/// This compares the holder's wall clock with a time that an operator chose.  It decides when a
+/// wave continues, never who may write.
 fn waiting_reason(node: &Node, wave: &Wave) -> Option<String> {
     let now = node.clock.wall_ms();
     if now < wave.starts_at {
@@ -121,7 +121,7 @@
 }
 
 /// Drains one minion and moves it from `remaining` to `done`, in one transaction with the
-/// disruption's row.
+/// disruption row.
 async fn drain_minion(
     fleet: &Controller,
     node: &Arc<Node>,
--- a/crates/entry/src/duty.rs
+++ b/crates/entry/src/duty.rs
@@ -1,4 +1,4 @@
-//! Duties that one entry carries at a time, under leases in the table.
+//! Duties: roles that one entry holds at a time, under leases in the table.
 
 use crate::drive;
 use crate::node::Node;
@@ -12,30 +12,30 @@
 use std::time::Duration;
 use strum::{Display, VariantArray};
 
-/// Time between two steps of a duty.
+/// Time between two steps of a duty's controller.
 const STEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Renewals in a term.
+/// Renewals within one lease term.
 const RENEWALS_PER_TERM: u32 = 4;
 
-/// What one entry does for all.
+/// A role that one entry holds for all.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, VariantArray)]
 #[strum(serialize_all = "lowercase")]
 pub(crate) enum Duty {
-    /// Keeps the minions' rows, runs waves and moves.
+    /// Keeps the minions' rows and runs waves and moves.
     Fleet,
     /// Places jobs on workers.
     Jobs,
 }
 
 impl Duty {
-    /// The key of its lease.
+    /// The key of its lease's row.
     pub(crate) fn key(self) -> String {
         format!("{}{self}", Lease::PREFIX)
     }
 }
 
-/// Tries to carry a duty, and carries it while the lease lasts.
+/// Tries to acquire a duty's lease, and runs the duty's controller while the lease is held.
 pub(crate) async fn run_forever(node: Arc<Node>, duty: Duty) {
     let mut observer = Observer::default();
     let mut held: Option<Held> = None;
@@ -50,7 +50,7 @@
             held = renew_or_acquire(&node, duty, &mut observer, held).await;
             record_change(&node, duty, before, held);
             if before.map(|held| held.token) != held.map(|held| held.token) {
-                // What was remembered belongs to a time that others have acted in since.
+                // Others may have held the duty since, so the controller's state is outdated.
                 controller = drive::Controller::new(duty);
             }
         }
@@ -58,7 +58,7 @@
         if let Some(held) = held.filter(|held| held.is_fresh(node.clock.now(), term)) {
             controller.step(&node, held).await;
         }
-        // Who does not carry the duty has nothing to do before the next look at the lease.
+        // Without the lease there is nothing to do before the next check of it.
         let delay =
             if held.is_some() { STEP_INTERVAL.min(renewal_interval) } else { renewal_interval };
         if !node.sleep_unless_stopped(delay).await || node.is_stopping() {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Reads the lease, and renews or takes it.
+/// Reads the lease, then renews or acquires it.
 async fn renew_or_acquire(
     node: &Arc<Node>,
     duty: Duty,
@@ -90,11 +90,11 @@
         Action::Stand => return None,
         Action::Renew(next) | Action::Take(next) => next,
     };
-    // An absent row is conditional on being absent; a deleted one has a revision of its own.
+    // For an absent row the condition is its absence; a deleted one has a revision of its own.
     let transaction = Transaction::new().replace(Space::Lease, key, row.revision, &next);
     match node.platform.table.commit(transaction).await {
         Ok(revision) => Some(Held { token: next.token, revision, confirmed: now }),
-        // Whether it was written shows at the next look.
+        // The next read shows whether it was written.
         Err(Error::Lost { .. } | Error::Unavailable { .. }) => held,
         Err(_) => None,
     }
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -1,4 +1,4 @@
-//! Keeping the view: from the table, or in an outage from peers.
+//! Keeping the view up to date: from the table, or from peers during an outage of the table.
 
 use crate::node::Node;
 use crate::peers;
@@ -23,10 +23,10 @@
     }
 }
 
-/// Reads all changes since the last time.
+/// Reads all changes since the last refresh into the view.
 ///
 /// # Errors
-/// The platform's.
+/// When a read of the table fails.
 pub(crate) async fn refresh_view(node: &Arc<Node>) -> Result<(), celerythread_platform::Error> {
     loop {
         let since = node.view.read().upto();
@@ -38,7 +38,7 @@
     }
 }
 
-/// Takes rows into the view and acts on what changed.
+/// Applies rows to the view and acts on what changed.
 pub(crate) fn apply_rows(node: &Node, rows: &[Row], upto: Revision) {
     node.timeline.witness(Clock::statement(upto));
     let before = node.view.read().config_number();
@@ -68,7 +68,7 @@
     }
 }
 
-/// Brings the slots of owned minions up to the view: state, epoch, pool, address and count.
+/// Updates the slots of owned minions from the view: state, epoch, pool, address and count.
 pub(crate) fn refresh_slots(node: &Node) {
     let view = node.view.read();
     let mut router = node.router.lock();
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,16 +1,17 @@
-//! The daemon of an entry instance, as a library: `celerythreadd` only reads its arguments.
+//! The daemon of an entry instance, as a library; the program `celerythreadd` only parses its
+//! arguments.
 //!
-//! A request's way: [`front`] receives it whole and checks it, [`dispatch`] carries its
-//! attempts, [`router`] finds a slot here or at a peer, [`claims`] keeps keyed requests to one
-//! run.  [`node`] is what all of them share, with the lock order.
+//! The path of a request: [`front`] receives it whole and checks it, [`dispatch`] makes its
+//! attempts, [`router`] finds a slot here or at a peer, [`claims`] ensures that a keyed request
+//! runs once.  [`node`] holds the shared state and documents the lock order.
 //!
-//! What an entry knows and agrees on: [`follow`] keeps the view, [`membership`] registers it
-//! and clears away the dead, [`owner`] takes and gives back minions' slots, [`peers`] talks to
-//! the other entries, [`duty`] holds leases and [`drive`] carries the duties out.
+//! Shared state and coordination: [`follow`] keeps the view up to date, [`membership`] keeps the
+//! entry's registration, [`owner`] acquires and releases minions' slots, [`peers`] talks to the
+//! other entries, [`duty`] holds leases and [`drive`] carries out the duties.
 //!
-//! What operators see: [`operator`] is their interface, [`timeline`] the typed events,
-//! [`metrics`] the counters.  [`settings`] is the checked INI file; [`daemon`] starts it all
-//! and stops it gracefully.
+//! For operators: [`operator`] is their interface, [`timeline`] records typed events, [`metrics`]
+//! counts.  [`settings`] reads and checks the INI file; [`daemon`] starts all of this and stops
+//! it gracefully.
 
 mod bounded;
 mod claims;
--- a/crates/entry/src/membership.rs
+++ b/crates/entry/src/membership.rs
@@ -1,9 +1,9 @@
 //! The registry of entries that may route.
 //!
-//! An entry registers before it routes and reads the fleet's rows after that.  It leaves by its
-//! own graceful stop, or is cleared away once the platform's list has shown its instance gone
-//! for longer than the list's lag: then the process is gone for certain, and no clock of a
-//! paused one is trusted.
+//! An entry registers before it routes, and reads the fleet's rows after that.  Its registration
+//! is removed by its own graceful stop, or by the fleet controller once the platform's list has
+//! not shown the instance for longer than the list's lag.  Then the process has certainly
+//! terminated, without relying on the clock of a process that may only be paused.
 
 use crate::node::Node;
 use celerythread_model::fleet::{self, Registration};
@@ -16,10 +16,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Wait between two tries to register.
+/// Delay between two attempts to register.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Where this entry is reached.
+/// The addresses of this entry.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Addresses {
     pub(crate) peer: SocketAddr,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Registers this process, trying until it succeeds.  Tells whether it did before the stop.
+/// Registers this process, retrying until it succeeds.  Returns false if it is stopped first.
 pub(crate) async fn register(node: &Arc<Node>, addresses: Addresses) -> bool {
     let key = fleet::key::<Registration>(&node.entry_id);
     let registration = registration(node, addresses, false);
@@ -49,7 +49,7 @@
         }
         match node.platform.table.commit(transaction).await {
             Ok(_) => return true,
-            // A lost answer shows as a conflict with our own row on the next try.
+            // If the answer was lost, the next attempt conflicts with our own row.
             Err(Error::Conflict { rows }) => {
                 let ours = rows.iter().any(|existing| existing.key == key);
                 if ours {
@@ -65,8 +65,8 @@
     }
 }
 
-/// Rows of earlier processes at our own peer address: we could not have bound it while they
-/// lived.
+/// Rows of earlier processes at this entry's peer address.  They have terminated, since the
+/// address could not have been bound otherwise.
 fn predecessor_rows(node: &Node, peer: SocketAddr) -> Vec<(String, Revision)> {
     let view = node.view.read();
     let stale = view.entries().values().filter(|registration| registration.peer_address == peer);
@@ -80,25 +80,25 @@
         .collect()
 }
 
-/// Says in the registry that this entry takes no new work.
+/// Marks this entry in the registry as taking no new work.
 pub(crate) async fn announce_stop(node: &Arc<Node>, addresses: Addresses) {
     let key = fleet::key::<Registration>(&node.entry_id);
     let revision = node.view.read().revision(&key);
     let registration = registration(node, addresses, true);
     let transaction = Transaction::new().replace(Space::Fleet, key, revision, &registration);
-    // Best effort: peers also learn it from the beats.
+    // Best effort: peers also learn it from heartbeats.
     let _ = node.platform.table.commit(transaction).await;
     let _ = crate::follow::refresh_view(node).await;
 }
 
-/// Removes this entry from the registry.  Only called when it holds no work and no slots.
+/// Removes this entry from the registry.  Only called once it holds no work and no slots.
 pub(crate) async fn deregister(node: &Arc<Node>) -> bool {
     let key = fleet::key::<Registration>(&node.entry_id);
     let transaction = Transaction::new().delete(Space::Fleet, key);
     node.platform.table.commit(transaction).await.is_ok()
 }
 
-/// The instance of an entry: its id without the part that is new with every start.
+/// The name of an entry's instance: its id without the suffix that is new with every start.
 pub(crate) fn instance_name(entry: &id::Entry) -> &str {
     entry.as_str().rsplit_once('.').map_or(entry.as_str(), |(instance, _)| instance)
 }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -1,9 +1,9 @@
-//! What all parts of a daemon share.
+//! The state shared by all parts of a daemon.
 //!
 //! # Lock order
 //!
-//! `view` → `router` → `peers` → `holding` → `timeline` → `pauses`.  A lock is only taken while locks
-//! before it in this list are held, and no lock is held across an await.
+//! `view` → `router` → `peers` → `grants_in_use` → `timeline` → `pause_detector`.  A lock is only
+//! taken while locks before it in this list are held, and no lock is held across an await.
 
 use crate::bounded;
 use crate::claims::Claims;
@@ -32,19 +32,19 @@
 pub(crate) struct Node {
     /// This process's id, new with every start.
     pub(crate) entry_id: id::Entry,
-    /// What it was told.
+    /// Its settings.
     pub(crate) settings: Settings,
     /// Its clocks.
     pub(crate) clock: Clock,
-    /// The platform, with the table's calls counted.
+    /// The platform; calls of the table are counted.
     pub(crate) platform: Platform,
-    /// What it knows of the fleet.
+    /// Its copy of the fleet's rows.
     pub(crate) view: RwLock<View>,
     /// Slots and queues.
     pub(crate) router: Mutex<Router>,
     /// The other entries.
     pub(crate) peers: RwLock<Peers>,
-    /// Grants of peers in use here, by their owner.
+    /// Grants from peers in use here, by their owner.
     pub(crate) grants_in_use: Mutex<HashMap<id::Entry, HashSet<u64>>>,
     /// Idle connections to minions.
     pub(crate) connections: Connections,
@@ -54,41 +54,41 @@
     pub(crate) timeline: Arc<Timeline>,
     /// Counters.
     pub(crate) metrics: Arc<Metrics>,
-    /// Memory for request bodies.
+    /// Memory budget for request bodies.
     pub(crate) memory: bounded::Pool,
-    /// Whether the balancer may send callers here.
+    /// Whether the load balancer may send callers here.
     pub(crate) ready: AtomicBool,
-    /// Notices when this process stood still.
+    /// Detects pauses of this process.
     pub(crate) pause_detector: Mutex<pause::Watch>,
-    /// Whether no new work is taken any more.
+    /// Whether new work is refused, for a graceful stop.
     pub(crate) stopping: AtomicBool,
-    /// Requests of callers being worked on.
+    /// Callers' requests in flight.
     pub(crate) in_flight: AtomicUsize,
-    /// Set by an operator's change, so that it is followed up at once.
+    /// Wakes the reader of the table at once, for example after an operator's change.
     pub(crate) wake: Wake,
     /// Ends the background tasks.
     pub(crate) stop: StopToken,
 }
 
 impl Node {
-    /// Notes an event on the time line.
+    /// Records an event on the timeline.
     pub(crate) fn record_event(&self, kind: Kind) {
         self.timeline.note(self.clock.wall_ms(), kind);
     }
 
-    /// Whether no new work is taken any more.
+    /// Whether new work is refused, for a graceful stop.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Sleeps; tells whether the task should go on.
+    /// Sleeps.  Returns false as soon as the node is stopped.
     pub(crate) async fn sleep_unless_stopped(&self, time: Duration) -> bool {
         use stop_token::future::FutureExt;
         async_std::task::sleep(time).timeout_at(self.stop.clone()).await.is_ok()
     }
 
-    /// Notes that this process runs.  After a standstill it brings the view up to date at once:
-    /// what it knew may be long out of date.
+    /// Reports to the pause detector that this process runs.  After a pause the view is refreshed
+    /// at once, as it may be long out of date.
     pub(crate) fn detect_pause(&self, now: Moment) {
         if self.pause_detector.lock().observe(now) {
             self.count(Counter::Pauses);
@@ -96,7 +96,8 @@
         }
     }
 
-    /// For how long a peer last heard at `heard` could have been heard again and wasn't.
+    /// How long a peer has been silent since `heard`, or since this process last resumed from a
+    /// pause if that was later.
     pub(crate) fn silence(&self, heard: Moment, now: Moment) -> Duration {
         self.pause_detector.lock().silence(heard, now)
     }
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -70,7 +70,7 @@
     response
 }
 
-/// Whether the balancer may send callers here.
+/// Whether the load balancer may send callers here.
 fn readiness(node: &Node) -> Result<Response, Problem> {
     if node.ready.load(Ordering::SeqCst) && node.view.read().config().is_some() {
         return Ok(text_response("ready\n".into()));
@@ -83,12 +83,12 @@
     Err(Problem::new(Code::Stopping, detail))
 }
 
-/// The failure of a platform call, as an operator is told it.
+/// The response to an operator for a failed platform call.
 fn platform_problem(error: &celerythread_platform::Error) -> Problem {
     Problem::new(error.code(), error.to_string())
 }
 
-/// A malformed part of an operator's request.
+/// The response to a malformed operator's request.
 fn bad_request(error: impl ToString) -> Problem {
     Problem::new(Code::BadRequest, error.to_string())
 }
--- a/crates/entry/src/operator/config.rs
+++ b/crates/entry/src/operator/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: checked, applied against a base, shown, and its history.
+//! Configuration: showing, checking and applying it, and its history.
 
 use super::{bad_request, platform_problem};
 use crate::node::Node;
@@ -19,16 +19,16 @@
 use similar::TextDiff;
 use std::sync::Arc;
 
-/// Configurations told by `history` unless more are asked for.
+/// Configurations that `history` returns by default.
 const DEFAULT_HISTORY_LEN: u64 = 20;
 
-/// Tries of an apply whose answer was lost.
+/// Attempts of an apply that conflicted or whose answer was lost.
 const MAX_ATTEMPTS: u32 = 5;
 
-/// An operator's change.
+/// An operator's change of the configuration.
 #[derive(Deserialize)]
 struct Change {
-    /// The same id again is the same change.
+    /// Idempotency key: a repeated id is the same change.
     change: id::Change,
     author: String,
     /// The number of the configuration that the operator changed.
@@ -87,9 +87,9 @@
 
 /// Applies a change.
 ///
-/// One transaction writes the current configuration against its revision, the history, and the
-/// change's id against there being none: so racing operators are told apart, and a change whose
-/// answer was lost is found again under its id instead of being made twice.
+/// One transaction writes the current configuration on condition of its revision, the history,
+/// and the change's id on condition that it is new.  So of two concurrent changes one is refused,
+/// and a change whose answer was lost is found by its id instead of being made twice.
 pub(crate) async fn apply(node: &Arc<Node>, request: &Request) -> Result<Response, Problem> {
     let change: Change = body(request)?;
     Document::read(&change.template, &change.parameters)
@@ -118,7 +118,7 @@
                 node.timeline.note_at(node.clock.wall_ms(), revision, kind);
                 return accepted_response(node, config).await;
             }
-            // Somebody was faster, or nobody knows: the next round finds out which.
+            // Another change was committed first, or the outcome is unknown: the next round shows it.
             Err(Error::Conflict { .. } | Error::Lost { .. }) => {}
             Err(error) => return Err(platform_problem(&error)),
         }
@@ -134,7 +134,7 @@
         .replace(Space::History, change_key(&config.change), Revision(0), config)
 }
 
-/// The configuration that this change id has made already.
+/// The configuration that an earlier request with this change id has made.
 async fn find_applied_change(node: &Arc<Node>, change: &Change) -> Result<Option<Config>, Problem> {
     let keys = [change_key(&change.change)];
     let rows = node.platform.table.read(Space::History, &keys).await;
@@ -144,21 +144,21 @@
     };
     let same = config.template == change.template && config.parameters == change.parameters;
     if !same {
-        let detail = format!("change {} made another configuration", change.change);
+        let detail = format!("change {} was already used for another configuration", change.change);
         return Err(Problem::new(Code::ChangeReused, detail));
     }
     Ok(Some(config))
 }
 
 async fn accepted_response(node: &Arc<Node>, config: Config) -> Result<Response, Problem> {
-    // In force here before the operator is answered.
+    // The configuration is in force here before the operator is answered.
     let _ = crate::follow::refresh_view(node).await;
     node.wake.wake();
     Ok(json(&config))
 }
 
-/// The refusal of a change that was made against an older configuration, with what has changed
-/// since.
+/// The refusal of a change whose base is not the current configuration, with the difference
+/// between the two.
 async fn stale_base(node: &Arc<Node>, change: &Change) -> Problem {
     let current = node.view.read().config().cloned();
     let keys = [history_key(change.base)];
--- a/crates/entry/src/operator/jobs.rs
+++ b/crates/entry/src/operator/jobs.rs
@@ -19,7 +19,7 @@
 /// Most jobs changed in one transaction.
 const MAX_BATCH_JOBS: usize = 100;
 
-/// Tries of a batch that raced the placer.
+/// Most attempts at one commit if its answer is lost or a cancellation conflicts.
 const MAX_ATTEMPTS: u32 = 5;
 
 #[derive(Deserialize)]
@@ -41,7 +41,8 @@
     }
 }
 
-/// Queues a job.  The same spec under the same name again is the same job, for a lost answer.
+/// Queues a job.  A repeated submission of the same spec under the same name returns the existing
+/// job, so a lost answer can be retried.
 pub(crate) async fn submit(node: &Arc<Node>, request: &Request) -> Result<Response, Problem> {
     let spec: Spec = body(request)?;
     refuse_impossible(node, &spec).await?;
@@ -79,7 +80,8 @@
     }
 }
 
-/// Refuses at once what no worker and no quota could ever take.
+/// Refuses a job at once if its team is unknown, or if it exceeds the team's whole quota or the
+/// size of every worker.
 async fn refuse_impossible(node: &Arc<Node>, spec: &Spec) -> Result<(), Problem> {
     let impossible = |detail: String| Err(Problem::new(Code::JobImpossible, detail));
     let document = node.view.read().document().clone();
@@ -92,7 +94,7 @@
     let listing = node.platform.roster.list("").await.map_err(|error| platform_problem(&error))?;
     let listing = listing.unwrap_or_default();
     let mut workers = listing.instances.iter().filter(|i| i.role == Role::Worker).peekable();
-    // Without any worker listed nothing is known; the placer decides once there are some.
+    // With no worker listed, the job controller decides once there are some.
     if workers.peek().is_some() && !workers.any(|worker| spec.size.fits(&worker.size)) {
         return impossible("no worker has all that it needs".into());
     }
@@ -129,8 +131,8 @@
         }
         match node.platform.table.commit(transaction).await {
             Ok(_) => return Ok(cancelled),
-            // The placer changed one of them, or nobody knows: those already cancelled are
-            // left out of the next try.
+            // The job controller changed one of them, or the outcome is unknown: the next attempt
+            // omits those already cancelled.
             Err(Error::Conflict { .. } | Error::Lost { .. }) => {}
             Err(error) => return Err(platform_problem(&error)),
         }
--- a/crates/entry/src/operator/maintenance.rs
+++ b/crates/entry/src/operator/maintenance.rs
@@ -1,4 +1,4 @@
-//! Declaring, listing and cancelling maintenance.
+//! Declaring, listing and cancelling maintenance waves.
 
 use super::{bad_request, platform_problem};
 use crate::drive;
@@ -21,16 +21,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Time that draining adds to a reboot in the forecast.
+/// Time that draining adds to each reboot in the forecast.
 const DRAIN_TIME: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// The row whose revision orders declarations: two of them never overlook each other.
+/// The row whose revision orders declarations, so that of two concurrent ones the second is
+/// checked against the first.
 const DECLARATIONS_KEY: &str = "declarations";
 
-/// Tries of a declaration that raced another one.
+/// Attempts of a declaration or cancellation that conflicted or whose answer was lost.
 const MAX_ATTEMPTS: u32 = 5;
 
-/// What an operator declares; an empty list means all.
+/// An operator's declaration of a wave; an empty list selects all.
 #[derive(Deserialize)]
 struct Declaration {
     wave: id::Wave,
@@ -43,11 +44,11 @@
     services: BTreeSet<id::Service>,
     #[serde(default)]
     minions: BTreeSet<id::Minion>,
-    /// How long from now nothing is taken out yet.
+    /// Time from now before the first minion is drained.
     after: Option<Span>,
-    /// The window in which instances are taken out.
+    /// The maintenance window in which minions are drained.
     window: Option<String>,
-    /// How long from now it may take.
+    /// Time from now within which the wave must be done.
     within: Option<Span>,
 }
 
@@ -78,7 +79,7 @@
     for _ in 0..MAX_ATTEMPTS {
         crate::follow::refresh_view(node).await.map_err(|error| platform_problem(&error))?;
         if let Some(existing) = node.view.read().waves().get(&declaration.wave) {
-            // The same name again is the same declaration, for a lost answer.
+            // A repeated name is the same declaration, so a lost answer can be retried.
             return Ok(json(existing));
         }
         let (row, forecast) = plan_wave(node, &declaration)?;
@@ -114,7 +115,7 @@
         .replace(Space::Fleet, fleet::key::<Wave>(&row.wave), Revision(0), row)
 }
 
-/// The wave's row with its forecast, or why it cannot be.
+/// The wave's row with its forecast, or why it cannot be run.
 fn plan_wave(node: &Node, declaration: &Declaration) -> Result<(Wave, Forecast), Problem> {
     let view = node.view.read();
     let targets: Vec<Target> =
@@ -175,14 +176,14 @@
     };
     let binding = forecast.binding.as_ref().map_or("", |service| service.as_str());
     let detail = format!(
-        "the forecast is {} and {within} was allowed; {binding} binds, with {} at once",
+        "the forecast is {} but {within} was allowed; {binding} is the bottleneck, with {} at once",
         Span(forecast.time),
         forecast.parallel
     );
     Err(Problem::new(Code::WaveTooLate, detail))
 }
 
-/// A minion is maintained by one wave at a time.
+/// Refuses a wave that shares a minion with an open one.
 fn refuse_overlap(
     view: &celerythread_policy::view::View,
     targets: &[Target],
@@ -197,7 +198,7 @@
     Ok(())
 }
 
-/// Cancels a wave: nothing more is taken out, and what is out returns.
+/// Cancels a wave: no further minion is drained, and those out of service return.
 pub(crate) async fn cancel(node: &Arc<Node>, request: &Request) -> Result<Response, Problem> {
     let cancellation: Cancellation = body(request)?;
     for _ in 0..MAX_ATTEMPTS {
--- a/crates/entry/src/operator/pools.rs
+++ b/crates/entry/src/operator/pools.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A minion with who hands out its slots.
+/// A minion with the entry that owns its slots.
 #[derive(Serialize)]
 pub(crate) struct ListedMinion {
     #[serde(flatten)]
@@ -64,8 +64,9 @@
     target: String,
 }
 
-/// Drains a minion for another pool.  The disruption's row is written in the same transaction,
-/// so two operators, or an operator and a wave, cannot both take the last that may go.
+/// Drains a minion to move it to another pool.  The disruption row is written in the same
+/// transaction, so two operators, or an operator and a wave, cannot both drain the last minion
+/// above the floor.
 pub(crate) async fn move_minion(node: &Arc<Node>, request: &Request) -> Result<Response, Problem> {
     let order: MoveOrder = body(request)?;
     let name: id::Minion = order.minion.parse().map_err(bad_request)?;
--- a/crates/entry/src/operator/status.rs
+++ b/crates/entry/src/operator/status.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of itself and of the others.
+//! The status of an entry, and of the others as it sees them.
 
 use crate::node::Node;
 use celerythread_model::id;
@@ -23,7 +23,7 @@
     entry: id::Entry,
     zone: id::Zone,
     operator_address: SocketAddr,
-    /// The configuration it acts by; none while it does not answer.
+    /// The configuration in force there; none while it does not answer.
     config: Option<Revision>,
     answers: bool,
     stopping: bool,
--- a/crates/entry/src/owner.rs
+++ b/crates/entry/src/owner.rs
@@ -1,4 +1,4 @@
-//! Taking and giving back the slots of minions, and confirming drains.
+//! Acquiring and releasing the slots of minions, and confirming drains.
 
 use crate::node::Node;
 use celerythread_model::event::Kind;
@@ -14,10 +14,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two looks at what should be owned.
+/// Time between two checks of which minions should be owned.
 const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// What the slot ledger needs to know of a minion.
+/// A minion as the slot ledger describes it.
 pub(crate) fn minion_spec(view: &View, minion: &Minion, active: bool) -> Spec {
     let service = view.document().services.get(&minion.pool);
     Spec {
@@ -29,7 +29,7 @@
     }
 }
 
-/// Keeps the ownership of minions' slots as it should be.
+/// Brings the ownership of minions' slots in line with the assignment, until the node stops.
 pub(crate) async fn reconcile_forever(node: Arc<Node>) {
     let mut last = None;
     while node.sleep_unless_stopped(CHECK_INTERVAL).await {
@@ -40,8 +40,8 @@
             continue;
         }
         let steps = plan(&node);
-        // A step may have to be tried again, for example a hand-over that waits for work in
-        // flight; so there is nothing settled about a plan that has any.
+        // A step may have to be retried, for example a release that waits for work in flight, so
+        // a plan that has steps is always made again.
         last = steps.is_empty().then_some(input);
         for step in steps {
             execute(&node, step).await;
@@ -49,9 +49,9 @@
     }
 }
 
-/// What the plan is made from; while it stays the same there is nothing new to decide.
+/// The input of a plan; while it stays the same there is nothing new to decide.
 ///
-/// Assigning 1,300 minions anew four times a second would be most of an idle entry's work.
+/// Assigning 1,300 minions again four times a second would be most of an idle entry's work.
 #[derive(Eq, PartialEq)]
 struct PlanInput {
     upto: Revision,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Whether nothing changed, and nothing of ours waits for work in flight to end.
+    /// Whether nothing changed and no owned minion waits for a drain or a former owner.
     fn is_unchanged(&self, node: &Node, last: Option<&PlanInput>) -> bool {
         if last != Some(self) {
             return false;
@@ -84,7 +84,7 @@
     }
 }
 
-/// One step for one minion.
+/// A change of the ownership of one minion.
 enum Step {
     Acquire(Ownership),
     Release(Ownership),
@@ -94,13 +94,13 @@
 
 fn candidates(node: &Node, view: &View) -> BTreeMap<id::Entry, Candidate> {
     let now = node.clock.now();
-    // Woken up, this may run before the regular look at the clock.
+    // After a pause this may run before the regular check of the clock.
     node.detect_pause(now);
     let peers = node.peers.read();
     let of = |row: &fleet::Registration| {
         let myself = row.entry == node.entry_id;
         let peer = peers.get(&row.entry);
-        // A peer never heard counts from our own start.
+        // The silence of a peer that was never heard counts from this process's start.
         let heard = peer.map_or_else(Default::default, |peer| peer.heard);
         let silence = node.silence(heard, now);
         let stopping = if myself { node.is_stopping() } else { row.stopping };
@@ -115,11 +115,11 @@
     view.entries().values().map(|row| (row.entry.clone(), of(row))).collect()
 }
 
-/// Everything that this entry should do now.
+/// The changes of ownership that this entry should make now.
 fn plan(node: &Node) -> Vec<Step> {
     let view = node.view.read();
     if !view.entries().contains_key(&node.entry_id) {
-        // Not registered, or cleared away by mistake: what is not registered hands out nothing.
+        // Not registered, or removed by mistake: an unregistered entry may not grant slots.
         return Vec::new();
     }
     let candidates = candidates(node, &view);
@@ -148,16 +148,16 @@
     steps
 }
 
-/// What the owner has to state about its minion: that a drain is complete, or that a former
-/// owner is gone.
+/// What the owner has to confirm about its minion: that a drain is complete, or that a former
+/// owner no longer uses it.
 fn confirmation(
     node: &Node,
     view: &View,
     row: &Ownership,
     registered: &BTreeSet<id::Entry>,
 ) -> Option<Step> {
-    // A former owner that came back has seen, by its own view, that it was taken over, and
-    // lists no work on the minion; its beat says up to which revision it knows.
+    // A former owner that answers again is done once its view includes the takeover and it lists
+    // no work on the minion; its heartbeat carries the revision of its view.
     let taken_over = view.revision(&fleet::key::<Ownership>(&row.minion));
     let confirmed = |former: &id::Entry| {
         let peers = node.peers.read();
@@ -195,8 +195,8 @@
     }
 }
 
-/// Writes an ownership row, conditional on it and on the minion's row: whoever moves the
-/// minion meanwhile is not overlooked.
+/// Writes an ownership row, conditional on its revision and on that of the minion's row, so that
+/// a concurrent move of the minion is not overlooked.
 async fn write_ownership(node: &Arc<Node>, row: &Ownership) -> bool {
     let (own_key, minion_key) =
         (fleet::key::<Ownership>(&row.minion), fleet::key::<Minion>(&row.minion));
@@ -211,7 +211,7 @@
         row,
     );
     let committed = node.platform.table.commit(transaction).await.is_ok();
-    // Whatever happened, the view must show it before the next step.
+    // The view must show the outcome before the next step.
     let _ = crate::follow::refresh_view(node).await;
     committed
 }
@@ -243,7 +243,7 @@
     node.record_event(Kind::SlotsTaken { minion: row.minion, takeover });
 }
 
-/// Stops handing out, and gives the minion back once nothing is outstanding.
+/// Stops granting slots, and releases the minion once none is in use.
 async fn release_minion(node: &Arc<Node>, row: Ownership) {
     let now = node.clock.now();
     let idle = {
@@ -268,7 +268,7 @@
     }
 }
 
-/// Gives everything back, for a graceful stop.  Tells whether nothing is left.
+/// Releases all owned minions for a graceful stop.  Returns whether none is left.
 pub(crate) async fn release_all(node: &Arc<Node>) -> bool {
     let rows: Vec<Ownership> = {
         let view = node.view.read();
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -11,43 +11,43 @@
 use std::path::PathBuf;
 use strum::{Display, EnumString, VariantArray};
 
-/// How log lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Display, EnumString, VariantArray)]
 #[strum(serialize_all = "lowercase")]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text.
     #[default]
     Text,
-    /// For programs.
+    /// One JSON object a line.
     Json,
 }
 
-/// Everything that an instance is told.
+/// The settings of an instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The instance's name, as the platform's list has it.
+    /// The instance's name in the platform's list.
     pub name: String,
     /// Its availability zone.
     pub zone: id::Zone,
-    /// Where callers reach it.
+    /// The address that serves callers.
     pub caller_listen: SocketAddr,
     /// Limits of callers' connections.
     pub caller_limits: Limits,
-    /// Bytes of request bodies held in memory at once.
+    /// Most bytes of request bodies held in memory at once.
     pub body_memory: Bytes,
-    /// Where operators reach it.
+    /// The address that serves operators.
     pub operator_listen: SocketAddr,
-    /// Where peers reach it.
+    /// The address that serves peers.
     pub peer_listen: SocketAddr,
-    /// Its keys.
+    /// Its certificate and key for peers.
     pub keys: identity::Settings,
-    /// Time between two beats to a peer of the own availability zone.
+    /// Time between two heartbeats to a peer in the same availability zone.
     pub heartbeat_interval: Span,
-    /// Time between two beats to a peer of another one.
+    /// Time between two heartbeats to a peer in another availability zone.
     pub remote_heartbeat_interval: Span,
     /// Silence after which a peer's minions are taken over.
     pub takeover_after: Span,
-    /// How the platform is reached.
+    /// The connection to the platform.
     pub platform: http::Settings,
     /// Time between two reads of the table's changes.
     pub poll_interval: Span,
@@ -55,19 +55,19 @@
     pub claim_interval: Span,
     /// Term of a duty's lease.
     pub lease_term: Span,
-    /// How log lines are written.
+    /// The format of log lines.
     pub log_format: LogFormat,
-    /// Least severe log lines that are written.
+    /// Least severe level of log lines that are written.
     pub log_level: log::LevelFilter,
-    /// Where counters are sent by statsd; none sends none.
+    /// The statsd server that counters are sent to; with none they are not sent.
     pub statsd: Option<SocketAddr>,
-    /// Time between two sendings of counters.
+    /// Time between two transmissions of counters.
     pub metrics_interval: Span,
     /// Longest time that a graceful stop waits for work in flight.
     pub stop_timeout: Span,
-    /// Time for the balancer to see that the instance is not ready.
+    /// Time for the load balancer to see that the instance is not ready.
     pub stop_notice: Span,
-    /// Events kept for the time line.
+    /// Most events kept on the timeline.
     pub max_events: usize,
 }
 
@@ -109,7 +109,7 @@
     /// Reads a settings file.
     ///
     /// # Errors
-    /// Every mistake at once.
+    /// All mistakes found in the file.
     pub fn read(text: &str) -> Result<Self, Vec<Mistake>> {
         Reader::read_whole(text, &SECTIONS, |reader| {
             let settings = Self::read_keys(reader);
@@ -230,7 +230,7 @@
         }
     }
 
-    /// What no single key can tell.
+    /// Checks that involve several keys.
     fn check_consistency(&self, reader: &mut Reader) {
         if self.platform.addresses.is_empty() {
             let text = "at least one address must be given".into();
