--- a/crates/entry/tests/settings.rs
+++ b/crates/entry/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings reader.
+//! Reading of the settings file.
 
 use celerythread_entry::Settings;
 use celerythread_entry::metrics::{Counter, Metrics};
@@ -25,21 +25,21 @@
 ";
 
 #[test]
-fn a_short_file_is_enough() {
+fn required_keys_are_enough() {
     let settings = Settings::read(GOOD).unwrap();
     assert_eq!(settings.platform.addresses.len(), 2);
     assert_eq!(settings.poll_interval, Settings::default().poll_interval);
 }
 
 #[test]
-fn what_contradicts_is_told() {
+fn contradicting_settings_are_reported() {
     let text = format!("{GOOD}poll = 5s\n[lease]\nterm = 10s\n");
     let mistakes = Settings::read(&text).unwrap_err();
     assert_eq!(mistakes.len(), 1, "{mistakes:?}");
     assert_eq!((mistakes[0].code, mistakes[0].line), (Code::Contradiction, 17));
 }
 
-/// Counters reach the address that is set, by statsd's own text.
+/// Counters reach the configured address in statsd's text format.
 #[test]
 fn counters_are_sent_by_statsd() {
     let receiver = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -56,13 +56,13 @@
 
 proptest! {
     #[test]
-    fn any_text_is_answered(text in "\\PC{0,300}") {
+    fn no_text_panics(text in "\\PC{0,300}") {
         let _ = Settings::read(&text);
     }
 
-    /// One wrong line never hides another, and never makes the reader panic.
+    /// The reader does not panic on any value of any key.
     #[test]
-    fn any_value_of_any_key_is_answered(value in "[ -~]{0,20}", line in 0usize..13) {
+    fn no_value_of_any_key_panics(value in "[ -~]{0,20}", line in 0usize..13) {
         let text: Vec<String> = GOOD
             .lines()
             .enumerate()
--- a/crates/entry/tests/timeline.rs
+++ b/crates/entry/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The order in which a process notes its events.
+//! The order of recorded events.
 
 use celerythread_entry::Timeline;
 use celerythread_model::event::{Clock, Kind, merge};
@@ -11,11 +11,11 @@
     Timeline::new(process.parse().unwrap(), CAPACITY)
 }
 
-/// An operator reads that a configuration was in force before it was accepted.  The entry that
-/// wrote it sees the row through its feed and puts it in force before the answer to its write
-/// arrives; the acceptance, noted last, stood behind what it had caused.
+/// Guards against a timeline that shows a configuration in force before it was accepted.  The
+/// entry that wrote the configuration may read its row and put it in force before the answer to
+/// the write arrives; the acceptance is then recorded last but must be listed first.
 #[test]
-fn an_acceptance_noted_late_stands_before_its_effects() {
+fn an_acceptance_recorded_late_precedes_its_effects() {
     let committed = Revision(51);
     let [writer, other] = ["a", "b"].map(timeline);
     let accepted = Kind::ConfigAccepted { number: NUMBER, change: "c1".parse().unwrap() };
@@ -32,10 +32,10 @@
     assert_eq!(kinds, [&accepted, &in_force, &in_force]);
 }
 
-/// The same, when what happened at the writing entry alone has carried its position far beyond
-/// the table's revision.
+/// As above, when local events of the writing entry have advanced its position far beyond the
+/// table's revision.
 #[test]
-fn local_events_do_not_move_an_acceptance_behind_its_effects() {
+fn local_events_do_not_move_an_acceptance_after_its_effects() {
     let committed = Revision(51);
     let [writer, other] = ["a", "b"].map(timeline);
     let accepted = Kind::ConfigAccepted { number: NUMBER, change: "c1".parse().unwrap() };
