--- a/crates/entry/src/drive/fleet.rs
+++ b/crates/entry/src/drive/fleet.rs
@@ -102,7 +102,7 @@
             out.cloned().collect()
         };
         for minion in out {
-            match self.next_step(node, &minion) {
+            match self.next_action(node, &minion) {
                 Step::Wait => {}
                 Step::Reboot(boot) => {
                     // If the answer is lost, the list shows the reboot; a repeated request is
@@ -110,8 +110,8 @@
                     let _ = node.platform.roster.reboot(minion.minion.as_str(), boot).await;
                 }
                 Step::Write(row) => {
-                    let back = row.state == State::Active;
-                    if self.replace_minion(node, held, &minion, &row, None).await && back {
+                    let returned = row.state == State::Active;
+                    if self.replace_minion(node, held, &minion, &row, None).await && returned {
                         let (minion, pool, epoch) = (row.minion, row.pool, row.epoch);
                         node.record_event(Kind::Returned { minion, pool, epoch });
                     }
@@ -120,7 +120,7 @@
         }
     }
 
-    fn next_step(&self, node: &Node, minion: &Minion) -> Step {
+    fn next_action(&self, node: &Node, minion: &Minion) -> Step {
         let view = node.view.read();
         let ownership = view.owners().get(&minion.minion);
         let owner = ownership.and_then(|row| row.owner.as_ref());
--- a/crates/entry/src/duty.rs
+++ b/crates/entry/src/duty.rs
@@ -48,7 +48,7 @@
             checked_at = Some(now);
             let before = held;
             held = renew_or_acquire(&node, duty, &mut observer, held).await;
-            record_change(&node, duty, before, held);
+            record_lease_change(&node, duty, before, held);
             if before.map(|held| held.token) != held.map(|held| held.token) {
                 // Others may have held the duty since, so the controller's state is outdated.
                 controller = drive::Controller::new(duty);
@@ -100,7 +100,7 @@
     }
 }
 
-fn record_change(node: &Node, duty: Duty, before: Option<Held>, after: Option<Held>) {
+fn record_lease_change(node: &Node, duty: Duty, before: Option<Held>, after: Option<Held>) {
     let (before, after) = (before.map(|held| held.token), after.map(|held| held.token));
     if before == after {
         return;
@@ -117,5 +117,5 @@
     let row = Lease { holder: None, token: held.token, beat: 0 };
     let transaction = Transaction::new().replace(Space::Lease, duty.key(), held.revision, &row);
     let _ = node.platform.table.commit(transaction).await;
-    record_change(node, duty, Some(held), None);
+    record_lease_change(node, duty, Some(held), None);
 }
