--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -140,7 +140,7 @@
     let attempt = format!("{:016x}", rand::random::<u64>());
     let claim = Claim {
         attempt: attempt.parse().expect("hexadecimal digits form a valid id"),
-        entry: node.me.clone(),
+        entry: node.entry_id.clone(),
         fingerprint,
         stage: Stage::Running,
         made_at: node.clock.wall_ms(),
@@ -199,7 +199,7 @@
             // A conflict: an earlier try was committed after all, or an operator changed the row.
             Ok(_) | Err(WriteError::Conflict(_)) => return,
             Err(WriteError::Unavailable) => {
-                if !node.pause(RETRY_DELAY).await {
+                if !node.sleep_unless_stopped(RETRY_DELAY).await {
                     return;
                 }
             }
@@ -214,7 +214,7 @@
     }
     let name = format!("answer-{}", owned.claim.attempt);
     while node.platform.objects.put(&name, body.clone()).await.is_err() {
-        if !node.pause(RETRY_DELAY).await {
+        if !node.sleep_unless_stopped(RETRY_DELAY).await {
             break;
         }
     }
@@ -334,7 +334,7 @@
     let keys: Vec<String> = batch.iter().map(|operation| operation.key.clone()).collect();
     for _ in 0..MAX_READ_BACK_ATTEMPTS {
         let Ok(rows) = node.platform.table.read(Space::Claim, &keys).await else {
-            node.pause(RETRY_DELAY / 5).await;
+            node.sleep_unless_stopped(RETRY_DELAY / 5).await;
             continue;
         };
         let mut left = Vec::new();
@@ -367,7 +367,7 @@
     let key = operation.key.clone();
     node.claims.unsettled.fetch_add(1, Ordering::SeqCst);
     async_std::task::spawn(async move {
-        while node.pause(RETRY_DELAY).await {
+        while node.sleep_unless_stopped(RETRY_DELAY).await {
             let Ok(rows) = node.platform.table.read(Space::Claim, std::slice::from_ref(&key)).await
             else {
                 continue;
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starting a daemon, and stopping it without cutting a request off.
+//! Starting a daemon, and stopping it gracefully: requests in flight are finished.
 
 use crate::bounded;
 use crate::claims::{self, Claims};
@@ -38,18 +38,18 @@
 use stop_token::StopSource;
 use strum::VariantArray;
 
-/// Time between two looks at whether a stop is complete.
-const STOP_POLL: Duration = Duration::from_millis(20);
+/// Time between two checks whether a stop is complete.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two looks at the clock, for noticing pauses of this process.
-const TICK: Duration = Duration::from_millis(200);
+/// Time between two reads of the clock to detect pauses of this process.
+const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A gap between two looks that counts as a pause: ten of them in a row left out.
-const PAUSE: Duration = Duration::from_secs(2);
+/// A gap between two reads of the clock that counts as a pause: ten missed in a row.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// Part of the time to a takeover that counts as a pause in any case: after a shorter one, living
-/// peers are heard again before they would be taken for lost.
-const PAUSE_PART: u32 = 2;
+/// A gap of the takeover time divided by this counts as a pause in any case.  After a shorter
+/// one, live peers are heard again before their minions would be taken over.
+const PAUSE_TAKEOVER_DIVISOR: u32 = 2;
 
 /// Most connections of callers at once; each can hold one request body in memory.
 const MAX_CONNECTIONS: usize = 4096;
@@ -57,7 +57,7 @@
 /// Why a daemon could not start.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// An address cannot be listened at.
+    /// Listening at an address failed.
     #[snafu(display("cannot listen at {address}: {source}"))]
     Listen {
         /// The address.
@@ -68,7 +68,7 @@
     /// The peers' socket cannot be opened.
     #[snafu(display("cannot open the peers' socket: {source}"))]
     Peers {
-        /// Why.
+        /// The error of the endpoint.
         source: celerythread_wire::Error,
     },
 }
@@ -85,15 +85,15 @@
     connections: Arc<AtomicUsize>,
 }
 
-/// How a graceful stop went.
+/// The result of a graceful stop.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Report {
-    /// Callers' connections that were still being answered at the bound.
+    /// Callers' connections still open at the timeout.
     pub unanswered: usize,
-    /// Settlements of keyed requests that were not committed at the bound.
+    /// Results of keyed requests that were not committed at the timeout.
     pub unsettled: usize,
-    /// Whether slots were handed back and the registry left.
-    pub left: bool,
+    /// Whether all slots were released and the entry's registration removed.
+    pub deregistered: bool,
 }
 
 impl Daemon {
@@ -114,11 +114,11 @@
         let endpoint = Arc::new(endpoint);
         let addresses = Addresses {
             peer: endpoint.local_address().context(PeersSnafu)?,
-            operator: local(&operators, settings.operator_listen)?,
+            operator: local_address(&operators, settings.operator_listen)?,
         };
-        let caller_address = local(&callers, settings.caller_listen)?;
+        let caller_address = local_address(&callers, settings.caller_listen)?;
         let (stop, closing, ended) = (StopSource::new(), StopSource::new(), StopSource::new());
-        let node = Arc::new(build(settings, platform, &stop));
+        let node = Arc::new(build_node(settings, platform, &stop));
         let daemon = Self {
             node,
             addresses,
@@ -135,35 +135,35 @@
         Ok(daemon)
     }
 
-    /// This process's id.
+    /// This process's id, new with every start.
     pub fn id(&self) -> &id::Entry {
-        &self.node.me
+        &self.node.entry_id
     }
 
-    /// Where callers reach it.
+    /// The address that serves callers.
     pub fn caller_address(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where operators reach it.
+    /// The address that serves operators.
     pub fn operator_address(&self) -> SocketAddr {
         self.addresses.operator
     }
 
-    /// Where peers reach it.
+    /// The address that serves peers.
     pub fn peer_address(&self) -> SocketAddr {
         self.addresses.peer
     }
 
-    /// Its counters.
+    /// Its metrics.
     pub fn metrics(&self) -> &Arc<Metrics> {
         &self.node.metrics
     }
 
-    /// Waits until it serves.
+    /// Waits until it is ready to serve callers.
     pub async fn ready(&self) {
         while !self.node.ready.load(Ordering::SeqCst) {
-            async_std::task::sleep(STOP_POLL).await;
+            async_std::task::sleep(STOP_POLL_INTERVAL).await;
         }
     }
 
@@ -193,44 +193,48 @@
         async_std::task::spawn(peers::accept_forever(node.clone(), self.endpoint.clone()));
         async_std::task::spawn(claims::commit_forever(node.clone()));
         async_std::task::spawn(send_metrics(node.clone()));
-        async_std::task::spawn(watch_pauses(node.clone()));
-        async_std::task::spawn(join(node.clone(), self.addresses, self.endpoint.clone()));
+        async_std::task::spawn(watch_for_pauses(node.clone()));
+        async_std::task::spawn(register_and_serve(
+            node.clone(),
+            self.addresses,
+            self.endpoint.clone(),
+        ));
     }
 
-    /// Stops gracefully: first the balancer sees that it is not ready, then no new work is
-    /// taken, then what is in flight is finished, then slots are handed back and the registry
-    /// is left.
+    /// Stops gracefully: first the load balancer sees that it is not ready, then new work is
+    /// refused, then work in flight is finished, then slots are released and the registration
+    /// is removed.
     pub async fn stop(self) -> Report {
         let node = &self.node;
-        let bound = node.settings.stop_bound.0;
-        let began = node.clock.now();
-        node.note(Kind::Stopping);
+        let stop_timeout = node.settings.stop_timeout.0;
+        let started = node.clock.now();
+        node.record_event(Kind::Stopping);
         node.ready.store(false, Ordering::SeqCst);
         drop(self.closing);
         async_std::task::sleep(node.settings.stop_notice.0).await;
         node.stopping.store(true, Ordering::SeqCst);
-        let _ = timeout(bound, membership::announce_stop(node, self.addresses)).await;
+        let _ = timeout(stop_timeout, membership::announce_stop(node, self.addresses)).await;
         drop(self.ended);
-        let left = || bound.saturating_sub(node.clock.now().since(began));
+        let remaining = || stop_timeout.saturating_sub(node.clock.now().since(started));
         let busy = || {
             self.connections.load(Ordering::SeqCst) > 0
-                || node.flying.load(Ordering::SeqCst) > 0
+                || node.in_flight.load(Ordering::SeqCst) > 0
                 || node.claims.unsettled() > 0
         };
-        while busy() && !left().is_zero() {
-            async_std::task::sleep(STOP_POLL).await;
+        while busy() && !remaining().is_zero() {
+            async_std::task::sleep(STOP_POLL_INTERVAL).await;
         }
         let mut report = Report {
             unanswered: self.connections.load(Ordering::SeqCst),
             unsettled: node.claims.unsettled(),
-            left: false,
+            deregistered: false,
         };
-        while !left().is_zero() && !report.left {
-            let leaving =
-                async { owner::hand_back_all(node).await && membership::leave(node).await };
-            report.left = timeout(left(), leaving).await.unwrap_or(false);
-            if !report.left {
-                async_std::task::sleep(STOP_POLL * 5).await;
+        while !remaining().is_zero() && !report.deregistered {
+            let deregistration =
+                async { owner::release_all(node).await && membership::deregister(node).await };
+            report.deregistered = timeout(remaining(), deregistration).await.unwrap_or(false);
+            if !report.deregistered {
+                async_std::task::sleep(STOP_POLL_INTERVAL * 5).await;
             }
         }
         self.endpoint.close();
@@ -243,21 +247,21 @@
     TcpListener::bind(address).await.context(ListenSnafu { address })
 }
 
-fn local(listener: &TcpListener, address: SocketAddr) -> Result<SocketAddr, Error> {
+fn local_address(listener: &TcpListener, address: SocketAddr) -> Result<SocketAddr, Error> {
     listener.local_addr().context(ListenSnafu { address })
 }
 
-/// An id that no process before or after has.
+/// An id of this process: a random suffix tells it from earlier and later ones.
 fn new_id(name: &str) -> id::Entry {
     let id = format!("{name}.{:08x}", rand::random::<u32>());
     id.parse().expect("a checked name with hexadecimal digits is an id")
 }
 
-fn build(settings: Settings, platform: Platform, stop: &StopSource) -> Node {
+fn build_node(settings: Settings, platform: Platform, stop: &StopSource) -> Node {
     let clock = Clock::new();
-    let me = new_id(&settings.name);
+    let entry_id = new_id(&settings.name);
     let metrics = Arc::new(Metrics::new(&settings));
-    let timeline = Arc::new(Timeline::new(me.clone(), settings.events));
+    let timeline = Arc::new(Timeline::new(entry_id.clone(), settings.max_events));
     let table = InstrumentedTable {
         inner: platform.table.clone(),
         metrics: metrics.clone(),
@@ -265,67 +269,67 @@
         clock,
         reachable: AtomicBool::new(true),
     };
-    let pause = PAUSE.min(settings.takeover_after.0 / PAUSE_PART);
-    let longest_beat = settings.beat.0.max(settings.far_beat.0);
+    let pause = PAUSE_THRESHOLD.min(settings.takeover_after.0 / PAUSE_TAKEOVER_DIVISOR);
+    let longest_heartbeat = settings.heartbeat_interval.0.max(settings.remote_heartbeat_interval.0);
     Node {
-        me,
-        memory: bounded::MemoryBudget::new(settings.memory.0),
+        entry_id,
+        memory: bounded::MemoryBudget::new(settings.body_memory.0),
         settings,
         clock,
         platform: Platform { table: Arc::new(table), ..platform },
         view: RwLock::new(View::default()),
         router: Mutex::new(Router::default()),
-        peers: RwLock::new(Peers::new(longest_beat)),
-        holding: Mutex::default(),
+        peers: RwLock::new(Peers::new(longest_heartbeat)),
+        grants_in_use: Mutex::default(),
         connections: Connections::default(),
         claims: Claims::new(),
         timeline,
         metrics,
         ready: AtomicBool::new(false),
-        pauses: Mutex::new(pause::Detector::new(pause)),
+        pause_detector: Mutex::new(pause::Detector::new(pause)),
         stopping: AtomicBool::new(false),
-        flying: AtomicUsize::new(0),
+        in_flight: AtomicUsize::new(0),
         wake: Wake::default(),
         stop: stop.token(),
     }
 }
 
-/// Registers, takes the first view, and starts everything that needs both.
-async fn join(node: Arc<Node>, addresses: Addresses, endpoint: Arc<Endpoint>) {
-    while follow::once(&node).await.is_err() {
-        if !node.pause(node.settings.poll.0).await {
+/// Reads the first view, registers, and starts the tasks that need both.
+async fn register_and_serve(node: Arc<Node>, addresses: Addresses, endpoint: Arc<Endpoint>) {
+    while follow::refresh_view(&node).await.is_err() {
+        if !node.sleep_unless_stopped(node.settings.poll_interval.0).await {
             return;
         }
     }
     if !membership::register(&node, addresses).await {
         return;
     }
-    // The rows are read after the registration: whoever changes the fleet from now on can see
-    // that this entry must be reckoned with.
-    while follow::once(&node).await.is_err() {
-        if !node.pause(node.settings.poll.0).await {
+    // Read the rows again after the registration: whoever changes the fleet from now on sees
+    // this entry in the registry.
+    while follow::refresh_view(&node).await.is_err() {
+        if !node.sleep_unless_stopped(node.settings.poll_interval.0).await {
             return;
         }
     }
     async_std::task::spawn(follow::follow_forever(node.clone()));
     async_std::task::spawn(peers::beat_forever(node.clone(), endpoint));
-    async_std::task::spawn(owner::own_forever(node.clone()));
+    async_std::task::spawn(owner::reconcile_forever(node.clone()));
     for duty in Duty::VARIANTS {
-        async_std::task::spawn(duty::carry_forever(node.clone(), *duty));
+        async_std::task::spawn(duty::run_forever(node.clone(), *duty));
     }
-    node.note(Kind::Started);
+    node.record_event(Kind::Started);
     node.ready.store(true, Ordering::SeqCst);
 }
 
 async fn send_metrics(node: Arc<Node>) {
-    while node.pause(node.settings.metrics_interval.0).await {
+    while node.sleep_unless_stopped(node.settings.metrics_interval.0).await {
         node.metrics.send();
     }
 }
 
-/// Notices that this process was paused.
-async fn watch_pauses(node: Arc<Node>) {
-    while node.pause(TICK).await {
-        node.note_running(node.clock.now());
+/// Detects that this process was paused.
+async fn watch_for_pauses(node: Arc<Node>) {
+    while node.sleep_unless_stopped(PAUSE_CHECK_INTERVAL).await {
+        node.detect_pause(node.clock.now());
     }
 }
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -1,5 +1,5 @@
-//! Carrying out the duties: each step looks at the world anew and does what is due, so a
-//! replaced holder goes on where the last one stopped.
+//! Controllers that carry out the duties.  Each step reads the current state and does what is
+//! due, so a new holder continues where the former one stopped.
 
 mod fleet;
 mod jobs;
@@ -7,7 +7,7 @@
 mod roster;
 mod waves;
 
-pub(crate) use fleet::{exchange, is_open};
+pub(crate) use fleet::{is_open, minion_replacement};
 pub(crate) use waves::target;
 
 use crate::duty::Duty;
@@ -17,33 +17,33 @@
 use celerythread_policy::lease::HeldLease;
 use std::sync::Arc;
 
-/// What a duty's holder remembers between two steps.
-pub(crate) enum Driver {
-    /// Minions, waves and moves.
-    Fleet(Box<fleet::Fleet>),
-    /// Jobs.
-    Jobs(Box<jobs::Jobs>),
+/// The state that a duty's holder keeps between two steps.
+pub(crate) enum Controller {
+    /// Controls minions, waves and moves.
+    Fleet(Box<fleet::Controller>),
+    /// Controls jobs.
+    Jobs(Box<jobs::Controller>),
 }
 
-impl Driver {
+impl Controller {
     pub(crate) fn new(duty: Duty) -> Self {
         match duty {
-            Duty::Fleet => Driver::Fleet(Box::default()),
-            Duty::Jobs => Driver::Jobs(Box::default()),
+            Duty::Fleet => Controller::Fleet(Box::default()),
+            Duty::Jobs => Controller::Jobs(Box::default()),
         }
     }
 
     /// Does what is due.
     pub(crate) async fn step(&mut self, node: &Arc<Node>, held: HeldLease) {
         match self {
-            Driver::Fleet(fleet) => fleet.step(node, held).await,
-            Driver::Jobs(jobs) => jobs.step(node, held).await,
+            Controller::Fleet(fleet) => fleet.step(node, held).await,
+            Controller::Jobs(jobs) => jobs.step(node, held).await,
         }
     }
 }
 
-/// A transaction that only commits while the duty's lease is still held: a holder that was
-/// paused past its term finds the lease's row changed and its writes refused.
+/// A transaction that commits only while the duty's lease is still held.  The writes of a holder
+/// that was paused past its term are refused once another one has changed the lease's row.
 pub(crate) fn fenced(duty: Duty, held: HeldLease) -> Transaction {
     Transaction::new().check(Space::Lease, duty.key(), held.revision)
 }
--- a/crates/entry/src/drive/jobs/board.rs
+++ b/crates/entry/src/drive/jobs/board.rs
@@ -1,4 +1,4 @@
-//! The jobs' rows, followed from the table.
+//! A local copy of the jobs' rows, kept up to date from the table.
 
 use crate::node::Node;
 use celerythread_model::fleet::Row as _;
@@ -8,22 +8,22 @@
 use celerythread_model::unit::Revision;
 use std::collections::BTreeMap;
 
-/// All jobs that are not settled, with their rows' revisions.
+/// All unsettled jobs and the cancelled ones, with the revisions of their rows.
 #[derive(Default)]
-pub(crate) struct Board {
+pub(crate) struct JobCache {
     jobs: BTreeMap<id::Job, (Revision, Job)>,
     upto: Revision,
 }
 
-impl Board {
-    /// Reads what changed.  Tells whether the table answered.
-    pub(crate) async fn follow(&mut self, node: &Node) -> bool {
+impl JobCache {
+    /// Reads the changes since the last refresh.  Returns whether the table answered.
+    pub(crate) async fn refresh(&mut self, node: &Node) -> bool {
         loop {
             let Ok(changes) = node.platform.table.changes(Space::Job, self.upto).await else {
                 return false;
             };
             for row in &changes.rows {
-                self.take(row);
+                self.apply_row(row);
             }
             self.upto = changes.upto;
             if !changes.more {
@@ -32,26 +32,26 @@
         }
     }
 
-    fn take(&mut self, row: &Row) {
+    fn apply_row(&mut self, row: &Row) {
         let Some(Ok(name)) = row.key.strip_prefix(Job::PREFIX).map(str::parse::<id::Job>) else {
             return;
         };
         match row.decode::<Job>() {
-            Some(job) => self.put(job, row.revision),
+            Some(job) => self.upsert(job, row.revision),
             None => {
                 self.jobs.remove(&name);
             }
         }
     }
 
-    /// Takes a row in that this process has written or read; an older one is ignored.
-    pub(crate) fn put(&mut self, job: Job, revision: Revision) {
+    /// Stores a row that this process has written or read, unless a newer one is known.
+    pub(crate) fn upsert(&mut self, job: Job, revision: Revision) {
         let name = job.spec.job.clone();
-        let held = self.jobs.get(&name).map_or(Revision(0), |(held, _)| *held);
-        if revision <= held {
+        let known = self.jobs.get(&name).map_or(Revision(0), |(known, _)| *known);
+        if revision <= known {
             return;
         }
-        // A cancelled job stays known so that its task is stopped; the others are settled.
+        // A cancelled job is kept so that its task is stopped; other final jobs are settled.
         if job.stage.is_final() && job.stage != Stage::Cancelled {
             self.jobs.remove(&name);
         } else {
@@ -59,12 +59,12 @@
         }
     }
 
-    /// A job with its row's revision.
+    /// A job with its row's revision, if it is known.
     pub(crate) fn get(&self, name: &id::Job) -> Option<(Revision, &Job)> {
         self.jobs.get(name).map(|(revision, job)| (*revision, job))
     }
 
-    /// Whether no job is left to be looked after.
+    /// Whether no job needs attention.
     pub(crate) fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
@@ -74,7 +74,7 @@
         self.jobs.values().map(|(_, job)| job).filter(|job| job.stage == Stage::Running)
     }
 
-    /// Jobs that wait for a worker: urgent first, then by submission.
+    /// Jobs that wait for a worker: urgent ones first, then by submission time.
     pub(crate) fn waiting(&self) -> Vec<(Revision, &Job)> {
         let waits = |stage| matches!(stage, Stage::Queued | Stage::Suspended);
         let mut waiting: Vec<(Revision, &Job)> = self
--- a/crates/entry/src/duty.rs
+++ b/crates/entry/src/duty.rs
@@ -1,4 +1,4 @@
-//! Duties that one entry carries at a time, under leases in the table.
+//! Duties: roles that one entry holds at a time, under leases in the table.
 
 use crate::drive;
 use crate::node::Node;
@@ -12,71 +12,72 @@
 use std::time::Duration;
 use strum::{Display, VariantArray};
 
-/// Time between two steps of a duty.
-const STEP: Duration = Duration::from_millis(500);
+/// Time between two steps of a duty's controller.
+const STEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Renewals in a term.
-const RENEWALS: u32 = 4;
+/// Renewals within one lease term.
+const RENEWALS_PER_TERM: u32 = 4;
 
-/// What one entry does for all.
+/// A role that one entry holds for all.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, VariantArray)]
 #[strum(serialize_all = "lowercase")]
 pub(crate) enum Duty {
-    /// Keeps the minions' rows, runs waves and moves.
+    /// Keeps the minions' rows and runs waves and moves.
     Fleet,
     /// Places jobs on workers.
     Jobs,
 }
 
 impl Duty {
-    /// The key of its lease.
+    /// The key of its lease's row.
     pub(crate) fn key(self) -> String {
         format!("{}{self}", Lease::PREFIX)
     }
 }
 
-/// Tries to carry a duty, and carries it while the lease lasts.
-pub(crate) async fn carry_forever(node: Arc<Node>, duty: Duty) {
+/// Tries to acquire a duty's lease, and runs the duty's controller while the lease is held.
+pub(crate) async fn run_forever(node: Arc<Node>, duty: Duty) {
     let mut observer = Observer::default();
     let mut held: Option<HeldLease> = None;
-    let mut driver = drive::Driver::new(duty);
-    let renewal = node.settings.lease_term.0 / RENEWALS;
-    let mut looked = None;
+    let mut controller = drive::Controller::new(duty);
+    let renewal_interval = node.settings.lease_term.0 / RENEWALS_PER_TERM;
+    let mut checked_at = None;
     loop {
         let now = node.clock.now();
-        if looked.is_none_or(|at| now.since(at) >= renewal) {
-            looked = Some(now);
+        if checked_at.is_none_or(|at| now.since(at) >= renewal_interval) {
+            checked_at = Some(now);
             let before = held;
-            held = look(&node, duty, &mut observer, held).await;
-            note_change(&node, duty, before, held);
+            held = renew_or_acquire(&node, duty, &mut observer, held).await;
+            record_lease_change(&node, duty, before, held);
             if before.map(|held| held.token) != held.map(|held| held.token) {
-                // What was remembered belongs to a time that others have acted in since.
-                driver = drive::Driver::new(duty);
+                // Others may have held the duty since, so the controller's state is outdated.
+                controller = drive::Controller::new(duty);
             }
         }
         let term = node.settings.lease_term.0;
         if let Some(held) = held.filter(|held| held.is_fresh(node.clock.now(), term)) {
-            driver.step(&node, held).await;
+            controller.step(&node, held).await;
         }
-        // Who does not carry the duty has nothing to do before the next look at the lease.
-        let rest = if held.is_some() { STEP.min(renewal) } else { renewal };
-        if !node.pause(rest).await || node.is_stopping() {
+        // Without the lease there is nothing to do before the next check of it.
+        let delay =
+            if held.is_some() { STEP_INTERVAL.min(renewal_interval) } else { renewal_interval };
+        if !node.sleep_unless_stopped(delay).await || node.is_stopping() {
             break;
         }
     }
     if let Some(held) = held {
-        give_back(&node, duty, held).await;
+        release(&node, duty, held).await;
     }
 }
 
-/// Reads the lease, and renews or takes it.
-async fn look(
+/// Reads the lease, then renews or acquires it.
+async fn renew_or_acquire(
     node: &Arc<Node>,
     duty: Duty,
     observer: &mut Observer,
     held: Option<HeldLease>,
 ) -> Option<HeldLease> {
-    if !node.view.read().entries().contains_key(&node.me) {
+    if !node.view.read().entries().contains_key(&node.entry_id) {
         return None;
     }
     let key = duty.key();
@@ -85,36 +86,41 @@
     let now = node.clock.now();
     let lease: Option<Lease> = row.decode();
     let term = node.settings.lease_term.0;
-    let next = match observer.observe(&node.me, lease.as_ref(), row.revision, now, term) {
+    let next = match observer.observe(&node.entry_id, lease.as_ref(), row.revision, now, term) {
         Action::Wait => return None,
         Action::Renew(next) | Action::Acquire(next) => next,
     };
-    // An absent row is conditional on being absent; a deleted one has a revision of its own.
+    // For an absent row the condition is its absence; a deleted one has a revision of its own.
     let transaction = Transaction::new().replace(Space::Lease, key, row.revision, &next);
     match node.platform.table.commit(transaction).await {
         Ok(revision) => Some(HeldLease { token: next.token, revision, confirmed_at: now }),
-        // Whether it was written shows at the next look.
+        // The next read shows whether it was written.
         Err(Error::Lost { .. } | Error::Unavailable { .. }) => held,
         Err(_) => None,
     }
 }
 
-fn note_change(node: &Node, duty: Duty, before: Option<HeldLease>, after: Option<HeldLease>) {
+fn record_lease_change(
+    node: &Node,
+    duty: Duty,
+    before: Option<HeldLease>,
+    after: Option<HeldLease>,
+) {
     let (before, after) = (before.map(|held| held.token), after.map(|held| held.token));
     if before == after {
         return;
     }
     if let Some(token) = before {
-        node.note(Kind::LeaseLost { duty: duty.to_string(), token });
+        node.record_event(Kind::LeaseLost { duty: duty.to_string(), token });
     }
     if let Some(token) = after {
-        node.note(Kind::LeaseTaken { duty: duty.to_string(), token });
+        node.record_event(Kind::LeaseTaken { duty: duty.to_string(), token });
     }
 }
 
-async fn give_back(node: &Arc<Node>, duty: Duty, held: HeldLease) {
+async fn release(node: &Arc<Node>, duty: Duty, held: HeldLease) {
     let row = Lease { holder: None, token: held.token, beat: 0 };
     let transaction = Transaction::new().replace(Space::Lease, duty.key(), held.revision, &row);
     let _ = node.platform.table.commit(transaction).await;
-    note_change(node, duty, Some(held), None);
+    record_lease_change(node, duty, Some(held), None);
 }
--- a/crates/entry/src/operator/config.rs
+++ b/crates/entry/src/operator/config.rs
@@ -1,6 +1,6 @@
-//! Configuration: checked, applied against a base, shown, and its history.
+//! Configuration: showing, checking and applying it, and its history.
 
-use super::{platform, wrong};
+use super::{bad_request, platform_problem};
 use crate::node::Node;
 use crate::problem::{Problem, body, json};
 use celerythread_http::server::Request;
@@ -19,16 +19,16 @@
 use similar::TextDiff;
 use std::sync::Arc;
 
-/// Configurations told by `history` unless more are asked for.
-const HISTORY: u64 = 20;
+/// Configurations that `history` returns by default.
+const DEFAULT_HISTORY_LEN: u64 = 20;
 
-/// Tries of an apply whose answer was lost.
-const TRIES: u32 = 5;
+/// Attempts of an apply that conflicted or whose answer was lost.
+const MAX_ATTEMPTS: u32 = 5;
 
-/// An operator's change.
+/// An operator's change of the configuration.
 #[derive(Deserialize)]
 struct Change {
-    /// The same id again is the same change.
+    /// Idempotency key: a repeated id is the same change.
     change: id::Change,
     author: String,
     /// The number of the configuration that the operator changed.
@@ -50,24 +50,27 @@
 }
 
 pub(crate) async fn history(node: &Arc<Node>, request: &Request) -> Result<Response, Problem> {
-    let most = request.query("most").map_or(Ok(HISTORY), |text| text.parse()).map_err(wrong)?;
+    let max_entries = request
+        .query("most")
+        .map_or(Ok(DEFAULT_HISTORY_LEN), |text| text.parse())
+        .map_err(bad_request)?;
     let current = node.view.read().config_number().0;
-    let first = current.saturating_sub(most) + 1;
+    let first = current.saturating_sub(max_entries) + 1;
     let keys: Vec<String> = (first..=current).rev().map(|n| history_key(Revision(n))).collect();
     let rows = node.platform.table.read(Space::History, &keys).await;
-    let rows = rows.map_err(|error| platform(&error))?;
+    let rows = rows.map_err(|error| platform_problem(&error))?;
     let configs: Vec<Config> = rows.iter().filter_map(|row| row.decode()).collect();
     Ok(json(&configs))
 }
 
 pub(crate) fn check(request: &Request) -> Result<Response, Problem> {
     let files: Files = body(request)?;
-    let document =
-        Document::read(&files.template, &files.parameters).map_err(|found| mistakes(&found))?;
+    let document = Document::read(&files.template, &files.parameters)
+        .map_err(|found| mistakes_problem(&found))?;
     Ok(json(&document))
 }
 
-fn mistakes(found: &[Mistake]) -> Problem {
+fn mistakes_problem(found: &[Mistake]) -> Problem {
     let code = found.first().map_or(Code::BadRequest, |mistake| mistake.code);
     let detail = format!("{} mistakes", found.len());
     let extra = serde_json::to_value(found).unwrap_or_default();
@@ -84,45 +87,46 @@
 
 /// Applies a change.
 ///
-/// One transaction writes the current configuration against its revision, the history, and the
-/// change's id against there being none: so racing operators are told apart, and a change whose
-/// answer was lost is found again under its id instead of being made twice.
+/// One transaction writes the current configuration on condition of its revision, the history,
+/// and the change's id on condition that it is new.  So of two concurrent changes one is refused,
+/// and a change whose answer was lost is found by its id instead of being made twice.
 pub(crate) async fn apply(node: &Arc<Node>, request: &Request) -> Result<Response, Problem> {
     let change: Change = body(request)?;
-    Document::read(&change.template, &change.parameters).map_err(|found| mistakes(&found))?;
-    for _ in 0..TRIES {
-        if let Some(config) = made_before(node, &change).await? {
-            return accepted(node, config).await;
+    Document::read(&change.template, &change.parameters)
+        .map_err(|found| mistakes_problem(&found))?;
+    for _ in 0..MAX_ATTEMPTS {
+        if let Some(config) = find_applied_change(node, &change).await? {
+            return accepted_response(node, config).await;
         }
-        crate::follow::once(node).await.map_err(|error| platform(&error))?;
-        let standing = node.view.read().config_number();
-        if standing != change.base {
-            return Err(stale(node, &change).await);
+        crate::follow::refresh_view(node).await.map_err(|error| platform_problem(&error))?;
+        let current = node.view.read().config_number();
+        if current != change.base {
+            return Err(stale_base(node, &change).await);
         }
         let config = Config {
-            number: standing.next(),
+            number: current.next(),
             change: change.change.clone(),
             author: change.author.clone(),
             template: change.template.clone(),
             parameters: change.parameters.clone(),
         };
-        let transaction = transaction(node, &config);
+        let transaction = config_transaction(node, &config);
         match node.platform.table.commit(transaction).await {
             Ok(revision) => {
                 let (number, change) = (config.number, config.change.clone());
                 let kind = Kind::ConfigAccepted { number, change };
                 node.timeline.record_committed(node.clock.wall_ms(), revision, kind);
-                return accepted(node, config).await;
+                return accepted_response(node, config).await;
             }
-            // Somebody was faster, or nobody knows: the next round finds out which.
+            // Another change was committed first, or the outcome is unknown: the next round shows it.
             Err(Error::Conflict { .. } | Error::Lost { .. }) => {}
-            Err(error) => return Err(platform(&error)),
+            Err(error) => return Err(platform_problem(&error)),
         }
     }
     Err(Problem::new(Code::PlatformUnknown, "apply it again under the same change id"))
 }
 
-fn transaction(node: &Node, config: &Config) -> Transaction {
+fn config_transaction(node: &Node, config: &Config) -> Transaction {
     let revision = node.view.read().revision(fleet::CONFIG_KEY);
     Transaction::new()
         .replace(Space::Fleet, fleet::CONFIG_KEY, revision, config)
@@ -130,32 +134,32 @@
         .replace(Space::History, change_key(&config.change), Revision(0), config)
 }
 
-/// The configuration that this change id has made already.
-async fn made_before(node: &Arc<Node>, change: &Change) -> Result<Option<Config>, Problem> {
+/// The configuration that an earlier request with this change id has made.
+async fn find_applied_change(node: &Arc<Node>, change: &Change) -> Result<Option<Config>, Problem> {
     let keys = [change_key(&change.change)];
     let rows = node.platform.table.read(Space::History, &keys).await;
-    let rows = rows.map_err(|error| platform(&error))?;
+    let rows = rows.map_err(|error| platform_problem(&error))?;
     let Some(config) = rows.first().and_then(|row| row.decode::<Config>()) else {
         return Ok(None);
     };
     let same = config.template == change.template && config.parameters == change.parameters;
     if !same {
-        let detail = format!("change {} made another configuration", change.change);
+        let detail = format!("change {} was already used for another configuration", change.change);
         return Err(Problem::new(Code::ChangeReused, detail));
     }
     Ok(Some(config))
 }
 
-async fn accepted(node: &Arc<Node>, config: Config) -> Result<Response, Problem> {
-    // In force here before the operator is answered.
-    let _ = crate::follow::once(node).await;
+async fn accepted_response(node: &Arc<Node>, config: Config) -> Result<Response, Problem> {
+    // The configuration is in force here before the operator is answered.
+    let _ = crate::follow::refresh_view(node).await;
     node.wake.wake();
     Ok(json(&config))
 }
 
-/// The refusal of a change that was made against an older configuration, with what has changed
-/// since.
-async fn stale(node: &Arc<Node>, change: &Change) -> Problem {
+/// The refusal of a change whose base is not the current configuration, with the difference
+/// between the two.
+async fn stale_base(node: &Arc<Node>, change: &Change) -> Problem {
     let current = node.view.read().config().cloned();
     let keys = [history_key(change.base)];
     let rows = node.platform.table.read(Space::History, &keys).await.unwrap_or_default();
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -244,10 +244,14 @@
             .collect();
         (router.rooms(now), load, router.ledger.ejected(now))
     };
-    let holding =
-        node.holding.lock().get(to).map(|held| held.iter().copied().collect()).unwrap_or_default();
+    let holding = node
+        .grants_in_use
+        .lock()
+        .get(to)
+        .map(|held| held.iter().copied().collect())
+        .unwrap_or_default();
     Beat {
-        entry: node.me.clone(),
+        entry: node.entry_id.clone(),
         clock: node.timeline.clock(),
         config,
         view,
@@ -269,7 +273,7 @@
         router::finish_grant(node, grant, DispatchResult::Unused, now.since(since));
     }
     if effects.reappeared {
-        node.note(Kind::Peer { peer: entry, reachable: true });
+        node.record_event(Kind::Peer { peer: entry, reachable: true });
     }
 }
 
@@ -278,20 +282,20 @@
 pub(crate) async fn beat_forever(node: Arc<Node>, endpoint: Arc<Endpoint>) {
     let mut last: HashMap<id::Entry, Moment> = HashMap::new();
     // Twice per interval: a heartbeat that becomes due in between is sent at the next tick.
-    let tick = node.settings.beat.0 / 2;
-    while node.pause(tick).await {
+    let tick = node.settings.heartbeat_interval.0 / 2;
+    while node.sleep_unless_stopped(tick).await {
         let now = node.clock.now();
         let registered = update_zones(&node);
         reclaim_from_unregistered(&node, now);
         last.retain(|entry, _| registered.iter().any(|(known, _, _)| known == entry));
         for (entry, address, zone) in registered {
             let interval = if zone == node.settings.zone {
-                node.settings.beat
+                node.settings.heartbeat_interval
             } else {
-                node.settings.far_beat
+                node.settings.remote_heartbeat_interval
             };
             let due = last.get(&entry).is_none_or(|at| now.since(*at) + tick / 2 >= interval.0);
-            if entry > node.me && due {
+            if entry > node.entry_id && due {
                 last.insert(entry.clone(), now);
                 async_std::task::spawn(beat_once(node.clone(), endpoint.clone(), entry, address));
             }
@@ -306,7 +310,7 @@
     let mut peers = node.peers.write();
     let entries = view.entries();
     peers.all.retain(|entry, _| entries.contains_key(entry));
-    let others = entries.values().filter(|row| row.entry != node.me);
+    let others = entries.values().filter(|row| row.entry != node.entry_id);
     others
         .map(|row| {
             peers.all.entry(row.entry.clone()).or_default().zone = Some(row.zone.clone());
@@ -349,7 +353,7 @@
         }
     }
     for peer in silent {
-        node.note(Kind::Peer { peer, reachable: false });
+        node.record_event(Kind::Peer { peer, reachable: false });
     }
 }
 
@@ -451,7 +455,7 @@
     let fetched = async_std::future::timeout(EXCHANGE_TIMEOUT, fetch_rows(&link, since)).await;
     let Ok(Ok((rows, upto))) = fetched else { return false };
     node.metrics.add(Counter::RelayedRows, rows.len() as u64);
-    crate::follow::apply(node, &rows, upto);
+    crate::follow::apply_rows(node, &rows, upto);
     true
 }
 
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -230,7 +230,7 @@
         if !healthy {
             node.count(Counter::Ejections);
         }
-        node.note(celerythread_model::event::Kind::Health { minion, healthy });
+        node.record_event(celerythread_model::event::Kind::Health { minion, healthy });
     }
 }
 
@@ -262,7 +262,7 @@
 }
 
 fn release_grant(node: &Node, owner: &id::Entry, grant: u64) {
-    if let Some(held) = node.holding.lock().get_mut(owner) {
+    if let Some(held) = node.grants_in_use.lock().get_mut(owner) {
         held.remove(&grant);
     }
 }
@@ -448,7 +448,7 @@
     let Some(link) = node.peers.read().link(peer) else { return Reply::Gone };
     let Ok(mut channel) = link.open().await else { return Reply::Gone };
     let question = Frame::Ask(frame::Ask {
-        entry: node.me.clone(),
+        entry: node.entry_id.clone(),
         service: request.service.clone(),
         class: request.class,
         left_ms: request.deadline.since(node.clock.now()).as_millis() as u64,
@@ -465,7 +465,7 @@
         }
         _ => return Reply::Gone,
     };
-    node.holding.lock().entry(peer.clone()).or_default().insert(grant.grant);
+    node.grants_in_use.lock().entry(peer.clone()).or_default().insert(grant.grant);
     if link.is_closed() {
         // The owner has lost this link too and may already count the slot as free.
         release_grant(node, peer, grant.grant);
