--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -121,8 +121,8 @@
         service: "alpha".into(),
         rate,
         count: (rate * WATCH.as_secs_f64()) as u64,
-        once,
-        keyed,
+        non_idempotent_share: once,
+        keyed_share: keyed,
         deadline: Span::secs(5),
         ..Plan::default()
     };
--- a/crates/standin/src/bin/celerythread-standin.rs
+++ b/crates/standin/src/bin/celerythread-standin.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// Longest wait for an order to a stand-in.
-const CONTROL_WAIT: Duration = Duration::from_secs(5);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(5);
 
 mod flags {
     #![allow(missing_docs, unreachable_pub, reason = "generated")]
@@ -113,29 +113,29 @@
         flags::CelerythreadStandinCmd::Platform(flags) => {
             let platform = Platform::start(flags.listen).await?;
             platform.memory.roster.set_lag(flags.lag.unwrap_or_default().0);
-            serve(platform.server.address()).await
+            serve_forever(platform.server.address()).await
         }
         flags::CelerythreadStandinCmd::Minion(flags) => {
             let duration = flags.duration.unwrap_or(Span::millis(20)).0;
             let minion = Minion::start(flags.listen, duration).await?;
-            serve(minion.server.address()).await
+            serve_forever(minion.server.address()).await
         }
-        flags::CelerythreadStandinCmd::Instance(flags) => instance(flags).await,
+        flags::CelerythreadStandinCmd::Instance(flags) => add_instance(flags).await,
         flags::CelerythreadStandinCmd::Link(flags) => {
             let link = Link::tcp(flags.listen, flags.target).await?;
             link.set_delay(flags.delay.unwrap_or_default().0);
-            serve(link.address()).await
+            serve_forever(link.address()).await
         }
-        flags::CelerythreadStandinCmd::Load(flags) => load(flags).await,
+        flags::CelerythreadStandinCmd::Load(flags) => run_load(flags).await,
     }
 }
 
-async fn serve(address: SocketAddr) -> io::Result<ExitCode> {
+async fn serve_forever(address: SocketAddr) -> io::Result<ExitCode> {
     println!("listening {address}");
     async_std::future::pending().await
 }
 
-async fn load(flags: flags::Load) -> io::Result<ExitCode> {
+async fn run_load(flags: flags::Load) -> io::Result<ExitCode> {
     let base = Plan::default();
     let plan = Plan {
         entries: flags.entry,
@@ -163,7 +163,7 @@
     Ok(if breaches.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-async fn instance(flags: flags::Instance) -> io::Result<ExitCode> {
+async fn add_instance(flags: flags::Instance) -> io::Result<ExitCode> {
     let pool = flags.pool.map(|pool| pool.parse()).transpose().map_err(io::Error::other)?;
     let instance = Instance {
         name: flags.name,
@@ -183,7 +183,7 @@
     let mut request = client::request(Method::Post, flags.platform, "/standin/instance")
         .map_err(|fault| io::Error::other(fault.to_string()))?;
     request.set_body(serde_json::to_string(&instance).map_err(io::Error::other)?);
-    let done = client::fetch(flags.platform, request, CONTROL_WAIT, 1 << 20).await;
+    let done = client::fetch(flags.platform, request, CONTROL_TIMEOUT, 1 << 20).await;
     done.map_err(|failure| io::Error::other(failure.fault.to_string()))?;
     Ok(ExitCode::SUCCESS)
 }
@@ -191,7 +191,7 @@
 async fn fetch_record(minion: SocketAddr) -> io::Result<Record> {
     let request = client::request(Method::Get, minion, "/standin/record")
         .map_err(|fault| io::Error::other(fault.to_string()))?;
-    let (_, body) = client::fetch(minion, request, CONTROL_WAIT, 64 << 20)
+    let (_, body) = client::fetch(minion, request, CONTROL_TIMEOUT, 64 << 20)
         .await
         .map_err(|failure| io::Error::other(failure.fault.to_string()))?;
     serde_json::from_slice(&body).map_err(io::Error::other)
--- a/crates/standin/src/faulty.rs
+++ b/crates/standin/src/faulty.rs
@@ -15,7 +15,7 @@
 use strum::{Display, VariantArray};
 
 /// How long the caller of a hanging call is kept before it counts as timed out.
-const HANG: Duration = Duration::from_millis(200);
+const HANG_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A call at the border.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd, VariantArray)]
@@ -58,7 +58,7 @@
 
 /// The switchboard: counts calls and holds the plans.
 #[derive(Default)]
-pub struct Switch {
+pub struct FaultInjector {
     state: Mutex<State>,
 }
 
@@ -69,11 +69,11 @@
     down: bool,
     dead: bool,
     paused_until: Option<Instant>,
-    struck: u64,
+    injected: u64,
 }
 
 /// What happens to one call.
-enum Strike {
+enum Injection {
     /// This.
     Fault(Fault),
     /// Its process is dead: it never returns.
@@ -82,7 +82,7 @@
     Paused(Instant),
 }
 
-impl Switch {
+impl FaultInjector {
     /// Adds a plan.
     pub fn plan(&self, plan: Plan) {
         self.state.lock().plans.push(plan);
@@ -104,11 +104,11 @@
     }
 
     /// Calls that a plan has struck.
-    pub fn struck(&self) -> u64 {
-        self.state.lock().struck
+    pub fn injected(&self) -> u64 {
+        self.state.lock().injected
     }
 
-    fn kill(&self) {
+    fn mark_dead(&self) {
         self.state.lock().dead = true;
     }
 
@@ -117,45 +117,45 @@
         self.state.lock().counts.get(&call).copied().unwrap_or(0)
     }
 
-    fn strike(&self, call: Call) -> Strike {
+    fn next_injection(&self, call: Call) -> Injection {
         let mut state = self.state.lock();
         if state.dead {
-            return Strike::Dead;
+            return Injection::Dead;
         }
         if let Some(until) = state.paused_until.filter(|until| *until > Instant::now()) {
-            return Strike::Paused(until);
+            return Injection::Paused(until);
         }
         let count = state.counts.entry(call).or_default();
         let at = *count;
         *count += 1;
         if state.down {
-            return Strike::Fault(Fault::FailBefore);
+            return Injection::Fault(Fault::FailBefore);
         }
         let due = |plan: &&Plan| {
             plan.call == call && at >= plan.from && at < plan.from.saturating_add(plan.count)
         };
         let fault = state.plans.iter().find(due).map_or(Fault::None, |plan| plan.fault);
-        state.struck += u64::from(fault != Fault::None);
+        state.injected += u64::from(fault != Fault::None);
         if fault == Fault::Pause {
             let until = Instant::now() + Duration::from_millis(PAUSE_MS);
             state.paused_until = Some(until);
-            return Strike::Paused(until);
+            return Injection::Paused(until);
         }
-        Strike::Fault(fault)
+        Injection::Fault(fault)
     }
 }
 
 /// A platform behind a switchboard.
 #[derive(Clone)]
-pub struct Faulty {
+pub struct FaultyPlatform {
     inner: Platform,
-    switch: Arc<Switch>,
+    injector: Arc<FaultInjector>,
 }
 
-impl Faulty {
+impl FaultyPlatform {
     /// Puts `switch` before `inner`.
-    pub fn platform(inner: Platform, switch: Arc<Switch>) -> Platform {
-        let faulty = Arc::new(Self { inner, switch });
+    pub fn platform(inner: Platform, injector: Arc<FaultInjector>) -> Platform {
+        let faulty = Arc::new(Self { inner, injector });
         Platform {
             table: faulty.clone(),
             objects: faulty.clone(),
@@ -171,23 +171,23 @@
     {
         let unavailable = || Error::Unavailable { reason: "planned fault".into() };
         let lost = || Error::Lost { reason: "planned fault".into() };
-        let fault = match self.switch.strike(call) {
-            Strike::Dead => std::future::pending().await,
-            Strike::Paused(until) => {
+        let fault = match self.injector.next_injection(call) {
+            Injection::Dead => std::future::pending().await,
+            Injection::Paused(until) => {
                 task::sleep(until.saturating_duration_since(Instant::now())).await;
                 Fault::None
             }
-            Strike::Fault(fault) => fault,
+            Injection::Fault(fault) => fault,
         };
         match fault {
             Fault::None | Fault::Pause => run.await,
             Fault::KillBefore => {
-                self.switch.kill();
+                self.injector.mark_dead();
                 std::future::pending().await
             }
             Fault::KillAfter => {
                 let _ = run.await;
-                self.switch.kill();
+                self.injector.mark_dead();
                 std::future::pending().await
             }
             Fault::FailBefore => Err(unavailable()),
@@ -197,7 +197,7 @@
                 Err(lost())
             }
             Fault::Hang => {
-                task::sleep(HANG).await;
+                task::sleep(HANG_TIMEOUT).await;
                 Err(lost())
             }
             Fault::Slow => {
@@ -206,17 +206,17 @@
             }
             Fault::LateEffect => {
                 task::spawn(async move {
-                    task::sleep(HANG * 2).await;
+                    task::sleep(HANG_TIMEOUT * 2).await;
                     let _ = run.await;
                 });
-                task::sleep(HANG / 2).await;
+                task::sleep(HANG_TIMEOUT / 2).await;
                 Err(lost())
             }
         }
     }
 
     /// A read whose answer is lost is no different from one that was not made.
-    async fn ask<T, F>(&self, call: Call, run: F) -> Result<T, Error>
+    async fn call_read<T, F>(&self, call: Call, run: F) -> Result<T, Error>
     where
         T: Send + 'static,
         F: Future<Output = Result<T, Error>> + Send + 'static,
@@ -229,7 +229,7 @@
 }
 
 #[async_trait]
-impl Table for Faulty {
+impl Table for FaultyPlatform {
     async fn commit(&self, transaction: Transaction) -> Result<Revision, Error> {
         let table = self.inner.table.clone();
         self.call(Call::Commit, async move { table.commit(transaction).await }).await
@@ -237,17 +237,17 @@
 
     async fn read(&self, space: Space, keys: &[String]) -> Result<Vec<Row>, Error> {
         let (table, keys) = (self.inner.table.clone(), keys.to_vec());
-        self.ask(Call::Read, async move { table.read(space, &keys).await }).await
+        self.call_read(Call::Read, async move { table.read(space, &keys).await }).await
     }
 
     async fn changes(&self, space: Space, since: Revision) -> Result<Changes, Error> {
         let table = self.inner.table.clone();
-        self.ask(Call::Changes, async move { table.changes(space, since).await }).await
+        self.call_read(Call::Changes, async move { table.changes(space, since).await }).await
     }
 }
 
 #[async_trait]
-impl Objects for Faulty {
+impl Objects for FaultyPlatform {
     async fn put(&self, name: &str, body: Vec<u8>) -> Result<(), Error> {
         let (objects, name) = (self.inner.objects.clone(), name.to_owned());
         self.call(Call::PutObject, async move { objects.put(&name, body).await }).await
@@ -255,15 +255,15 @@
 
     async fn get(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
         let (objects, name) = (self.inner.objects.clone(), name.to_owned());
-        self.ask(Call::GetObject, async move { objects.get(&name).await }).await
+        self.call_read(Call::GetObject, async move { objects.get(&name).await }).await
     }
 }
 
 #[async_trait]
-impl Roster for Faulty {
+impl Roster for FaultyPlatform {
     async fn list(&self, known: &str) -> Result<Option<Listing>, Error> {
         let (roster, known) = (self.inner.roster.clone(), known.to_owned());
-        self.ask(Call::List, async move { roster.list(&known).await }).await
+        self.call_read(Call::List, async move { roster.list(&known).await }).await
     }
 
     async fn reboot(&self, name: &str, boot: u64) -> Result<(), Error> {
@@ -273,7 +273,7 @@
 }
 
 #[async_trait]
-impl Workers for Faulty {
+impl Workers for FaultyPlatform {
     async fn order(&self, worker: &id::Worker, order: Order) -> Result<(), Error> {
         let (workers, worker) = (self.inner.workers.clone(), worker.clone());
         self.call(Call::Order, async move { workers.order(&worker, order).await }).await
@@ -281,12 +281,12 @@
 
     async fn tasks(&self) -> Result<Vec<Task>, Error> {
         let workers = self.inner.workers.clone();
-        self.ask(Call::Tasks, async move { workers.tasks().await }).await
+        self.call_read(Call::Tasks, async move { workers.tasks().await }).await
     }
 
     async fn inspect(&self, worker: &id::Worker, job: &id::Job) -> Result<Option<Task>, Error> {
         let workers = self.inner.workers.clone();
         let (worker, job) = (worker.clone(), job.clone());
-        self.ask(Call::Inspect, async move { workers.inspect(&worker, &job).await }).await
+        self.call_read(Call::Inspect, async move { workers.inspect(&worker, &job).await }).await
     }
 }
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -24,13 +24,13 @@
 use std::time::{Duration, Instant};
 
 /// Longest wait for a deployment to settle.
-const PATIENCE: Duration = Duration::from_secs(60);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Time between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Longest wait for an operator's request.
-const WAIT: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What a deployment is made of.
 #[derive(Clone, Debug)]
@@ -115,38 +115,43 @@
 ///
 /// # Errors
 /// `TimedOut` with its name when it never does.
-pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) -> io::Result<()> {
+pub async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) -> io::Result<()> {
     let began = Instant::now();
     while !holds().await {
-        if began.elapsed() > PATIENCE {
+        if began.elapsed() > SETTLE_TIMEOUT {
             return Err(io::Error::new(io::ErrorKind::TimedOut, format!("never: {what}")));
         }
-        task::sleep(LOOK).await;
+        task::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
 /// Reads something from an operators' address.
 pub async fn get(operators: SocketAddr, path: &str) -> Option<Value> {
-    ask(operators, Method::Get, path, String::new()).await
+    send_request(operators, Method::Get, path, String::new()).await
 }
 
 /// Asks an operators' address for something.
 pub async fn post(operators: SocketAddr, path: &str, body: &Value) -> Option<Value> {
-    ask(operators, Method::Post, path, body.to_string()).await
+    send_request(operators, Method::Post, path, body.to_string()).await
 }
 
-async fn ask(address: SocketAddr, method: Method, path: &str, body: String) -> Option<Value> {
+async fn send_request(
+    address: SocketAddr,
+    method: Method,
+    path: &str,
+    body: String,
+) -> Option<Value> {
     let mut request = client::request(method, address, path).ok()?;
     request.set_body(body);
-    let (head, body) = client::fetch(address, request, WAIT, 64 << 20).await.ok()?;
+    let (head, body) = client::fetch(address, request, REQUEST_TIMEOUT, 64 << 20).await.ok()?;
     head.status().is_success().then(|| serde_json::from_slice(&body).ok()).flatten()
 }
 
 /// Whether an entry tells the balancer that it is ready.
 pub async fn is_ready(operators: SocketAddr) -> bool {
     let Ok(request) = client::request(Method::Get, operators, "/ready") else { return false };
-    let fetched = client::fetch(operators, request, WAIT, 1 << 16).await;
+    let fetched = client::fetch(operators, request, REQUEST_TIMEOUT, 1 << 16).await;
     fetched.is_ok_and(|(head, _)| head.status() == 200)
 }
 
@@ -263,7 +268,7 @@
 
     async fn configure(&self) -> io::Result<()> {
         let operators = self.daemons[0].operators;
-        until("the first daemon is registered", async || {
+        wait_until("the first daemon is registered", async || {
             let status = get(operators, "/v1/status").await;
             status.is_some_and(|s| s["entries"].as_array().is_some_and(|e| !e.is_empty()))
         })
@@ -282,9 +287,9 @@
             .await
             .ok_or_else(|| io::Error::other("the configuration was refused"))?;
         for daemon in &self.daemons {
-            until("ready", async || is_ready(daemon.operators).await).await?;
+            wait_until("ready", async || is_ready(daemon.operators).await).await?;
         }
-        self.all_owned().await
+        self.wait_until_owned().await
     }
 
     /// Who hands out a minion's slots, by the table.
@@ -298,8 +303,8 @@
     ///
     /// # Errors
     /// `TimedOut`.
-    pub async fn all_owned(&self) -> io::Result<()> {
-        until("every minion owned by a living entry", async || {
+    pub async fn wait_until_owned(&self) -> io::Result<()> {
+        wait_until("every minion owned by a living entry", async || {
             for name in self.minions.keys() {
                 let owner = self.ownership(name).await.and_then(|row| row.owner);
                 let alive = |entry: &str| self.daemons.iter().any(|d| d.entry == entry);
--- a/crates/standin/src/history.rs
+++ b/crates/standin/src/history.rs
@@ -42,7 +42,7 @@
     /// Something ran that was refused as not run.
     RanAlthoughRefused(String),
     /// A caller was told nothing.
-    Untold(String),
+    NoAnswer(String),
 }
 
 impl fmt::Display for Breach {
@@ -51,7 +51,7 @@
             Breach::WrongAnswer(id) => write!(f, "{id}: the answer is not whole or not its own"),
             Breach::RanTwice(effect) => write!(f, "{effect}: ran more than once"),
             Breach::RanAlthoughRefused(id) => write!(f, "{id}: ran although refused as not run"),
-            Breach::Untold(id) => write!(f, "{id}: its caller was told nothing"),
+            Breach::NoAnswer(id) => write!(f, "{id}: its caller was told nothing"),
         }
     }
 }
@@ -64,22 +64,22 @@
         *ran.entry(&run.id).or_default() += 1;
     }
     let mut effects: BTreeMap<&str, u32> = BTreeMap::new();
-    for one in asked {
-        let times = ran.get(one.id.as_str()).copied().unwrap_or(0);
-        if !one.idempotent {
-            *effects.entry(&one.effect).or_default() += times;
+    for request in asked {
+        let times = ran.get(request.id.as_str()).copied().unwrap_or(0);
+        if !request.idempotent {
+            *effects.entry(&request.effect).or_default() += times;
         }
-        match &one.told {
-            Told::Answer(200, body) if !is_own(one, body) => {
-                breaches.insert(Breach::WrongAnswer(one.id.clone()));
+        match &request.told {
+            Told::Answer(200, body) if !is_own(request, body) => {
+                breaches.insert(Breach::WrongAnswer(request.id.clone()));
             }
             Told::Answer(..) => {}
             Told::Refused(_, Some(Outcome::NotRun)) if times > 0 => {
-                breaches.insert(Breach::RanAlthoughRefused(one.id.clone()));
+                breaches.insert(Breach::RanAlthoughRefused(request.id.clone()));
             }
             Told::Refused(..) => {}
             Told::Broken => {
-                breaches.insert(Breach::Untold(one.id.clone()));
+                breaches.insert(Breach::NoAnswer(request.id.clone()));
             }
         }
     }
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -17,7 +17,7 @@
 use strum::{Display, EnumString};
 
 /// Largest datagram and piece.
-const PIECE: usize = 64 * 1024;
+const MAX_CHUNK_LEN: usize = 64 * 1024;
 
 /// What the hop does.
 #[derive(
@@ -64,7 +64,7 @@
         })
     }
 
-    fn begin(&self) -> u64 {
+    fn start_flow(&self) -> u64 {
         self.next_flow.fetch_add(1, Ordering::SeqCst)
     }
 
@@ -96,8 +96,8 @@
         let stop = StopSource::new();
         let (token, shared) = (stop.token(), state.clone());
         task::spawn(async move {
-            while let Ok(Ok((near, _))) = listener.accept().timeout_at(token.clone()).await {
-                task::spawn(carry(near, shared.clone()));
+            while let Ok(Ok((client, _))) = listener.accept().timeout_at(token.clone()).await {
+                task::spawn(forward_connection(client, shared.clone()));
             }
         });
         Ok(Self { address, state, _stop: stop })
@@ -114,7 +114,7 @@
         let stop = StopSource::new();
         let (token, shared) = (stop.token(), state.clone());
         task::spawn(async move {
-            let _ = relay(socket, shared).timeout_at(token).await;
+            let _ = forward_datagrams(socket, shared).timeout_at(token).await;
         });
         Ok(Self { address, state, _stop: stop })
     }
@@ -135,31 +135,37 @@
     }
 
     /// Loses track of every flow that is open now: they are silent for good.
-    pub fn forget(&self) {
+    pub fn forget_flows(&self) {
         let next = self.state.next_flow.load(Ordering::SeqCst);
         self.state.forgotten_below.store(next, Ordering::SeqCst);
     }
 }
 
-async fn carry(near: TcpStream, state: Arc<State>) {
-    let flow = state.begin();
+async fn forward_connection(client: TcpStream, state: Arc<State>) {
+    let flow = state.start_flow();
     if state.mode() == Mode::Cut {
         return;
     }
-    let Ok(far) = TcpStream::connect(state.target).await else { return };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let there = task::spawn(copy(near.clone(), far.clone(), state.clone(), flow, false));
-    copy(far, near, state, flow, true).await;
-    there.await;
+    let Ok(server) = TcpStream::connect(state.target).await else { return };
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
+    let requests = task::spawn(copy(client.clone(), server.clone(), state.clone(), flow, false));
+    copy(server, client, state, flow, true).await;
+    requests.await;
 }
 
 /// Copies one direction until an end closes or the hop is cut.
-async fn copy(mut from: TcpStream, mut to: TcpStream, state: Arc<State>, flow: u64, answers: bool) {
-    const LOOK: Duration = Duration::from_millis(10);
-    let mut piece = vec![0; PIECE];
+async fn copy(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    state: Arc<State>,
+    flow: u64,
+    is_reply: bool,
+) {
+    const MODE_POLL_INTERVAL: Duration = Duration::from_millis(10);
+    let mut chunk = vec![0; MAX_CHUNK_LEN];
     loop {
-        let read = async_std::future::timeout(LOOK, from.read(&mut piece)).await;
+        let read = async_std::future::timeout(MODE_POLL_INTERVAL, from.read(&mut chunk)).await;
         if state.mode() == Mode::Cut {
             break;
         }
@@ -172,63 +178,69 @@
             continue;
         }
         state.delay().await;
-        if let Mode::Truncate(left) = state.mode()
-            && answers
+        if let Mode::Truncate(remaining) = state.mode()
+            && is_reply
         {
-            let passed = (count as u64).min(left) as usize;
-            let _ = to.write_all(&piece[..passed]).await;
-            state.mode.lock().clone_from(&Mode::Truncate(left - passed as u64));
-            if passed < count {
+            let forwarded = (count as u64).min(remaining) as usize;
+            let _ = to.write_all(&chunk[..forwarded]).await;
+            state.mode.lock().clone_from(&Mode::Truncate(remaining - forwarded as u64));
+            if forwarded < count {
                 break;
             }
             continue;
         }
-        if to.write_all(&piece[..count]).await.is_err() {
+        if to.write_all(&chunk[..count]).await.is_err() {
             break;
         }
     }
     // A forgotten flow hears of nothing any more, not even of its end.
     while state.is_forgotten(flow) && state.mode() != Mode::Cut {
-        task::sleep(LOOK * 10).await;
+        task::sleep(MODE_POLL_INTERVAL * 10).await;
     }
     let _ = from.shutdown(Shutdown::Both);
     let _ = to.shutdown(Shutdown::Both);
 }
 
-async fn relay(near: Arc<UdpSocket>, state: Arc<State>) {
+async fn forward_datagrams(client: Arc<UdpSocket>, state: Arc<State>) {
     let mut flows: HashMap<SocketAddr, (u64, Arc<UdpSocket>)> = HashMap::new();
-    let mut piece = vec![0; PIECE];
-    while let Ok((count, from)) = near.recv_from(&mut piece).await {
+    let mut chunk = vec![0; MAX_CHUNK_LEN];
+    while let Ok((count, from)) = client.recv_from(&mut chunk).await {
         let flow = match flows.entry(from) {
-            Entry::Occupied(known) => known.into_mut(),
+            Entry::Occupied(flow) => flow.into_mut(),
             Entry::Vacant(new) => {
-                let any: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 0));
-                let Ok(far) = UdpSocket::bind(any).await else { continue };
-                let (flow, far) = (state.begin(), Arc::new(far));
-                task::spawn(answer(near.clone(), far.clone(), from, state.clone(), flow));
-                new.insert((flow, far))
+                let local: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 0));
+                let Ok(server) = UdpSocket::bind(local).await else { continue };
+                let (flow, server) = (state.start_flow(), Arc::new(server));
+                task::spawn(forward_replies(
+                    client.clone(),
+                    server.clone(),
+                    from,
+                    state.clone(),
+                    flow,
+                ));
+                new.insert((flow, server))
             }
         };
-        let (flow, far) = (flow.0, flow.1.clone());
+        let (flow, server) = (flow.0, flow.1.clone());
         if state.mode() == Mode::Pass && !state.is_forgotten(flow) {
             state.delay().await;
-            let _ = far.send_to(&piece[..count], state.target).await;
+            let _ = server.send_to(&chunk[..count], state.target).await;
         }
     }
 }
 
-async fn answer(
-    near: Arc<UdpSocket>,
-    far: Arc<UdpSocket>,
+async fn forward_replies(
+    client: Arc<UdpSocket>,
+    server: Arc<UdpSocket>,
     to: SocketAddr,
     state: Arc<State>,
     flow: u64,
 ) {
-    let mut piece = vec![0; PIECE];
-    while let Ok((count, _)) = far.recv_from(&mut piece).await {
+    let mut chunk = vec![0; MAX_CHUNK_LEN];
+    while let Ok((count, _)) = server.recv_from(&mut chunk).await {
         if state.mode() == Mode::Pass && !state.is_forgotten(flow) {
             state.delay().await;
-            let _ = near.send_to(&piece[..count], to).await;
+            let _ = client.send_to(&chunk[..count], to).await;
         }
     }
 }
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -18,10 +18,10 @@
 use std::time::{Duration, Instant};
 
 /// Largest answer taken.
-const ANSWER_LIMIT: u64 = 64 << 20;
+const MAX_ANSWER_BYTES: u64 = 64 << 20;
 
 /// Longest wait for an answer, beyond any deadline.
-const WAIT: Duration = Duration::from_secs(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// What is asked.
 #[derive(Clone, Debug)]
@@ -35,15 +35,15 @@
     /// How many in all.
     pub count: u64,
     /// Share of patient ones.
-    pub patient: f64,
+    pub patient_share: f64,
     /// Share that must run at most once.
-    pub once: f64,
+    pub non_idempotent_share: f64,
     /// Share of those that carry a key.
-    pub keyed: f64,
+    pub keyed_share: f64,
     /// The deadline given.
     pub deadline: Span,
     /// Bytes of each body.
-    pub body: usize,
+    pub body_len: usize,
     /// The seed of all choices.
     pub seed: u64,
 }
@@ -55,11 +55,11 @@
             service: String::new(),
             rate: 100.0,
             count: 100,
-            patient: 0.3,
-            once: 0.3,
-            keyed: 0.5,
+            patient_share: 0.3,
+            non_idempotent_share: 0.3,
+            keyed_share: 0.5,
             deadline: Span::secs(5),
-            body: 64,
+            body_len: 64,
             seed: 1,
         }
     }
@@ -67,7 +67,7 @@
 
 /// One request.
 #[derive(Clone, Debug)]
-pub struct Single {
+pub struct RequestSpec {
     /// Its `X-Request-Id`.
     pub id: String,
     /// Its service.
@@ -85,7 +85,7 @@
 }
 
 /// What became of it.
-pub struct Done {
+pub struct RequestResult {
     /// For the history.
     pub asked: Asked,
     /// Its class.
@@ -105,42 +105,42 @@
 }
 
 /// Sends one request on a connection of its own.
-pub async fn send(entry: SocketAddr, single: &Single) -> Done {
+pub async fn send(entry: SocketAddr, spec: &RequestSpec) -> RequestResult {
     let began = Instant::now();
-    let (told, retry_after_ms) = match exchange(entry, single).await {
-        Some((response, body)) => tell(&response, body),
+    let (told, retry_after_ms) = match exchange(entry, spec).await {
+        Some((response, body)) => classify_answer(&response, body),
         None => (Told::Broken, None),
     };
-    let effect = single.key.clone().unwrap_or_else(|| single.id.clone());
+    let effect = spec.key.clone().unwrap_or_else(|| spec.id.clone());
     let asked = Asked {
-        id: single.id.clone(),
+        id: spec.id.clone(),
         effect,
-        idempotent: single.idempotent,
-        body: single.body.clone(),
+        idempotent: spec.idempotent,
+        body: spec.body.clone(),
         told,
     };
-    Done { asked, class: single.class, took: began.elapsed(), retry_after_ms }
+    RequestResult { asked, class: spec.class, took: began.elapsed(), retry_after_ms }
 }
 
-async fn exchange(entry: SocketAddr, single: &Single) -> Option<(Response, Vec<u8>)> {
-    let method = if single.idempotent { Method::Put } else { Method::Post };
+async fn exchange(entry: SocketAddr, spec: &RequestSpec) -> Option<(Response, Vec<u8>)> {
+    let method = if spec.idempotent { Method::Put } else { Method::Post };
     let mut request = client::request(method, entry, "/work").ok()?;
-    request.insert_header("celerythread-service", single.service.as_str());
-    request.insert_header("x-request-id", single.id.as_str());
-    request.insert_header("celerythread-deadline", single.deadline.to_string());
-    let urgency = if single.class == Class::Urgent { "u=1" } else { "u=5" };
+    request.insert_header("celerythread-service", spec.service.as_str());
+    request.insert_header("x-request-id", spec.id.as_str());
+    request.insert_header("celerythread-deadline", spec.deadline.to_string());
+    let urgency = if spec.class == Class::Urgent { "u=1" } else { "u=5" };
     request.insert_header("priority", urgency);
-    if let Some(key) = &single.key {
+    if let Some(key) = &spec.key {
         request.insert_header("idempotency-key", format!("\"{key}\""));
     }
-    request.set_body(single.body.clone());
-    let mut connection = Connection::open(entry, WAIT).await.ok()?;
-    let answer = connection.send(request, WAIT).await.ok()?;
-    let body = connection.body(answer.length, WAIT, ANSWER_LIMIT).await.ok()?;
+    request.set_body(spec.body.clone());
+    let mut connection = Connection::open(entry, ANSWER_TIMEOUT).await.ok()?;
+    let answer = connection.send(request, ANSWER_TIMEOUT).await.ok()?;
+    let body = connection.body(answer.length, ANSWER_TIMEOUT, MAX_ANSWER_BYTES).await.ok()?;
     Some((answer.head, body))
 }
 
-fn tell(response: &Response, body: Vec<u8>) -> (Told, Option<u64>) {
+fn classify_answer(response: &Response, body: Vec<u8>) -> (Told, Option<u64>) {
     let is_problem = response
         .header("content-type")
         .is_some_and(|value| value.as_str() == "application/problem+json");
@@ -155,7 +155,7 @@
 /// What a run of requests showed.
 pub struct Report {
     /// Every request.
-    pub done: Vec<Done>,
+    pub results: Vec<RequestResult>,
     /// How long it all took.
     pub took: Duration,
 }
@@ -165,61 +165,61 @@
     let began = Instant::now();
     let done = Arc::new(Mutex::new(Vec::new()));
     let mut random = StdRng::seed_from_u64(plan.seed);
-    let mut sent = Vec::new();
+    let mut requests = Vec::new();
     for number in 0..plan.count {
         let due = Duration::from_secs_f64(number as f64 / plan.rate);
         let early = due.saturating_sub(began.elapsed());
         if !early.is_zero() {
             task::sleep(early).await;
         }
-        let single = choose(plan, number, &mut random);
+        let spec = generate_request(plan, number, &mut random);
         let entry = plan.entries[number as usize % plan.entries.len()];
         let done = done.clone();
-        sent.push(task::spawn(async move {
-            let one = send(entry, &single).await;
-            done.lock().push(one);
+        requests.push(task::spawn(async move {
+            let result = send(entry, &spec).await;
+            done.lock().push(result);
         }));
     }
-    for one in sent {
-        one.await;
+    for request in requests {
+        request.await;
     }
-    let done = std::mem::take(&mut *done.lock());
-    Report { done, took: began.elapsed() }
+    let results = std::mem::take(&mut *done.lock());
+    Report { results, took: began.elapsed() }
 }
 
-fn choose(plan: &Plan, number: u64, random: &mut StdRng) -> Single {
-    let patient = random.random_bool(plan.patient);
-    let once = random.random_bool(plan.once);
-    let keyed = once && random.random_bool(plan.keyed);
+fn generate_request(plan: &Plan, number: u64, random: &mut StdRng) -> RequestSpec {
+    let patient = random.random_bool(plan.patient_share);
+    let non_idempotent = random.random_bool(plan.non_idempotent_share);
+    let keyed = non_idempotent && random.random_bool(plan.keyed_share);
     let id = format!("{:x}-{number}", plan.seed);
-    Single {
+    RequestSpec {
         key: keyed.then(|| format!("key-{id}")),
         id,
         service: plan.service.clone(),
         class: if patient { Class::Patient } else { Class::Urgent },
-        idempotent: !once,
+        idempotent: !non_idempotent,
         deadline: plan.deadline,
-        body: (0..plan.body).map(|_| random.random()).collect(),
+        body: (0..plan.body_len).map(|_| random.random()).collect(),
     }
 }
 
 impl Report {
     /// For the history check.
     pub fn asked(&self) -> Vec<Asked> {
-        self.done.iter().map(|done| done.asked.clone()).collect()
+        self.results.iter().map(|result| result.asked.clone()).collect()
     }
 
     /// Requests of a class that were answered.
     pub fn answered(&self, class: Class) -> usize {
-        let of_class = self.done.iter().filter(|done| done.class == class);
-        of_class.filter(|done| matches!(done.asked.told, Told::Answer(200, _))).count()
+        let of_class = self.results.iter().filter(|result| result.class == class);
+        of_class.filter(|result| matches!(result.asked.told, Told::Answer(200, _))).count()
     }
 
     /// Refusals by code number.
     pub fn refusals(&self) -> BTreeMap<u16, usize> {
         let mut refusals = BTreeMap::new();
-        for done in &self.done {
-            if let Told::Refused(code, _) = done.asked.told {
+        for result in &self.results {
+            if let Told::Refused(code, _) = result.asked.told {
                 *refusals.entry(code).or_default() += 1;
             }
         }
@@ -230,13 +230,13 @@
     pub fn table(&self) -> String {
         let mut text = String::new();
         let seconds = self.took.as_secs_f64();
-        let _ = writeln!(text, "{} requests in {seconds:.1} s", self.done.len());
+        let _ = writeln!(text, "{} requests in {seconds:.1} s", self.results.len());
         for class in [Class::Urgent, Class::Patient] {
             let mut times: Histogram<u64> =
                 Histogram::new_with_bounds(1, 600_000_000, 3).expect("valid bounds");
-            for done in self.done.iter().filter(|done| done.class == class) {
-                if matches!(done.asked.told, Told::Answer(200, _)) {
-                    let _ = times.record(done.took.as_micros() as u64);
+            for result in self.results.iter().filter(|result| result.class == class) {
+                if matches!(result.asked.told, Told::Answer(200, _)) {
+                    let _ = times.record(result.took.as_micros() as u64);
                 }
             }
             let at = |quantile| times.value_at_quantile(quantile) as f64 / 1000.0;
@@ -253,7 +253,7 @@
         for (code, count) in self.refusals() {
             let _ = writeln!(text, "refused  {code}: {count}");
         }
-        let broken = self.done.iter().filter(|d| matches!(d.asked.told, Told::Broken)).count();
+        let broken = self.results.iter().filter(|d| matches!(d.asked.told, Told::Broken)).count();
         let _ = writeln!(text, "broken   {broken}");
         text
     }
--- a/crates/standin/src/minion.rs
+++ b/crates/standin/src/minion.rs
@@ -107,7 +107,7 @@
             record: Record::default(),
             started: Instant::now(),
         }));
-        let server = Server::start(address, Arc::new(Front(state.clone()))).await?;
+        let server = Server::start(address, Arc::new(RequestHandler(state.clone()))).await?;
         Ok(Self { server, state })
     }
 
@@ -137,7 +137,7 @@
     }
 }
 
-struct Front(Arc<Mutex<State>>);
+struct RequestHandler(Arc<Mutex<State>>);
 
 /// Counts a request as outstanding until it is dropped.
 struct Outstanding(Arc<Mutex<State>>);
@@ -148,8 +148,8 @@
     }
 }
 
-impl Front {
-    fn begin(&self, id: &str, path: &str) -> (Outstanding, Mode, Duration, usize) {
+impl RequestHandler {
+    fn record_start(&self, id: &str, path: &str) -> (Outstanding, Mode, Duration, usize) {
         let mut state = self.0.lock();
         state.outstanding += 1;
         state.record.most_outstanding = state.record.most_outstanding.max(state.outstanding);
@@ -161,7 +161,7 @@
 }
 
 #[async_trait]
-impl Handler for Front {
+impl Handler for RequestHandler {
     async fn handle(&self, request: Request) -> Response {
         if request.path() == "/standin/record" {
             return json(&self.0.lock().record);
@@ -173,7 +173,7 @@
             return Response::new(StatusCode::Ok);
         }
         let id = request.header("x-request-id").unwrap_or_default().to_owned();
-        let (outstanding, mode, duration, filling) = self.begin(&id, request.path());
+        let (outstanding, mode, duration, filling) = self.record_start(&id, request.path());
         let answer = Answer { id, digest: digest(&request.body), filling: "x".repeat(filling) };
         match mode {
             Mode::FailFast => return Response::new(StatusCode::InternalServerError),
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -45,7 +45,7 @@
     /// When the address cannot be listened at.
     pub async fn serve(address: SocketAddr, memory: Memory) -> io::Result<Self> {
         let fault = Arc::new(Mutex::new(Fault::None));
-        let handler = Arc::new(Front { memory: memory.clone(), fault: fault.clone() });
+        let handler = Arc::new(PlatformHandler { memory: memory.clone(), fault: fault.clone() });
         let server = Server::start(address, handler).await?;
         Ok(Self { memory, server, fault })
     }
@@ -56,7 +56,7 @@
     }
 }
 
-struct Front {
+struct PlatformHandler {
     memory: Memory,
     fault: Arc<Mutex<Fault>>,
 }
@@ -75,37 +75,37 @@
     pub name: String,
 }
 
-impl Front {
+impl PlatformHandler {
     async fn route(&self, request: &Request) -> Response {
         let memory = &self.memory;
         let body = request.body.as_slice();
         match (request.head.method(), request.path()) {
-            (Method::Post, "/table/commit") => match read::<Transaction>(body) {
+            (Method::Post, "/table/commit") => match parse::<Transaction>(body) {
                 Ok(transaction) => answer(memory.table.commit(transaction).await),
                 Err(refusal) => *refusal,
             },
-            (Method::Post, "/table/read") => match read::<ReadQuery>(body) {
+            (Method::Post, "/table/read") => match parse::<ReadQuery>(body) {
                 Ok(query) => answer(memory.table.read(query.space, &query.keys).await),
                 Err(refusal) => *refusal,
             },
-            (Method::Post, "/table/changes") => match read::<ChangesQuery>(body) {
+            (Method::Post, "/table/changes") => match parse::<ChangesQuery>(body) {
                 Ok(query) => answer(memory.table.changes(query.space, query.since).await),
                 Err(refusal) => *refusal,
             },
-            (Method::Post, "/roster/list") => match read::<String>(body) {
+            (Method::Post, "/roster/list") => match parse::<String>(body) {
                 Ok(known) => answer(memory.roster.list(&known).await),
                 Err(refusal) => *refusal,
             },
-            (Method::Post, "/roster/reboot") => match read::<Reboot>(body) {
+            (Method::Post, "/roster/reboot") => match parse::<Reboot>(body) {
                 Ok(order) => answer(memory.roster.reboot(&order.name, order.boot).await),
                 Err(refusal) => *refusal,
             },
-            (Method::Post, "/workers/order") => match read::<Command>(body) {
+            (Method::Post, "/workers/order") => match parse::<Command>(body) {
                 Ok(order) => answer(memory.workers.order(&order.worker, order.order).await),
                 Err(refusal) => *refusal,
             },
             (Method::Post, "/workers/tasks") => answer(memory.workers.tasks().await),
-            (Method::Post, "/workers/inspect") => match read::<Inspection>(body) {
+            (Method::Post, "/workers/inspect") => match parse::<Inspection>(body) {
                 Ok(query) => answer(memory.workers.inspect(&query.worker, &query.job).await),
                 Err(refusal) => *refusal,
             },
@@ -134,27 +134,27 @@
     /// Orders to the stand-in itself, which no fault touches.
     fn control(&self, request: &Request) -> Option<Response> {
         let body = request.body.as_slice();
-        let done = match request.path() {
+        let outcome = match request.path() {
             "/standin/instance" => {
-                read::<Instance>(body).map(|instance| self.memory.roster.put(instance))
+                parse::<Instance>(body).map(|instance| self.memory.roster.put(instance))
             }
             "/standin/remove" => {
-                read::<Name>(body).map(|name| self.memory.roster.remove(&name.name))
+                parse::<Name>(body).map(|name| self.memory.roster.remove(&name.name))
             }
-            "/standin/lag" => read::<Lag>(body)
+            "/standin/lag" => parse::<Lag>(body)
                 .map(|lag| self.memory.roster.set_lag(Duration::from_millis(lag.ms))),
-            "/standin/fault" => read::<Fault>(body).map(|fault| *self.fault.lock() = fault),
+            "/standin/fault" => parse::<Fault>(body).map(|fault| *self.fault.lock() = fault),
             _ => return None,
         };
-        Some(done.map_or_else(|refusal| *refusal, |()| answer(Ok(()))))
+        Some(outcome.map_or_else(|refusal| *refusal, |()| answer(Ok(()))))
     }
 }
 
 #[async_trait]
-impl Handler for Front {
+impl Handler for PlatformHandler {
     async fn handle(&self, request: Request) -> Response {
-        if let Some(done) = self.control(&request) {
-            return done;
+        if let Some(outcome) = self.control(&request) {
+            return outcome;
         }
         let unavailable = || answer::<()>(Err(Error::Unavailable { reason: "down".into() }));
         let fault = *self.fault.lock();
@@ -163,9 +163,9 @@
             Fault::FailBefore => unavailable(),
             Fault::LoseAnswer => {
                 self.route(&request).await;
-                never().await
+                hang().await
             }
-            Fault::Hang => never().await,
+            Fault::Hang => hang().await,
             Fault::Slow => {
                 task::sleep(Duration::from_millis(SLOW_MS)).await;
                 self.route(&request).await
@@ -185,12 +185,12 @@
 }
 
 /// Longer than any client waits.
-async fn never() -> Response {
+async fn hang() -> Response {
     task::sleep(Duration::from_secs(60)).await;
     Response::new(StatusCode::GatewayTimeout)
 }
 
-fn read<T: for<'de> Deserialize<'de>>(body: &[u8]) -> Result<T, Box<Response>> {
+fn parse<T: for<'de> Deserialize<'de>>(body: &[u8]) -> Result<T, Box<Response>> {
     serde_json::from_slice(body).map_err(|error| Box::new(refused(&error.to_string())))
 }
 
--- a/crates/standin/src/site.rs
+++ b/crates/standin/src/site.rs
@@ -33,7 +33,7 @@
 const REBIND_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A worker that serves.
-pub struct Running {
+pub struct RunningWorker {
     /// What it does.
     pub worker: Arc<Worker>,
     server: Server,
@@ -46,17 +46,17 @@
     /// The interface to machines.
     pub machines: Arc<Machines>,
     /// Workers by id.
-    pub workers: BTreeMap<String, Running>,
+    pub workers: BTreeMap<String, RunningWorker>,
     store_server: Server,
     machine_server: Server,
-    gate_servers: Vec<Server>,
+    proxy_servers: Vec<Server>,
 }
 
 /// The service that all workers serve unless they are added to another one.
-pub const DESK: &str = "desk";
+pub const DEFAULT_SERVICE: &str = "desk";
 
 /// A second service.
-pub const HALL: &str = "hall";
+pub const SECOND_SERVICE: &str = "hall";
 
 /// A workspace as operators configure it.
 #[derive(Clone, Copy, Debug, Default)]
@@ -79,22 +79,22 @@
 }
 
 /// A way to the store that turns calls away while it is shut.
-pub struct Gate {
+pub struct StoreProxy {
     store: Arc<Store>,
-    shut: AtomicBool,
+    is_unavailable: AtomicBool,
 }
 
-impl Gate {
+impl StoreProxy {
     /// Shuts or opens it.
-    pub fn shut(&self, shut: bool) {
-        self.shut.store(shut, Ordering::SeqCst);
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.is_unavailable.store(unavailable, Ordering::SeqCst);
     }
 }
 
 #[async_trait]
-impl Handler for Gate {
+impl Handler for StoreProxy {
     async fn handle(&self, request: Request) -> Response {
-        if self.shut.load(Ordering::SeqCst) {
+        if self.is_unavailable.load(Ordering::SeqCst) {
             return store::answer(503, json!({}));
         }
         self.store.handle(request).await
@@ -137,7 +137,7 @@
             workers: BTreeMap::new(),
             store_server,
             machine_server,
-            gate_servers: Vec::new(),
+            proxy_servers: Vec::new(),
         };
         site.configure(1);
         for number in 0..workers {
@@ -179,11 +179,11 @@
             })
         };
         let queues = [
-            queue("queue", "/q/", DESK, false),
-            queue("hall-queue", "/h/", HALL, false),
-            queue("public-queue", "/p/", DESK, true),
+            queue("queue", "/q/", DEFAULT_SERVICE, false),
+            queue("hall-queue", "/h/", SECOND_SERVICE, false),
+            queue("public-queue", "/p/", DEFAULT_SERVICE, true),
         ];
-        let services = [DESK, HALL]
+        let services = [DEFAULT_SERVICE, SECOND_SERVICE]
             .map(|name| json!({ "name": name, "admissionCheck": true, "spare": false }));
         let workspaces: Vec<Value> = workspaces.iter().map(Workspace::body).collect();
         let body = json!({
@@ -196,20 +196,23 @@
     ///
     /// # Errors
     /// When no port can be listened at.
-    pub async fn add_gate(&mut self) -> io::Result<(Arc<Gate>, SocketAddr)> {
-        let gate = Arc::new(Gate { store: self.store.clone(), shut: AtomicBool::new(false) });
-        let server = Server::start(any_port(), gate.clone()).await?;
+    pub async fn add_store_proxy(&mut self) -> io::Result<(Arc<StoreProxy>, SocketAddr)> {
+        let proxy = Arc::new(StoreProxy {
+            store: self.store.clone(),
+            is_unavailable: AtomicBool::new(false),
+        });
+        let server = Server::start(any_port(), proxy.clone()).await?;
         let address = server.address();
-        self.gate_servers.push(server);
-        Ok((gate, address))
+        self.proxy_servers.push(server);
+        Ok((proxy, address))
     }
 
     /// Asks for the upkeep of machines.
-    pub fn ask_upkeep(&self, number: u64, machines: &[&str], at_once: usize) {
+    pub fn request_upkeep(&self, number: u64, machines: &[&str], max_down: usize) {
         let body =
-            json!({ "wave": number, "machines": machines, "durationS": 20, "maxCount": at_once });
+            json!({ "wave": number, "machines": machines, "durationS": 20, "maxCount": max_down });
         self.store.put("op", "", &format!("wave/{number}"), body.to_string().as_bytes());
-        self.machines.due(number, machines);
+        self.machines.set_due(number, machines);
     }
 
     /// Adds a worker on a machine, and registers it.
@@ -217,7 +220,7 @@
     /// # Errors
     /// When no port can be listened at.
     pub async fn add_worker(&mut self, id: &str, machine: &str) -> io::Result<()> {
-        self.add_worker_to(DESK, id, machine).await
+        self.add_worker_to(DEFAULT_SERVICE, id, machine).await
     }
 
     /// The same for a service.
@@ -234,7 +237,7 @@
         let server = Server::start(any_port(), worker.clone()).await?;
         self.machines.add(machine, service, worker.clone(), server.address());
         self.store.put("servers", "", id, &worker.entry(service, server.address(), "ready"));
-        self.workers.insert(id.into(), Running { worker, server });
+        self.workers.insert(id.into(), RunningWorker { worker, server });
         Ok(())
     }
 
@@ -251,8 +254,8 @@
         if let Some(running) = self.workers.remove(id) {
             running.worker.crash();
             self.machines.crash(id);
-            self.store.drop_row("servers", "", id);
-            self.machines.keep_history(running.worker);
+            self.store.delete_row("servers", "", id);
+            self.machines.retain_worker(running.worker);
         }
     }
 
@@ -283,8 +286,13 @@
         let worker = Arc::new(Worker::new(id));
         let server = rebind(address, worker.clone()).await?;
         self.machines.restart(&worker);
-        self.store.put("servers", "", id, &worker.entry(DESK, server.address(), "ready"));
-        self.workers.insert(id.into(), Running { worker, server });
+        self.store.put(
+            "servers",
+            "",
+            id,
+            &worker.entry(DEFAULT_SERVICE, server.address(), "ready"),
+        );
+        self.workers.insert(id.into(), RunningWorker { worker, server });
         Ok(())
     }
 
--- a/crates/standin/src/site/check.rs
+++ b/crates/standin/src/site/check.rs
@@ -5,48 +5,49 @@
 use std::time::Instant;
 
 /// A promise that a history breaks, in words.
-pub type Broken = String;
+pub type Violation = String;
 
 /// No task runs twice at the same time, and none is started after it was done.
-pub fn once(history: &[Record]) -> Vec<Broken> {
+pub fn at_most_once(history: &[Record]) -> Vec<Violation> {
     let mut by_task: BTreeMap<&str, Vec<&Record>> = BTreeMap::new();
     for record in history {
         by_task.entry(&record.task).or_default().push(record);
     }
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for (task, mut records) in by_task {
         records.sort_by_key(|record| record.began);
         for pair in records.windows(2) {
             let (first, second) = (pair[0], pair[1]);
             if first.ended.is_none_or(|ended| ended > second.began) {
-                broken.push(format!("{task}: runs {} and {} overlap", first.run, second.run));
+                violations.push(format!("{task}: runs {} and {} overlap", first.run, second.run));
             }
         }
-        let done = records.iter().position(|record| record.how == Some("done"));
+        let done = records.iter().position(|record| record.end_reason == Some("done"));
         if let Some(done) = done.filter(|done| done + 1 < records.len()) {
-            broken.push(format!("{task}: started again after run {}", records[done].run));
+            violations.push(format!("{task}: started again after run {}", records[done].run));
         }
     }
-    broken
+    violations
 }
 
 /// Every task of the jobs has ended as done exactly once.
-pub fn all_done(history: &[Record], jobs: &[(String, u32)]) -> Vec<Broken> {
-    let mut broken = Vec::new();
+pub fn all_done(history: &[Record], jobs: &[(String, u32)]) -> Vec<Violation> {
+    let mut violations = Vec::new();
     for (job, tasks) in jobs {
         for index in 0..*tasks {
             let task = format!("{job}.0.0.{index}");
-            let done = history.iter().filter(|r| r.task == task && r.how == Some("done")).count();
+            let done =
+                history.iter().filter(|r| r.task == task && r.end_reason == Some("done")).count();
             if done != 1 {
-                broken.push(format!("{task}: done {done} times"));
+                violations.push(format!("{task}: done {done} times"));
             }
         }
     }
-    broken
+    violations
 }
 
 /// The most tasks that ran at one moment.
-pub fn most_at_once(history: &[Record]) -> usize {
+pub fn max_concurrent(history: &[Record]) -> usize {
     let at = |moment: Instant| {
         let runs = history.iter().filter(|record| {
             record.began <= moment && record.ended.is_none_or(|ended| ended > moment)
--- a/crates/standin/src/site/machine.rs
+++ b/crates/standin/src/site/machine.rs
@@ -17,14 +17,14 @@
 use std::time::{Duration, Instant};
 
 /// How long a machine is down for its upkeep.
-const UPKEEP: Duration = Duration::from_millis(400);
+const UPKEEP_DURATION: Duration = Duration::from_millis(400);
 
 struct Machine {
     pool: String,
     worker: Option<Arc<Worker>>,
     /// Since when it is down for its upkeep.
-    down: Option<Instant>,
-    lives: u32,
+    down_since: Option<Instant>,
+    restart_count: u32,
 }
 
 #[derive(Default)]
@@ -33,8 +33,8 @@
     /// Machines due, by wave.
     due: BTreeMap<u64, Vec<String>>,
     /// Upkeeps begun, with how many were down then and what ran on the machine.
-    begun: Vec<Upkeep>,
-    all: Vec<Arc<Worker>>,
+    upkeeps: Vec<Upkeep>,
+    workers: Vec<Arc<Worker>>,
     servers: Vec<Server>,
 }
 
@@ -64,12 +64,13 @@
 
     pub(super) fn add(&self, name: &str, pool: &str, worker: Arc<Worker>, _: SocketAddr) {
         let mut state = self.state.lock();
-        state.all.push(worker.clone());
-        let machine = Machine { pool: pool.into(), worker: Some(worker), down: None, lives: 0 };
+        state.workers.push(worker.clone());
+        let machine =
+            Machine { pool: pool.into(), worker: Some(worker), down_since: None, restart_count: 0 };
         state.machines.insert(name.into(), machine);
     }
 
-    pub(super) fn due(&self, wave: u64, machines: &[&str]) {
+    pub(super) fn set_due(&self, wave: u64, machines: &[&str]) {
         let names = machines.iter().map(|name| name.to_string()).collect();
         self.state.lock().due.insert(wave, names);
     }
@@ -91,37 +92,37 @@
                 machine.worker = Some(worker.clone());
             }
         }
-        state.all.push(worker.clone());
+        state.workers.push(worker.clone());
     }
 
-    pub(super) fn keep_history(&self, worker: Arc<Worker>) {
+    pub(super) fn retain_worker(&self, worker: Arc<Worker>) {
         let mut state = self.state.lock();
-        if !state.all.iter().any(|known| Arc::ptr_eq(known, &worker)) {
-            state.all.push(worker);
+        if !state.workers.iter().any(|known| Arc::ptr_eq(known, &worker)) {
+            state.workers.push(worker);
         }
     }
 
     /// What all workers ran, those that are gone included.
     pub fn history(&self) -> Vec<Record> {
-        let all = self.state.lock().all.clone();
-        all.iter().flat_map(|worker| worker.records()).collect()
+        let workers = self.state.lock().workers.clone();
+        workers.iter().flat_map(|worker| worker.records()).collect()
     }
 
     /// Upkeeps that began.
     pub fn upkeeps(&self) -> Vec<Upkeep> {
-        self.state.lock().begun.clone()
+        self.state.lock().upkeeps.clone()
     }
 
     fn list(&self) -> Response {
         let state = self.state.lock();
         let show = |(name, machine): (&String, &Machine)| {
             let id = machine.worker.as_ref().map_or("", |worker| worker.id());
-            let doing = match (&machine.down, &machine.worker) {
+            let state_name = match (&machine.down_since, &machine.worker) {
                 (Some(_), _) => "upkeep",
                 (None, Some(_)) => "up",
                 (None, None) => "down",
             };
-            json!({ "machine": name, "pool": machine.pool, "state": doing, "zone": "zone", "id": id })
+            json!({ "machine": name, "pool": machine.pool, "state": state_name, "zone": "zone", "id": id })
         };
         let machines: Vec<Value> = state.machines.iter().map(show).collect();
         answer(200, json!({ "machines": machines, "nextToken": null }))
@@ -135,7 +136,7 @@
         if !due {
             return answer(409, json!({ "reason": "wave" }));
         }
-        if state.begun.iter().any(|begun| begun.machine == name) {
+        if state.upkeeps.iter().any(|upkeep| upkeep.machine == name) {
             return answer(200, json!({}));
         }
         let Some(machine) = state.machines.get_mut(&name) else { return answer(400, json!({})) };
@@ -144,33 +145,33 @@
         };
         let ended = worker.running();
         worker.crash();
-        machine.down = Some(Instant::now());
-        let down = state.machines.values().filter(|machine| machine.down.is_some()).count();
-        state.begun.push(Upkeep { machine: name.clone(), down, ended, holder: holder.into() });
-        self.store.drop_row("servers", "", worker.id());
-        task::spawn(come_back(self.state.clone(), self.store.clone(), name));
+        machine.down_since = Some(Instant::now());
+        let down = state.machines.values().filter(|machine| machine.down_since.is_some()).count();
+        state.upkeeps.push(Upkeep { machine: name.clone(), down, ended, holder: holder.into() });
+        self.store.delete_row("servers", "", worker.id());
+        task::spawn(finish_upkeep(self.state.clone(), self.store.clone(), name));
         answer(200, json!({}))
     }
 }
 
 /// Brings a machine back with another worker.
-async fn come_back(state: Arc<Mutex<State>>, store: Arc<Store>, name: String) {
-    task::sleep(UPKEEP).await;
+async fn finish_upkeep(state: Arc<Mutex<State>>, store: Arc<Store>, name: String) {
+    task::sleep(UPKEEP_DURATION).await;
     let id = {
         let mut state = state.lock();
         let Some(machine) = state.machines.get_mut(&name) else { return };
-        machine.lives += 1;
-        format!("i-{name}-{}", machine.lives)
+        machine.restart_count += 1;
+        format!("i-{name}-{}", machine.restart_count)
     };
     let worker = Arc::new(Worker::new(&id));
     let Ok(server) = Server::start(any_port(), worker.clone()).await else { return };
     store.put("servers", "", &id, &worker.entry("desk", server.address(), "ready"));
     let mut state = state.lock();
-    state.all.push(worker.clone());
+    state.workers.push(worker.clone());
     state.servers.push(server);
     if let Some(machine) = state.machines.get_mut(&name) {
         machine.worker = Some(worker);
-        machine.down = None;
+        machine.down_since = None;
     }
 }
 
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -14,17 +14,17 @@
 use std::time::{Duration, Instant};
 
 /// Time between two looks of a feed that waits.
-const LOOK: Duration = Duration::from_millis(2);
+const FEED_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Rows of one answer.
-const PAGE: usize = 500;
+const MAX_PAGE_ROWS: usize = 500;
 
 /// Entries of one transaction.
-const ENTRIES: usize = 100;
+const MAX_TRANSACTION_ENTRIES: usize = 100;
 
 /// What the store does to calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Trouble {
+pub enum FaultMode {
     /// It serves.
     #[default]
     None,
@@ -39,10 +39,10 @@
 }
 
 /// How long a call takes while the store is slow: a hundred times the usual.
-const SLOW: Duration = Duration::from_millis(400);
+const SLOW_CALL_DURATION: Duration = Duration::from_millis(400);
 
 /// A partition before which transactions of this time wait takes no more.
-const QUEUE: Duration = Duration::from_secs(1);
+const MAX_QUEUE_DELAY: Duration = Duration::from_secs(1);
 
 type Key = (String, String, String);
 
@@ -59,7 +59,7 @@
     /// Every change with its version; a dropped row has no value.
     history: Vec<(u64, Key, Option<String>)>,
     /// Changes up to this version are forgotten.
-    forgotten: u64,
+    trimmed_version: u64,
 }
 
 /// The store.
@@ -68,15 +68,15 @@
     tables: Arc<Mutex<Tables>>,
     /// While the store is slow, when each partition is free again.
     busy_until: Mutex<BTreeMap<String, Instant>>,
-    trouble: Mutex<Trouble>,
+    fault_mode: Mutex<FaultMode>,
     /// The table whose feed brings nothing for now.
     held_feed: Mutex<Option<String>>,
 }
 
 impl Store {
     /// Switches what it does to calls.
-    pub fn trouble(&self, trouble: Trouble) {
-        *self.trouble.lock() = trouble;
+    pub fn set_fault_mode(&self, fault_mode: FaultMode) {
+        *self.fault_mode.lock() = fault_mode;
     }
 
     /// Holds a table's feed back: until told otherwise its changes come to nobody.
@@ -87,7 +87,7 @@
     /// Forgets the changes so far: feeds must read their tables again.
     pub fn forget_history(&self) {
         let mut tables = self.tables.lock();
-        tables.forgotten = tables.version;
+        tables.trimmed_version = tables.version;
         tables.history.clear();
     }
 
@@ -97,8 +97,8 @@
     }
 
     /// Drops a row.
-    pub fn drop_row(&self, table: &str, part: &str, key: &str) {
-        self.tables.lock().drop_row((table.into(), part.into(), key.into()));
+    pub fn delete_row(&self, table: &str, part: &str, key: &str) {
+        self.tables.lock().delete_row((table.into(), part.into(), key.into()));
     }
 
     /// A row's value.
@@ -124,12 +124,13 @@
         let done = {
             let mut busy = self.busy_until.lock();
             let free = busy.get(&part).copied().unwrap_or(now).max(now);
-            if free - now > QUEUE {
+            if free - now > MAX_QUEUE_DELAY {
                 return answer(429, json!({}));
             }
-            let took = if body["across"] == true { SLOW * 2 } else { SLOW };
-            busy.insert(part, free + took);
-            free + took
+            let duration =
+                if body["across"] == true { SLOW_CALL_DURATION * 2 } else { SLOW_CALL_DURATION };
+            busy.insert(part, free + duration);
+            free + duration
         };
         let tables = self.tables.clone();
         task::spawn(async move {
@@ -143,7 +144,7 @@
         let tables = self.tables.lock();
         let (table, part) = (parameter(request, "table"), parameter(request, "part"));
         let (from, to) = (parameter(request, "from"), request.query("to"));
-        let limit = parameter(request, "limit").parse().unwrap_or(PAGE).min(PAGE);
+        let limit = parameter(request, "limit").parse().unwrap_or(MAX_PAGE_ROWS).min(MAX_PAGE_ROWS);
         let inside = |key: &&Key| {
             key.0 == table
                 && key.1 == part
@@ -151,7 +152,7 @@
                 && to.as_ref().is_none_or(|to| key.2 < *to)
         };
         let keys: Vec<&Key> = tables.rows.keys().filter(inside).collect();
-        let rows: Vec<Value> = keys.iter().take(limit).map(|key| tables.show(key)).collect();
+        let rows: Vec<Value> = keys.iter().take(limit).map(|key| tables.row_json(key)).collect();
         let more = keys.len() > limit;
         answer(200, json!({ "rows": rows, "morePages": more, "ver": tables.version }))
     }
@@ -178,28 +179,28 @@
             if let Some(response) = self.changes(&table, after, began.elapsed() >= wait) {
                 return response;
             }
-            task::sleep(LOOK).await;
+            task::sleep(FEED_POLL_INTERVAL).await;
         }
     }
 
-    fn changes(&self, table: &str, after: u64, over: bool) -> Option<Response> {
+    fn changes(&self, table: &str, after: u64, timed_out: bool) -> Option<Response> {
         if self.held_feed.lock().as_deref() == Some(table) {
-            return over.then(|| answer(200, json!({ "rows": [], "ver": after })));
+            return timed_out.then(|| answer(200, json!({ "rows": [], "ver": after })));
         }
         let tables = self.tables.lock();
-        if after < tables.forgotten {
+        if after < tables.trimmed_version {
             return Some(answer(410, json!({})));
         }
         let mut rows = Vec::new();
         for (version, key, value) in &tables.history {
             if *version > after && key.0 == table {
                 rows.push(match value {
-                    Some(value) => show(key, value, *version),
+                    Some(value) => row_json(key, value, *version),
                     None => json!({ "table": key.0, "part": key.1, "key": key.2, "deleted": true, "ver": version }),
                 });
             }
         }
-        let ready = over || !rows.is_empty();
+        let ready = timed_out || !rows.is_empty();
         ready.then(|| answer(200, json!({ "rows": rows, "ver": tables.version })))
     }
 }
@@ -210,9 +211,9 @@
         self.write_at(key, value);
     }
 
-    fn drop_row(&mut self, key: Key) {
+    fn delete_row(&mut self, key: Key) {
         self.version += 1;
-        self.drop_at(key);
+        self.delete_at(key);
     }
 
     fn write_at(&mut self, key: Key, value: String) {
@@ -221,45 +222,47 @@
         self.rows.insert(key, Row { value, version });
     }
 
-    fn drop_at(&mut self, key: Key) {
+    fn delete_at(&mut self, key: Key) {
         if self.rows.remove(&key).is_some() {
             self.history.push((self.version, key, None));
         }
     }
 
-    fn show(&self, key: &Key) -> Value {
+    fn row_json(&self, key: &Key) -> Value {
         let row = self.rows.get(key);
-        show(key, row.map_or("", |row| &row.value), row.map_or(0, |row| row.version))
+        row_json(key, row.map_or("", |row| &row.value), row.map_or(0, |row| row.version))
     }
 }
 
 fn transact(tables: &mut Tables, body: &Value) -> Response {
     let list = |name: &str| body[name].as_array().cloned().unwrap_or_default();
-    if ["expect", "writes", "remove"].iter().map(|name| list(name).len()).sum::<usize>() > ENTRIES {
+    if ["expect", "writes", "remove"].iter().map(|name| list(name).len()).sum::<usize>()
+        > MAX_TRANSACTION_ENTRIES
+    {
         return answer(400, json!({}));
     }
-    let wrong: Vec<Value> = list("expect")
+    let mismatched: Vec<Value> = list("expect")
         .iter()
         .filter(|row| {
             let known = tables.rows.get(&key(row)).map_or(0, |row| row.version);
             known != row["ver"].as_u64().unwrap_or(0)
         })
-        .map(|row| tables.show(&key(row)))
+        .map(|row| tables.row_json(&key(row)))
         .collect();
-    if !wrong.is_empty() {
-        return answer(412, json!({ "rows": wrong, "ver": tables.version }));
+    if !mismatched.is_empty() {
+        return answer(412, json!({ "rows": mismatched, "ver": tables.version }));
     }
     tables.version += 1;
     for row in list("writes") {
         tables.write_at(key(&row), row["value"].as_str().unwrap_or_default().into());
     }
     for row in list("remove") {
-        tables.drop_at(key(&row));
+        tables.delete_at(key(&row));
     }
     answer(200, json!({ "ver": tables.version }))
 }
 
-fn show((table, part, key): &Key, value: &str, version: u64) -> Value {
+fn row_json((table, part, key): &Key, value: &str, version: u64) -> Value {
     json!({ "table": table, "part": part, "key": key, "value": value, "ver": version })
 }
 
@@ -287,21 +290,23 @@
 #[async_trait]
 impl Handler for Store {
     async fn handle(&self, request: Request) -> Response {
-        let trouble = *self.trouble.lock();
-        match trouble {
-            Trouble::Refuses => return answer(503, json!({})),
-            Trouble::Silent => return hang().await,
-            Trouble::Slow if request.path() != "/-/rows-tx" => task::sleep(SLOW).await,
-            Trouble::None | Trouble::LosesAnswers | Trouble::Slow => {}
+        let fault_mode = *self.fault_mode.lock();
+        match fault_mode {
+            FaultMode::Refuses => return answer(503, json!({})),
+            FaultMode::Silent => return hang().await,
+            FaultMode::Slow if request.path() != "/-/rows-tx" => {
+                task::sleep(SLOW_CALL_DURATION).await
+            }
+            FaultMode::None | FaultMode::LosesAnswers | FaultMode::Slow => {}
         }
         match request.path() {
             "/-/rows-tx" => {
                 let body = serde_json::from_slice(&request.body).unwrap_or_default();
-                if trouble == Trouble::Slow {
+                if fault_mode == FaultMode::Slow {
                     return self.transact_slowly(body).await;
                 }
                 let response = transact(&mut self.tables.lock(), &body);
-                if trouble == Trouble::LosesAnswers { hang().await } else { response }
+                if fault_mode == FaultMode::LosesAnswers { hang().await } else { response }
             }
             "/-/rows-get" => self.range(&request),
             "/-/rows-parts" => self.parts(&request),
--- a/crates/standin/src/site/worker.rs
+++ b/crates/standin/src/site/worker.rs
@@ -16,20 +16,20 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Time between two looks of a hold that waits.
-const LOOK: Duration = Duration::from_millis(3);
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(3);
 
 /// How long a lasting task takes until it is at work.
-const START_UP: Duration = Duration::from_millis(100);
+const STARTUP_DURATION: Duration = Duration::from_millis(100);
 
 /// How soon after its start a task takes its worker down.
-const CRASH_AFTER: Duration = Duration::from_millis(10);
+const CRASH_DELAY: Duration = Duration::from_millis(10);
 
 /// How long a worker that went down is silent; then another life answers at its address.
-const DOWN: Duration = Duration::from_millis(600);
+const DOWNTIME: Duration = Duration::from_millis(600);
 
 /// What a worker does to orders.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Trouble {
+pub enum FaultMode {
     /// It carries them out.
     #[default]
     None,
@@ -55,7 +55,7 @@
     /// When it ended.
     pub ended: Option<Instant>,
     /// How it ended.
-    pub how: Option<&'static str>,
+    pub end_reason: Option<&'static str>,
 }
 
 struct Active {
@@ -67,7 +67,7 @@
 
 #[derive(Default)]
 struct State {
-    token: u64,
+    highest_token: u64,
     deadline: u64,
     active: BTreeMap<String, Active>,
     ends: Vec<(u64, String, u64, &'static str)>,
@@ -75,7 +75,7 @@
     /// Highest run of each task that was stopped or ended here.
     closed: BTreeMap<String, u64>,
     records: Vec<Record>,
-    trouble: Trouble,
+    fault_mode: FaultMode,
     /// When a task that was started takes it down.
     down_at: Option<Instant>,
 }
@@ -103,8 +103,8 @@
     }
 
     /// Switches what it does to orders.
-    pub fn trouble(&self, trouble: Trouble) {
-        self.state.lock().trouble = trouble;
+    pub fn set_fault_mode(&self, fault_mode: FaultMode) {
+        self.state.lock().fault_mode = fault_mode;
     }
 
     /// Everything that it ran.
@@ -152,23 +152,23 @@
 
     /// Ends what is over by now.
     fn advance(&self, state: &mut State) {
-        let lapsed = self.clock_ms() >= state.deadline;
-        let over: Vec<(String, &'static str)> = state
+        let lease_expired = self.clock_ms() >= state.deadline;
+        let ended: Vec<(String, &'static str)> = state
             .active
             .iter()
             .filter_map(|(task, active)| {
                 let spent = active.began.elapsed() >= duration(&active.spec);
-                let how = if active.spec.contains("fail") { "failed" } else { "done" };
+                let end_reason = if active.spec.contains("fail") { "failed" } else { "done" };
                 let ends = spent && !active.spec.contains("hang") && !active.spec.contains("lasts");
                 if ends {
-                    Some((task.clone(), how))
+                    Some((task.clone(), end_reason))
                 } else {
-                    lapsed.then(|| (task.clone(), "lapsed"))
+                    lease_expired.then(|| (task.clone(), "lapsed"))
                 }
             })
             .collect();
-        for (task, how) in over {
-            end(state, &task, how);
+        for (task, end_reason) in ended {
+            end(state, &task, end_reason);
         }
     }
 
@@ -194,10 +194,17 @@
         let spec = body["spec"].as_str().unwrap_or_default().to_owned();
         let began = Instant::now();
         let (worker, name) = (self.id.clone(), task.clone());
-        state.records.push(Record { worker, task: name, run, began, ended: None, how: None });
+        state.records.push(Record {
+            worker,
+            task: name,
+            run,
+            began,
+            ended: None,
+            end_reason: None,
+        });
         let record = state.records.len() - 1;
         if spec.contains("crash") {
-            state.down_at = Some(began + CRASH_AFTER);
+            state.down_at = Some(began + CRASH_DELAY);
         }
         state.active.insert(task, Active { record, run, spec, began });
         answer(200, json!({ "clockMs": self.clock_ms() }))
@@ -244,7 +251,7 @@
                     return self.listing(&state);
                 }
             }
-            task::sleep(LOOK).await;
+            task::sleep(HOLD_POLL_INTERVAL).await;
         }
         hang().await
     }
@@ -256,8 +263,9 @@
             .map(|(task, active)| json!([task, active.run, "", percent(active), 0]))
             .collect();
         let ends = state.ends.iter().take(500);
-        let finished: Vec<Value> =
-            ends.map(|(number, task, run, how)| json!([number, task, run, how, ""])).collect();
+        let finished: Vec<Value> = ends
+            .map(|(number, task, run, end_reason)| json!([number, task, run, end_reason, ""]))
+            .collect();
         let clock = self.clock_ms();
         let body = json!({
             "clockMs": clock, "born": self.started_unix_ms,
@@ -274,15 +282,15 @@
 /// Whether an order's token is lower than one seen before; otherwise it is the highest from now on.
 fn is_fenced(state: &mut State, body: &Value) -> bool {
     let token = body["fencingToken"].as_u64().unwrap_or(0);
-    let fenced = token < state.token;
-    state.token = state.token.max(token);
+    let fenced = token < state.highest_token;
+    state.highest_token = state.highest_token.max(token);
     fenced
 }
 
 fn percent(active: &Active) -> u64 {
     let elapsed = active.began.elapsed();
     if active.spec.contains("lasts") {
-        return if elapsed >= START_UP { 100 } else { 10 };
+        return if elapsed >= STARTUP_DURATION { 100 } else { 10 };
     }
     let total = duration(&active.spec).as_millis().max(1);
     let done = (elapsed.as_millis() * 100 / total).min(99) as u64;
@@ -299,26 +307,26 @@
     tasks.iter().for_each(|task| end(state, task, "gone"));
 }
 
-fn end(state: &mut State, task: &str, how: &'static str) {
+fn end(state: &mut State, task: &str, end_reason: &'static str) {
     let Some(active) = state.active.remove(task) else { return };
     state.next_end += 1;
-    state.ends.push((state.next_end, task.into(), active.run, how));
+    state.ends.push((state.next_end, task.into(), active.run, end_reason));
     let closed = state.closed.entry(task.into()).or_default();
     *closed = (*closed).max(active.run);
     let record = &mut state.records[active.record];
     record.ended = Some(Instant::now());
-    record.how = Some(how);
+    record.end_reason = Some(end_reason);
 }
 
 #[async_trait]
 impl Handler for Worker {
     async fn handle(&self, request: Request) -> Response {
-        let trouble = self.state.lock().trouble;
-        if trouble == Trouble::Silent {
+        let fault_mode = self.state.lock().fault_mode;
+        if fault_mode == FaultMode::Silent {
             return hang().await;
         }
         let down = self.down_for();
-        if down.is_some_and(|down| down < DOWN) {
+        if down.is_some_and(|down| down < DOWNTIME) {
             return hang().await;
         }
         let is_other = |id: &str| id != self.id || down.is_some();
@@ -326,12 +334,12 @@
             return answer(421, json!({}));
         }
         let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
-        match (request.path(), trouble) {
-            ("/-/run-start", Trouble::LosesAnswers) => {
+        match (request.path(), fault_mode) {
+            ("/-/run-start", FaultMode::LosesAnswers) => {
                 self.start(&body);
                 hang().await
             }
-            ("/-/run-start", Trouble::Late(delay)) => {
+            ("/-/run-start", FaultMode::Late(delay)) => {
                 task::sleep(delay).await;
                 self.start(&body);
                 hang().await
--- a/tests/all/claims.rs
+++ b/tests/all/claims.rs
@@ -6,13 +6,13 @@
 use celerythread_standin::fault::Fault;
 use celerythread_standin::faulty::{Call, Plan};
 use celerythread_standin::history::Told;
-use celerythread_standin::load::Single;
+use celerythread_standin::load::RequestSpec;
 use celerythread_standin::minion::Mode;
 use std::time::{Duration, Instant};
 
-fn keyed(id: &str, key: &str) -> Single {
+fn keyed(id: &str, key: &str) -> RequestSpec {
     // The body belongs to the key: a repeat is the same request.
-    Single {
+    RequestSpec {
         key: Some(key.into()),
         idempotent: false,
         body: key.as_bytes().to_vec(),
@@ -76,7 +76,7 @@
 async fn a_key_used_for_another_request_is_refused() {
     let cluster = Cluster::start(Shape::default()).await;
     cluster.send(0, &keyed("a", "k")).await;
-    let other = Single { body: b"other".to_vec(), ..keyed("b", "k") };
+    let other = RequestSpec { body: b"other".to_vec(), ..keyed("b", "k") };
     let refused = cluster.send(1, &other).await;
     assert_matches!(refused.asked.told, Told::Refused(1018, Some(Outcome::NotRun)));
     assert_eq!(cluster.runs().len(), 1);
@@ -123,7 +123,8 @@
     assert!(refused.retry_after_ms.is_some());
     let mut asked = vec![refused.asked];
     for n in 0..20 {
-        let idempotent = Single { idempotent: n % 2 == 0, ..single(&format!("r{n}"), "alpha") };
+        let idempotent =
+            RequestSpec { idempotent: n % 2 == 0, ..single(&format!("r{n}"), "alpha") };
         let done = cluster.send(n % 2, &idempotent).await;
         assert_matches!(done.asked.told, Told::Answer(200, _));
         asked.push(done.asked);
@@ -142,7 +143,8 @@
 #[async_std::test]
 async fn a_request_that_was_not_run_gives_its_key_back() {
     let cluster = Cluster::start(Shape { entries: 1, ..Shape::default() }).await;
-    let hasty = Single { deadline: celerythread_model::unit::Span::millis(1), ..keyed("a", "k") };
+    let hasty =
+        RequestSpec { deadline: celerythread_model::unit::Span::millis(1), ..keyed("a", "k") };
     let refused = cluster.send(0, &hasty).await;
     if let Told::Refused(_, Some(Outcome::NotRun)) = refused.asked.told {
         until("the key is free", async || {
@@ -196,7 +198,7 @@
         .breaches(&asked)
         .iter()
         // A killed entry tells its caller nothing; that is not the promise under test.
-        .filter(|breach| !matches!(breach, celerythread_standin::history::Breach::Untold(_)))
+        .filter(|breach| !matches!(breach, celerythread_standin::history::Breach::NoAnswer(_)))
         .map(ToString::to_string)
         .collect();
     if !settled {
@@ -212,7 +214,7 @@
     pub(crate) async fn send_or_break(
         &mut self,
         index: usize,
-        one: &Single,
+        one: &RequestSpec,
     ) -> celerythread_standin::history::Asked {
         let sending = async_std::future::timeout(Duration::from_secs(8), self.send(index, one));
         let told = sending.await;
@@ -273,7 +275,7 @@
         for minion in cluster.minions.values() {
             minion.set_mode(mode);
         }
-        let one = Single { idempotent: false, ..single(&format!("{mode}"), "alpha") };
+        let one = RequestSpec { idempotent: false, ..single(&format!("{mode}"), "alpha") };
         asked.push(cluster.send(0, &one).await.asked);
         async_std::task::sleep(Duration::from_millis(600)).await;
     }
--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -13,10 +13,10 @@
 use celerythread_platform::memory::Memory;
 use celerythread_platform::message::{Instance, Role};
 use celerythread_standin::fault::Fault;
-use celerythread_standin::faulty::{Faulty, Switch};
+use celerythread_standin::faulty::{FaultInjector, FaultyPlatform};
 pub(crate) use celerythread_standin::fleet::{instance, loopback};
 use celerythread_standin::history::{self, Asked, Breach};
-use celerythread_standin::load::{self, Done, Single};
+use celerythread_standin::load::{self, RequestResult, RequestSpec};
 use celerythread_standin::minion::{Minion, Run};
 use celerythread_wire::authority::{self, Pair};
 use celerythread_wire::{Endpoint, Identity, authority::issue, endpoint};
@@ -83,7 +83,7 @@
 /// An entry, or what is left of it.
 pub(crate) struct Entry {
     pub(crate) daemon: Option<Daemon>,
-    pub(crate) switch: Arc<Switch>,
+    pub(crate) switch: Arc<FaultInjector>,
     pub(crate) callers: SocketAddr,
     pub(crate) operators: SocketAddr,
     pub(crate) name: String,
@@ -185,8 +185,8 @@
         let pair = issue(&self.authority, &name).unwrap();
         let (a, c, k) = (&self.authority.certificate, &pair.certificate, &pair.key);
         let identity = Identity::from_pem(a.as_bytes(), c.as_bytes(), k.as_bytes()).unwrap();
-        let switch = Arc::new(Switch::default());
-        let platform = Faulty::platform(self.memory.platform(), switch.clone());
+        let switch = Arc::new(FaultInjector::default());
+        let platform = FaultyPlatform::platform(self.memory.platform(), switch.clone());
         let daemon = Daemon::start(settings, platform, &identity).await.unwrap();
         self.entries.push(Entry {
             callers: daemon.caller_address(),
@@ -348,7 +348,7 @@
     }
 
     /// Sends a request through one entry.
-    pub(crate) async fn send(&self, index: usize, single: &Single) -> Done {
+    pub(crate) async fn send(&self, index: usize, single: &RequestSpec) -> RequestResult {
         load::send(self.entries[index].callers, single).await
     }
 
@@ -372,8 +372,8 @@
 }
 
 /// A request to `service`, urgent and idempotent unless the test says otherwise.
-pub(crate) fn single(id: &str, service: &str) -> Single {
-    Single {
+pub(crate) fn single(id: &str, service: &str) -> RequestSpec {
+    RequestSpec {
         id: id.into(),
         service: service.into(),
         class: celerythread_model::request::Class::Urgent,
--- a/tests/all/moves.rs
+++ b/tests/all/moves.rs
@@ -27,7 +27,9 @@
 
 /// Requests to both services go on all the while; each minion is told by their path which pool
 /// the sender took it for.
-fn traffic(cluster: &Cluster) -> (Arc<AtomicBool>, async_std::task::JoinHandle<Vec<load::Done>>) {
+fn traffic(
+    cluster: &Cluster,
+) -> (Arc<AtomicBool>, async_std::task::JoinHandle<Vec<load::RequestResult>>) {
     let stop = Arc::new(AtomicBool::new(false));
     let entries: Vec<_> = cluster.entries.iter().map(|entry| entry.callers).collect();
     let flag = stop.clone();
@@ -150,7 +152,8 @@
     let entry = cluster.entries[0].callers;
     let sent: Vec<_> = (0..8)
         .map(|n| {
-            let one = load::Single { idempotent: false, ..single(&format!("alpha-{n}"), "alpha") };
+            let one =
+                load::RequestSpec { idempotent: false, ..single(&format!("alpha-{n}"), "alpha") };
             async_std::task::spawn(async move { load::send(entry, &one).await })
         })
         .collect();
--- a/tests/all/peers.rs
+++ b/tests/all/peers.rs
@@ -4,7 +4,7 @@
 use celerythread_model::request::Class;
 use celerythread_model::unit::{Revision, Span};
 use celerythread_standin::history::Told;
-use celerythread_standin::load::Single;
+use celerythread_standin::load::RequestSpec;
 use celerythread_wire::Frame;
 use celerythread_wire::frame;
 use std::time::Duration;
@@ -63,7 +63,7 @@
     for n in 0..4 {
         async_std::task::spawn(async move {
             let long = Span::secs(60);
-            let one = Single { deadline: long, ..single(&format!("lost{n}"), "alpha") };
+            let one = RequestSpec { deadline: long, ..single(&format!("lost{n}"), "alpha") };
             celerythread_standin::load::send(entry, &one).await
         });
     }
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -60,7 +60,7 @@
     let dead = fleet.daemons.remove(0);
     fleet.platform.memory.roster.remove(&dead.name);
     asked.extend(send_some(&fleet, "during", 60, &[0, 1]).await);
-    fleet.all_owned().await.unwrap();
+    fleet.wait_until_owned().await.unwrap();
     asked.extend(send_some(&fleet, "after", 60, &[0, 1]).await);
     let after: Vec<&Asked> = asked.iter().filter(|one| one.id.starts_with("after")).collect();
     for one in after {
--- a/tests/all/requests.rs
+++ b/tests/all/requests.rs
@@ -8,7 +8,7 @@
 use celerythread_platform::message::{Instance, Role};
 use celerythread_standin::history::Told;
 use celerythread_standin::link::{Link, Mode as LinkMode};
-use celerythread_standin::load::{self, Plan, Single};
+use celerythread_standin::load::{self, Plan, RequestSpec};
 use celerythread_standin::minion::{Minion, Mode};
 use std::time::{Duration, Instant};
 
@@ -16,8 +16,8 @@
     Shape { entries: 1, minions: vec![("alpha", 1)], floor: 0, ..Shape::default() }
 }
 
-fn once(id: &str) -> Single {
-    Single { idempotent: false, ..single(id, "alpha") }
+fn once(id: &str) -> RequestSpec {
+    RequestSpec { idempotent: false, ..single(id, "alpha") }
 }
 
 #[async_std::test]
@@ -143,7 +143,7 @@
             let warm = cluster.send(0, &single(&format!("warm{round}-{n}"), "alpha")).await;
             asked.push(warm.asked);
         }
-        link.forget();
+        link.forget_flows();
         let unique = cluster.send(0, &once(&format!("once{round}"))).await;
         assert_matches!(unique.asked.told, Told::Answer(200, _));
         asked.push(unique.asked);
@@ -171,7 +171,7 @@
     let cluster = Cluster::start(shape).await;
     let minion = &cluster.minions["alpha-0"];
     minion.set_duration(Duration::from_millis(400));
-    let hasty = Single { deadline: Span::millis(150), ..single("hasty", "alpha") };
+    let hasty = RequestSpec { deadline: Span::millis(150), ..single("hasty", "alpha") };
     let given_up = cluster.send(0, &hasty).await;
     assert_matches!(given_up.asked.told, Told::Refused(_, Some(Outcome::Unknown)));
     minion.set_duration(Duration::from_millis(5));
@@ -227,7 +227,7 @@
         service: "alpha".into(),
         rate: 250.0,
         count: 250,
-        once: 0.0,
+        non_idempotent_share: 0.0,
         seed,
         ..Plan::default()
     };
@@ -259,7 +259,7 @@
     let report = load::run(&plan).await;
     assert_eq!(cluster.breaches(&report.asked()), []);
     let refused: Vec<_> = report
-        .done
+        .results
         .iter()
         .filter(|done| matches!(done.asked.told, Told::Refused(1011, Some(Outcome::NotRun))))
         .collect();
--- a/tests/all/site/explain.rs
+++ b/tests/all/site/explain.rs
@@ -3,8 +3,8 @@
 use super::*;
 use celerythread::explain::Story;
 use celerythread::logs::Line;
-use celerythread_standin::site::store::Trouble as StoreTrouble;
-use celerythread_standin::site::worker::Trouble as WorkerTrouble;
+use celerythread_standin::site::store::FaultMode as StoreTrouble;
+use celerythread_standin::site::worker::FaultMode as WorkerTrouble;
 
 /// What the entries have written so far.
 fn lines(deployment: &Deployment) -> Vec<Line> {
@@ -58,7 +58,7 @@
 #[async_std::test]
 async fn a_refused_request_is_explained_by_the_store() {
     let deployment = Deployment::start("explain-refused", 2, 1).await;
-    deployment.site.store.trouble(StoreTrouble::Refuses);
+    deployment.site.store.set_fault_mode(StoreTrouble::Refuses);
     task::sleep(Duration::from_millis(300)).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "ms=50").await, 503);
     cause(&deployment, &id(1), &["refused as not run", "had lost the store", "503"]).await;
@@ -74,7 +74,7 @@
         workers.find(|(_, w)| !w.worker.running().is_empty()).map(|(id, _)| id.clone())
     })
     .await;
-    deployment.site.workers[&worker].worker.trouble(WorkerTrouble::Silent);
+    deployment.site.workers[&worker].worker.set_fault_mode(WorkerTrouble::Silent);
     deployment.until(0, &id(1), "completed").await;
     cause(&deployment, &id(1), &["completed, after", "until the lease", &worker]).await;
 }
--- a/tests/all/site/fleet.rs
+++ b/tests/all/site/fleet.rs
@@ -17,7 +17,7 @@
 #[async_std::test]
 async fn who_holds_what_is_told_without_any_entry() {
     let mut deployment = Deployment::start("fleet", 2, 3).await;
-    deployment.site.ask_upkeep(7, &["m-0"], 1);
+    deployment.site.request_upkeep(7, &["m-0"], 1);
     eventually("the wave is completed", async || {
         let status = deployment.site.store.value("status", "", "wave/7")?;
         let status: Value = serde_json::from_slice(&status).ok()?;
--- a/tests/all/site/jobs.rs
+++ b/tests/all/site/jobs.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use celerythread_standin::site::check;
-use celerythread_standin::site::store::Trouble;
+use celerythread_standin::site::store::FaultMode;
 
 #[async_std::test]
 async fn a_job_is_accepted_run_and_shown_at_every_entry() {
@@ -16,7 +16,7 @@
         deployment.until(entry, &id(1), "completed").await;
     }
     let history = deployment.site.history();
-    assert_eq!(check::once(&history), Vec::<String>::new());
+    assert_eq!(check::at_most_once(&history), Vec::<String>::new());
     assert_eq!(check::all_done(&history, &[(id(1), 5)]), Vec::<String>::new());
 }
 
@@ -63,14 +63,14 @@
     let (first, second) =
         (deployment.entries[others[0]].callers, deployment.entries[others[1]].callers);
     deployment.site.store.hold_feed(Some("jobs"));
-    deployment.site.store.trouble(Trouble::LosesAnswers);
+    deployment.site.store.set_fault_mode(FaultMode::LosesAnswers);
     let lost = task::spawn(async move { submit(first, &id(1), 2, "ms=50").await });
     eventually("the job is written", async || {
         (deployment.site.store.count("jobs", "job/") == 1).then_some(())
     })
     .await;
     deployment.entries.remove(others[0]);
-    deployment.site.store.trouble(Trouble::None);
+    deployment.site.store.set_fault_mode(FaultMode::None);
     assert_eq!(submit(second, &id(1), 7, "ms=50").await, Some(200));
     eventually("the job is completed", async || {
         (state(second, &id(1)).await? == "completed").then_some(())
--- a/tests/all/site/loss.rs
+++ b/tests/all/site/loss.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use celerythread_standin::site::check;
-use celerythread_standin::site::worker::Trouble;
+use celerythread_standin::site::worker::FaultMode;
 
 /// Submits one job after the other to entries that answer, while `fault` does its work.
 async fn submit_through(
@@ -39,7 +39,7 @@
 
 fn assert_once(deployment: &Deployment, answers: &BTreeMap<String, u16>, tasks: u32) {
     let history = deployment.site.history();
-    assert_eq!(check::once(&history), Vec::<String>::new());
+    assert_eq!(check::at_most_once(&history), Vec::<String>::new());
     assert_eq!(check::all_done(&history, &accepted(answers, tasks)), Vec::<String>::new());
 }
 
@@ -140,10 +140,10 @@
     let answers = submit_through(&mut deployment, 40, 2, "ms=150", |deployment, number| {
         let worker = |id: &str| deployment.site.workers[id].worker.clone();
         match number {
-            5 => worker("i-0").trouble(Trouble::LosesAnswers),
-            10 => worker("i-1").trouble(Trouble::Late(Duration::from_millis(1200))),
-            20 => worker("i-0").trouble(Trouble::None),
-            30 => worker("i-1").trouble(Trouble::None),
+            5 => worker("i-0").set_fault_mode(FaultMode::LosesAnswers),
+            10 => worker("i-1").set_fault_mode(FaultMode::Late(Duration::from_millis(1200))),
+            20 => worker("i-0").set_fault_mode(FaultMode::None),
+            30 => worker("i-1").set_fault_mode(FaultMode::None),
             _ => {}
         }
     })
@@ -158,16 +158,16 @@
     let mut deployment = Deployment::start("cut", 2, 2).await;
     let answers = submit_through(&mut deployment, 20, 2, "ms=900", |deployment, number| {
         if number == 5 {
-            deployment.site.workers["i-0"].worker.trouble(Trouble::Silent);
+            deployment.site.workers["i-0"].worker.set_fault_mode(FaultMode::Silent);
         }
         if number == 18 {
-            deployment.site.workers["i-0"].worker.trouble(Trouble::None);
+            deployment.site.workers["i-0"].worker.set_fault_mode(FaultMode::None);
         }
     })
     .await;
     all_completed(&deployment, 0, &answers).await;
     let history = deployment.site.history();
-    assert_eq!(check::once(&history), Vec::<String>::new());
+    assert_eq!(check::at_most_once(&history), Vec::<String>::new());
 }
 
 /// A task takes down each worker that starts it, and its owner is killed right after the first time.  The job's caller
--- a/tests/all/site/maintenance.rs
+++ b/tests/all/site/maintenance.rs
@@ -9,7 +9,7 @@
     let deployment = Deployment::start("wave", 2, 5).await;
     assert_eq!(deployment.submit(0, &id(1), 2, "lasts").await, 200);
     deployment.until(0, &id(1), "running").await;
-    deployment.site.ask_upkeep(1, &["m-0", "m-1", "m-2", "m-3", "m-4"], 2);
+    deployment.site.request_upkeep(1, &["m-0", "m-1", "m-2", "m-3", "m-4"], 2);
     for number in 2..30 {
         assert_eq!(deployment.submit(1, &id(number), 2, "ms=100").await, 200);
         task::sleep(Duration::from_millis(40)).await;
@@ -37,7 +37,7 @@
 #[async_std::test]
 async fn a_wave_survives_its_carrier() {
     let mut deployment = Deployment::start("wave-kill", 3, 4).await;
-    deployment.site.ask_upkeep(1, &["m-0", "m-1", "m-2", "m-3"], 1);
+    deployment.site.request_upkeep(1, &["m-0", "m-1", "m-2", "m-3"], 1);
     eventually("a machine has had its maintenance", async || {
         (!deployment.site.machines.upkeeps().is_empty()).then_some(())
     })
--- a/tests/all/site/store.rs
+++ b/tests/all/site/store.rs
@@ -2,16 +2,16 @@
 
 use super::*;
 use celerythread_standin::site::check;
-use celerythread_standin::site::store::Trouble;
+use celerythread_standin::site::store::FaultMode;
 
 /// Jobs sent one after the other with the store in trouble from the tenth to the thirtieth.
-async fn through(test: &'static str, trouble: Trouble) -> (Deployment, BTreeMap<String, u16>) {
+async fn through(test: &'static str, trouble: FaultMode) -> (Deployment, BTreeMap<String, u16>) {
     let deployment = Deployment::start(test, 2, 2).await;
     let mut answers = BTreeMap::new();
     for number in 0..40 {
         match number {
-            10 => deployment.site.store.trouble(trouble),
-            30 => deployment.site.store.trouble(Trouble::None),
+            10 => deployment.site.store.set_fault_mode(trouble),
+            30 => deployment.site.store.set_fault_mode(FaultMode::None),
             _ => {}
         }
         let status = deployment.submit(number as usize % 2, &id(number), 2, "ms=150").await;
@@ -27,7 +27,7 @@
         deployment.until(0, job, "completed").await;
     }
     let history = deployment.site.history();
-    assert_eq!(check::once(&history), Vec::<String>::new());
+    assert_eq!(check::at_most_once(&history), Vec::<String>::new());
     assert_eq!(check::all_done(&history, &accepted(answers, 2)), Vec::<String>::new());
     for (job, _) in answers.iter().filter(|(_, status)| **status == 503) {
         let ran = history.iter().any(|record| record.task.starts_with(job.as_str()));
@@ -37,14 +37,14 @@
 
 #[async_std::test]
 async fn a_store_that_refuses_leads_to_refusals_that_are_true() {
-    let (deployment, answers) = through("store-refuses", Trouble::Refuses).await;
+    let (deployment, answers) = through("store-refuses", FaultMode::Refuses).await;
     assert!(answers.values().any(|status| *status == 503), "{answers:?}");
     check_all(&deployment, &answers).await;
 }
 
 #[async_std::test]
 async fn a_silent_store_leaves_nothing_half_accepted() {
-    let (deployment, answers) = through("store-silent", Trouble::Silent).await;
+    let (deployment, answers) = through("store-silent", FaultMode::Silent).await;
     check_all(&deployment, &answers).await;
 }
 
@@ -52,7 +52,7 @@
 /// that the job doesn't run.
 #[async_std::test]
 async fn lost_answers_of_the_store_are_not_taken_for_refusals() {
-    let (deployment, answers) = through("store-loses", Trouble::LosesAnswers).await;
+    let (deployment, answers) = through("store-loses", FaultMode::LosesAnswers).await;
     check_all(&deployment, &answers).await;
 }
 
@@ -77,7 +77,7 @@
     /// Each partition gets two of the jobs, and carries out two and a half in this time.
     const GAP: Duration = Duration::from_millis(40);
     let deployment = Deployment::start("store-slow", 2, 2).await;
-    deployment.site.store.trouble(Trouble::Slow);
+    deployment.site.store.set_fault_mode(FaultMode::Slow);
     let mut sent = Vec::new();
     for number in 0..JOBS {
         let entry = deployment.entries[number as usize % 2].callers;
@@ -93,7 +93,7 @@
         let (job, status) = one.await;
         answers.insert(job, status);
     }
-    deployment.site.store.trouble(Trouble::None);
+    deployment.site.store.set_fault_mode(FaultMode::None);
     let accepted = answers.values().filter(|status| **status == 200).count();
     assert!(accepted as u32 >= JOBS * 9 / 10, "{accepted} of {JOBS}: {answers:?}");
     check_all(&deployment, &answers).await;
@@ -106,13 +106,13 @@
 async fn a_slow_store_keeps_its_owners_at_work() {
     let deployment = Deployment::start("store-slow-owner", 2, 2).await;
     let owner = deployment.owner();
-    deployment.site.store.trouble(Trouble::Slow);
+    deployment.site.store.set_fault_mode(FaultMode::Slow);
     for number in 0..8 {
         let status = deployment.submit(number as usize % 2, &id(number), 2, "ms=50").await;
         assert_eq!(status, 200, "job {number}");
         deployment.until(0, &id(number), "completed").await;
     }
-    deployment.site.store.trouble(Trouble::None);
+    deployment.site.store.set_fault_mode(FaultMode::None);
     assert_eq!(deployment.owner(), owner);
     assert!(deployment.entries.iter().all(|entry| !entry.noted("cell_lost")));
 }
@@ -142,7 +142,7 @@
         deployment.until(1, &id(number), "completed").await;
     }
     let history = deployment.site.history();
-    assert_eq!(check::once(&history), Vec::<String>::new());
+    assert_eq!(check::at_most_once(&history), Vec::<String>::new());
 }
 
 /// Machines that were to be emptied once get no work any more.  A former holder of the duty left more
@@ -168,7 +168,7 @@
 async fn while_the_store_is_away_callers_are_told_that_nothing_ran() {
     let deployment = Deployment::start("store-away", 2, 2).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "ms=50").await, 200);
-    deployment.site.store.trouble(Trouble::Silent);
+    deployment.site.store.set_fault_mode(FaultMode::Silent);
     let ready = async |entry: usize| {
         let callers = deployment.entries[entry].callers;
         Some(call(callers, Method::Get, "/-/ready", None).await?.0 == 200)
@@ -178,11 +178,11 @@
     for number in 2..6 {
         assert_eq!(deployment.submit(0, &id(number), 1, "ms=50").await, 503);
     }
-    deployment.site.store.trouble(Trouble::None);
+    deployment.site.store.set_fault_mode(FaultMode::None);
     eventually("its end is seen", async || ready(0).await?.then_some(())).await;
     for number in 2..6 {
         assert_eq!(deployment.submit(0, &id(number), 1, "ms=50").await, 200);
         deployment.until(0, &id(number), "completed").await;
     }
-    assert_eq!(check::once(&deployment.site.history()), Vec::<String>::new());
+    assert_eq!(check::at_most_once(&deployment.site.history()), Vec::<String>::new());
 }
--- a/tests/all/site/workspaces.rs
+++ b/tests/all/site/workspaces.rs
@@ -1,7 +1,7 @@
 //! Workspaces: their keys, whose job is whose, and their limits.
 
 use super::*;
-use celerythread_standin::site::{HALL, Workspace, check};
+use celerythread_standin::site::{SECOND_SERVICE, Workspace, check};
 
 const KEY: &str = "pqk8bdk9eevyxq2yyaza";
 const SECOND_KEY: &str = "x6pwawxdmdejk7f92bqu";
@@ -144,13 +144,13 @@
 #[async_std::test]
 async fn an_entry_that_the_store_turns_away_learns_of_keys_from_its_peers() {
     let mut deployment = start("turned-away", 2, 1).await;
-    let (gate, store) = deployment.site.add_gate().await.unwrap();
+    let (gate, store) = deployment.site.add_store_proxy().await.unwrap();
     let machines = deployment.site.machine_address();
     let entry = Entry::start_with(store, machines, "turned-away", "gated", "").await;
     deployment.add_started(entry).await;
     let gated = deployment.entries.last().unwrap().callers;
     until_status(gated, 200, "/q/", &[&token(KEY)]).await;
-    gate.shut(true);
+    gate.set_unavailable(true);
     let left = Workspace { keys: &[SECOND_KEY], ..TEAM };
     deployment.site.configure_workspaces(3, &[left, OTHER]);
     let began = Instant::now();
@@ -166,11 +166,11 @@
     for (strict, wanted) in [("strict_keys = true\ntrust_keys_for = 1500ms\n", true), ("", false)] {
         let mut site = celerythread_standin::site::Site::start(1).await.unwrap();
         site.configure_workspaces(2, &[TEAM]);
-        let (gate, store) = site.add_gate().await.unwrap();
+        let (gate, store) = site.add_store_proxy().await.unwrap();
         let machines = site.machine_address();
         let entry = Entry::start_with(store, machines, "cut-off", "alone", strict).await;
         until_status(entry.callers, 401, "/q/", &[&token(OTHER_KEY)]).await;
-        gate.shut(true);
+        gate.set_unavailable(true);
         task::sleep(Duration::from_millis(2500)).await;
         let refused = entry.noted("keys_unconfirmed");
         assert!(!refused);
@@ -190,7 +190,7 @@
         assert_eq!(entry.noted("keys_unconfirmed"), wanted);
         // An unknown key is refused by what is known, in any case.
         assert_eq!(status_as(entry.callers, OTHER_KEY, Method::Get, "/q/").await, 401);
-        gate.shut(false);
+        gate.set_unavailable(false);
         until_status(entry.callers, 200, "/q/", &[&token(KEY)]).await;
     }
 }
@@ -200,7 +200,7 @@
     let mut deployment = Deployment::start(test, 3, 2).await;
     for number in 0..2 {
         let (id, machine) = (format!("i-hall-{number}"), format!("m-hall-{number}"));
-        deployment.site.add_worker_to(HALL, &id, &machine).await.unwrap();
+        deployment.site.add_worker_to(SECOND_SERVICE, &id, &machine).await.unwrap();
     }
     limit(&deployment, 2, cores);
     for entry in &deployment.entries {
@@ -239,8 +239,8 @@
 
 fn assert_limited(deployment: &Deployment, most: usize) {
     let history = deployment.site.history();
-    assert_eq!(check::once(&history), Vec::<String>::new());
-    let at_once = check::most_at_once(&history);
+    assert_eq!(check::at_most_once(&history), Vec::<String>::new());
+    let at_once = check::max_concurrent(&history);
     assert!(at_once <= most, "{at_once} tasks at once, {most} allowed");
 }
 
@@ -270,7 +270,7 @@
     assert_eq!(submit_as(entry, KEY, &format!("/q/{}", id(3)), 2, "ms=20000").await, 200);
     // The shorter job would be started first if both waited.
     eventually("the limit is in use", async || {
-        (check::most_at_once(&deployment.site.history()) == 2).then_some(())
+        (check::max_concurrent(&deployment.site.history()) == 2).then_some(())
     })
     .await;
     assert_eq!(submit_as(entry, KEY, &held, 1, "ms=50").await, 200);
@@ -302,28 +302,28 @@
     let deployment = start_limited("limit-lowered", 6).await;
     let paths = submit_all(&deployment, 6, "ms=1500").await;
     eventually("six tasks run", async || {
-        (check::most_at_once(&deployment.site.history()) == 6).then_some(())
+        (check::max_concurrent(&deployment.site.history()) == 6).then_some(())
     })
     .await;
     limit(&deployment, 3, 2);
     let lowered = Instant::now() + IN_FORCE;
     all_completed(&deployment, &paths).await;
     let history = deployment.site.history();
-    assert!(history.iter().all(|record| record.how == Some("done")));
+    assert!(history.iter().all(|record| record.end_reason == Some("done")));
     let late: Vec<_> = history.into_iter().filter(|record| record.began > lowered).collect();
-    assert!(check::most_at_once(&late) <= 2);
+    assert!(check::max_concurrent(&late) <= 2);
     assert_limited(&deployment, 6);
 }
 
 /// Guards against a share that is spent twice because the answer of its transfer was lost.
 #[async_std::test]
 async fn a_limit_holds_while_the_store_loses_answers() {
-    use celerythread_standin::site::store::Trouble;
+    use celerythread_standin::site::store::FaultMode;
     let deployment = start_limited("limit-lost", 4).await;
     let paths = submit_all(&deployment, 4, "ms=300").await;
-    deployment.site.store.trouble(Trouble::LosesAnswers);
+    deployment.site.store.set_fault_mode(FaultMode::LosesAnswers);
     task::sleep(Duration::from_millis(1500)).await;
-    deployment.site.store.trouble(Trouble::None);
+    deployment.site.store.set_fault_mode(FaultMode::None);
     all_completed(&deployment, &paths).await;
     assert_limited(&deployment, 4);
 }
