--- a/crates/standin/src/bin/celerythread-standin.rs
+++ b/crates/standin/src/bin/celerythread-standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes.  Each prints one line `listening ADDRESS` and then serves.
+//! Runs a stand-in as a process.  A serving stand-in prints one line `listening ADDRESS` first.
 
 use async_std::task;
 use celerythread_http::client;
@@ -16,7 +16,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Longest wait for an order to a stand-in.
+/// Timeout of a control request to a stand-in.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(5);
 
 mod flags {
@@ -31,63 +31,63 @@
         cmd celerythread-standin {
             /// The platform: table, objects, list of instances, workers.
             cmd platform {
-                /// Where to listen.
+                /// Address to listen on.
                 required --listen address: SocketAddr
-                /// How late the list of instances is.
+                /// Delay of changes to the list of instances.
                 optional --lag span: Span
             }
             /// A minion.
             cmd minion {
-                /// Where to listen.
+                /// Address to listen on.
                 required --listen address: SocketAddr
-                /// How long a request takes.
+                /// Processing time of a request.
                 optional --duration span: Span
             }
-            /// Puts an instance on the platform's list.
+            /// Adds an instance to the platform's list.
             cmd instance {
-                /// The platform.
+                /// Address of the platform.
                 required --platform address: SocketAddr
-                /// Its name.
+                /// Name of the instance.
                 required --name name: String
-                /// entry, minion or worker.
+                /// Role: entry, minion or worker.
                 required --role role: Role
-                /// Its availability zone.
+                /// Availability zone of the instance.
                 required --zone name: String
-                /// Its rack.
+                /// Rack of the instance.
                 required --rack name: String
-                /// Where a minion serves.
+                /// Address at which a minion serves.
                 optional --address address: SocketAddr
                 /// The pool that a minion was bought for.
                 optional --pool name: String
-                /// A worker's thousandths of a core.
+                /// A worker's processor capacity in millicores.
                 optional --cpu count: Millicores
-                /// A worker's memory.
+                /// A worker's memory capacity.
                 optional --memory size: Bytes
             }
-            /// A hop for TCP.
+            /// A TCP proxy.
             cmd link {
-                /// Where to listen.
+                /// Address to listen on.
                 required --listen address: SocketAddr
-                /// Where to pass things on to.
+                /// Address to forward to.
                 required --target address: SocketAddr
-                /// How long each piece takes one way.
+                /// Delay of each forwarded chunk, one way.
                 optional --delay span: Span
             }
-            /// A load on entries, with its report and history check.
+            /// Sends requests to entries, prints a report and checks the history.
             cmd load {
-                /// An entry; may be given several times.
+                /// Address of an entry; may be given several times.
                 repeated --entry address: SocketAddr
-                /// A minion whose record is joined to the history; may be given several times.
+                /// Address of a minion whose record is checked too; may be given several times.
                 repeated --minion address: SocketAddr
-                /// The service.
+                /// Name of the service.
                 required --service name: String
-                /// Requests a second.
+                /// Requests per second.
                 optional --rate number: f64
-                /// How many requests.
+                /// Number of requests.
                 optional --count number: u64
-                /// The seed.
+                /// Seed of the random choices.
                 optional --seed number: u64
-                /// The deadline.
+                /// Deadline of each request.
                 optional --deadline span: Span
             }
         }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,9 +1,9 @@
-//! Faults of a platform call.
+//! Faults that can be injected into a platform call.
 
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumString, VariantArray};
 
-/// What goes wrong with a call.
+/// A fault of one call.
 #[derive(
     Clone,
     Copy,
@@ -21,29 +21,29 @@
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It fails and has no effect.
+    /// The call fails and has no effect.
     FailBefore,
-    /// It takes effect and its answer is lost.
+    /// The call takes effect and its answer is lost.
     LoseAnswer,
-    /// It has no effect and is never answered.
+    /// The call has no effect and is never answered.
     Hang,
-    /// It takes effect after a while.
+    /// The call takes effect and is answered after [`SLOW_MS`].
     Slow,
-    /// It is given up on by the caller, and takes effect only afterwards.
+    /// The client times out, and the call takes effect only afterwards.
     LateEffect,
-    /// The process is killed just before it.
+    /// The client process is killed just before the call.
     KillBefore,
-    /// The process is killed just after it took effect.
+    /// The client process is killed just after the call took effect.
     KillAfter,
-    /// The process is paused just before it, for longer than any lease of the tests.
+    /// The client process is paused just before the call, for longer than any lease of the tests.
     Pause,
 }
 
-/// How long a paused process stands still, in milliseconds.
+/// Duration of a process pause, in milliseconds.
 pub const PAUSE_MS: u64 = 2500;
 
-/// How long a slow call takes, in milliseconds.
+/// Delay of a slow call, in milliseconds.
 pub const SLOW_MS: u64 = 300;
--- a/crates/standin/src/faulty.rs
+++ b/crates/standin/src/faulty.rs
@@ -1,4 +1,4 @@
-//! A platform whose calls are counted and can fail at a chosen one.
+//! A wrapper of a platform that counts calls and injects faults into chosen ones.
 
 use crate::fault::{Fault, PAUSE_MS, SLOW_MS};
 use async_std::task;
@@ -14,10 +14,10 @@
 use std::time::{Duration, Instant};
 use strum::{Display, VariantArray};
 
-/// How long the caller of a hanging call is kept before it counts as timed out.
+/// Time until a hanging call returns as timed out.
 const HANG_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A call at the border.
+/// A method of the platform's traits.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd, VariantArray)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Call {
@@ -43,20 +43,20 @@
     Inspect,
 }
 
-/// When a fault strikes.
+/// A fault to inject into a range of calls.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Which call.
+    /// The method.
     pub call: Call,
-    /// The first of its occurrences that is struck, counted from nought.
+    /// Index of the first affected call of the method, from 0.
     pub from: u64,
-    /// How many are struck.
+    /// Number of affected calls.
     pub count: u64,
-    /// How.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// The switchboard: counts calls and holds the plans.
+/// Counts calls and selects the fault of each by the plans.
 #[derive(Default)]
 pub struct FaultInjector {
     state: Mutex<State>,
@@ -72,13 +72,13 @@
     injected: u64,
 }
 
-/// What happens to one call.
+/// The effect on one call.
 enum Injection {
-    /// This.
+    /// The call has this fault.
     Fault(Fault),
-    /// Its process is dead: it never returns.
+    /// The client process is dead: the call never returns.
     Dead,
-    /// Its process stands still until then.
+    /// The client process is paused until then.
     Paused(Instant),
 }
 
@@ -88,22 +88,22 @@
         self.state.lock().plans.push(plan);
     }
 
-    /// Forgets plans and counts.
+    /// Removes all plans and resets the counts and the state of the process.
     pub fn clear(&self) {
         *self.state.lock() = State::default();
     }
 
-    /// Takes the whole platform down, or up again.
+    /// Sets whether every call fails without an effect.
     pub fn set_down(&self, down: bool) {
         self.state.lock().down = down;
     }
 
-    /// Whether a plan has killed the process.
+    /// Whether a fault has killed the client process.
     pub fn is_dead(&self) -> bool {
         self.state.lock().dead
     }
 
-    /// Calls that a plan has struck.
+    /// Number of calls that a plan affected.
     pub fn injected(&self) -> u64 {
         self.state.lock().injected
     }
@@ -112,7 +112,7 @@
         self.state.lock().dead = true;
     }
 
-    /// Calls so far.
+    /// Number of calls of a method so far.
     pub fn count(&self, call: Call) -> u64 {
         self.state.lock().counts.get(&call).copied().unwrap_or(0)
     }
@@ -145,7 +145,7 @@
     }
 }
 
-/// A platform behind a switchboard.
+/// A platform whose calls go through a fault injector.
 #[derive(Clone)]
 pub struct FaultyPlatform {
     inner: Platform,
@@ -153,7 +153,7 @@
 }
 
 impl FaultyPlatform {
-    /// Puts `switch` before `inner`.
+    /// Wraps `inner` so that `injector` decides on the faults of its calls.
     pub fn platform(inner: Platform, injector: Arc<FaultInjector>) -> Platform {
         let faulty = Arc::new(Self { inner, injector });
         Platform {
@@ -192,7 +192,7 @@
             }
             Fault::FailBefore => Err(unavailable()),
             Fault::LoseAnswer => {
-                // Whoever loses an answer cannot know what it was, a refusal or not.
+                // The client can't know whether the lost answer was a refusal.
                 let _ = run.await;
                 Err(lost())
             }
@@ -215,7 +215,7 @@
         }
     }
 
-    /// A read whose answer is lost is no different from one that was not made.
+    /// Calls a method without side effects: a lost answer is the same as a call that wasn't made.
     async fn call_read<T, F>(&self, call: Call, run: F) -> Result<T, Error>
     where
         T: Send + 'static,
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -1,7 +1,7 @@
-//! A deployment of real daemons as processes, over a platform and minions in this one.
+//! A deployment of daemon processes over a platform and minions in the current process.
 //!
-//! For tests and measurements of what only processes can show.  The daemon's program is given
-//! by its path; every process is ended by its own handle when the fleet is dropped.
+//! For tests and measurements that need real processes.  Each process is killed through its own
+//! handle when it is dropped.
 
 use crate::minion::{Minion, Run};
 use crate::platform::Platform;
@@ -23,41 +23,41 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Longest wait for a deployment to settle.
+/// Longest wait for a condition of a deployment.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time between two looks.
+/// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest wait for an operator's request.
+/// Timeout of a request to an operators' address.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a deployment is made of.
+/// The size and settings of a deployment.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub daemon: PathBuf,
-    /// Part of the scratch folder's name.
+    /// Part of the temporary folder's name.
     pub name: String,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Minions that serve.
+    /// Number of minions that serve.
     pub minions: usize,
-    /// Minions that are only listed, for the size of the rows.
+    /// Number of minions that are only listed, to increase the number of rows.
     pub listed: usize,
-    /// How long a request takes.
+    /// Processing time of a request on a minion.
     pub duration: Duration,
-    /// More lines for the settings, by section.
+    /// Additional lines of the settings, by section.
     pub settings: BTreeMap<&'static str, &'static str>,
 }
 
 /// A deployment.
 pub struct Fleet {
-    /// Its platform.
+    /// The platform.
     pub platform: Platform,
-    /// Its minions.
+    /// The serving minions, by instance name.
     pub minions: BTreeMap<String, Minion>,
-    /// Its daemons.
+    /// The daemons.
     pub daemons: Vec<Process>,
     shape: Shape,
     folder: PathBuf,
@@ -66,15 +66,15 @@
 
 /// A running daemon.
 pub struct Process {
-    /// Its handle.
+    /// Handle of the process.
     pub child: Child,
-    /// Its instance's name.
+    /// Name of its instance.
     pub name: String,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operators: SocketAddr,
-    /// Its id.
+    /// Id of the entry.
     pub entry: String,
 }
 
@@ -106,7 +106,7 @@
     }
 }
 
-/// Any free port of the loopback.
+/// The loopback address with a port chosen by the operating system.
 pub fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
@@ -114,24 +114,27 @@
 /// Waits until a condition holds.
 ///
 /// # Errors
-/// `TimedOut` with its name when it never does.
+/// `TimedOut` with the name `what` when the condition doesn't hold in time.
 pub async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) -> io::Result<()> {
     let began = Instant::now();
     while !holds().await {
         if began.elapsed() > SETTLE_TIMEOUT {
-            return Err(io::Error::new(io::ErrorKind::TimedOut, format!("never: {what}")));
+            return Err(io::Error::new(
+                io::ErrorKind::TimedOut,
+                format!("timed out waiting for: {what}"),
+            ));
         }
         task::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
-/// Reads something from an operators' address.
+/// Sends a GET request to an operators' address; `None` unless it succeeds with a JSON body.
 pub async fn get(operators: SocketAddr, path: &str) -> Option<Value> {
     send_request(operators, Method::Get, path, String::new()).await
 }
 
-/// Asks an operators' address for something.
+/// Sends a POST request to an operators' address; `None` unless it succeeds with a JSON body.
 pub async fn post(operators: SocketAddr, path: &str, body: &Value) -> Option<Value> {
     send_request(operators, Method::Post, path, body.to_string()).await
 }
@@ -148,7 +151,7 @@
     head.status().is_success().then(|| serde_json::from_slice(&body).ok()).flatten()
 }
 
-/// Whether an entry tells the balancer that it is ready.
+/// Whether an entry's readiness check for the load balancer succeeds.
 pub async fn is_ready(operators: SocketAddr) -> bool {
     let Ok(request) = client::request(Method::Get, operators, "/ready") else { return false };
     let fetched = client::fetch(operators, request, REQUEST_TIMEOUT, 1 << 16).await;
@@ -159,7 +162,8 @@
     /// Starts a deployment and waits until every serving minion is owned.
     ///
     /// # Errors
-    /// When something cannot be started or never settles.
+    /// When a server or process can't be started, the configuration is refused, or the entries
+    /// aren't ready in time.
     pub async fn start(shape: Shape) -> io::Result<Self> {
         let unique = format!("celerythread-{}-{}", shape.name, std::process::id());
         let folder = std::env::temp_dir().join(unique);
@@ -196,7 +200,7 @@
             roster.put(Instance {
                 address: Some(SocketAddr::from(([127, 0, 0, 1], 1))),
                 pool: Some("idle".parse().map_err(io::Error::other)?),
-                // An availability zone without entries: the rows are there and nobody owns them.
+                // An availability zone without entries, so that nobody owns the rows.
                 ..instance(&format!("listed{n}"), Role::Minion, "z9")
             });
         }
@@ -211,12 +215,19 @@
             .arg(settings)
             .stdout(Stdio::piped())
             .spawn()?;
-        let output = child.stdout.take().ok_or_else(|| io::Error::other("no output"))?;
+        let output = child
+            .stdout
+            .take()
+            .ok_or_else(|| io::Error::other("the daemon's standard output is not piped"))?;
         let mut lines = BufReader::new(output).lines();
         let line = lines
             .find_map(|line| line.ok().filter(|line| line.starts_with("listening")))
-            .ok_or_else(|| io::Error::other(format!("{name} did not start")))?;
-        // The pipe must be read to its end, or the daemon stalls on its log lines.
+            .ok_or_else(|| {
+                io::Error::other(format!(
+                    "{name} ended without a line that begins with `listening`"
+                ))
+            })?;
+        // A full pipe would block the daemon's log writes.
         std::thread::spawn(move || lines.for_each(drop));
         let field = |name: &str| {
             let start = format!("{name}=");
@@ -292,17 +303,17 @@
         self.wait_until_owned().await
     }
 
-    /// Who hands out a minion's slots, by the table.
+    /// The table's row on who owns a minion and grants its slots.
     pub async fn ownership(&self, minion: &str) -> Option<Ownership> {
         let keys = [fleet::key::<Ownership>(minion)];
         let rows = self.platform.memory.table.read(Space::Fleet, &keys).await.ok()?;
         rows.first()?.decode()
     }
 
-    /// Waits until every serving minion has an owner among the living.
+    /// Waits until every serving minion is owned by an entry of [`Fleet::daemons`].
     ///
     /// # Errors
-    /// `TimedOut`.
+    /// `TimedOut` when a minion stays without such an owner.
     pub async fn wait_until_owned(&self) -> io::Result<()> {
         wait_until("every minion owned by a living entry", async || {
             for name in self.minions.keys() {
@@ -317,7 +328,7 @@
         .await
     }
 
-    /// All that the minions ran.
+    /// All requests that the minions recorded.
     pub fn runs(&self) -> Vec<Run> {
         self.minions.values().flat_map(|minion| minion.record().runs).collect()
     }
--- a/crates/standin/src/history.rs
+++ b/crates/standin/src/history.rs
@@ -1,4 +1,4 @@
-//! What callers and minions saw, joined and checked.
+//! Checks the history of requests as callers and minions recorded them.
 
 use crate::minion::{Answer, Run, digest};
 use celerythread_model::request::Outcome;
@@ -6,42 +6,42 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A request as its caller saw it.
+/// A request and its result, as its caller recorded them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Asked {
-    /// Its `X-Request-Id`, unique to each sending.
+    /// The `X-Request-Id`, unique to each attempt.
     pub id: String,
-    /// What must run at most once: its idempotency key, or its own id.
+    /// Id of the side effect that must happen at most once: the idempotency key, or else `id`.
     pub effect: String,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// The body it carried.
+    /// The request's body.
     pub body: Vec<u8>,
-    /// What it was told.
+    /// The result that the caller got.
     pub told: Told,
 }
 
-/// What a caller was told.
+/// The result of a request at its caller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Told {
-    /// An answer with its status and body.
+    /// An answer: status and body.
     Answer(u16, Vec<u8>),
-    /// A refusal with its code's number and the outcome.
+    /// A refusal: numeric code and outcome.
     Refused(u16, Option<Outcome>),
-    /// The connection broke, so that nothing was told.
+    /// The connection broke before an answer.
     Broken,
 }
 
-/// A broken promise.
+/// A violation of a guarantee to callers, with the id of the request or side effect.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Breach {
-    /// An answer was not whole, or was another request's.
+    /// An answer was incomplete or belonged to another request.
     WrongAnswer(String),
-    /// Something ran more than once.
+    /// A side effect happened more than once.
     RanTwice(String),
-    /// Something ran that was refused as not run.
+    /// A request ran although its refusal said that it did not.
     RanAlthoughRefused(String),
-    /// A caller was told nothing.
+    /// A caller got no answer.
     NoAnswer(String),
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// Checks the promises to callers over a joined history.
+/// Checks the guarantees to callers over the requests of callers and the runs of minions.
 pub fn check(asked: &[Asked], runs: &[Run]) -> Vec<Breach> {
     let mut breaches = BTreeSet::new();
     let mut ran: BTreeMap<&str, u32> = BTreeMap::new();
@@ -88,8 +88,8 @@
     breaches.into_iter().collect()
 }
 
-/// Whether a body is the whole answer to this request; a replayed one carries the id of the
-/// first sending under the same key, but always the same digest.
+/// Whether a body is the complete answer to this request.  A replayed answer has the id of the
+/// first attempt with the same idempotency key, but the same digest.
 fn is_own(asked: &Asked, body: &[u8]) -> bool {
     let Ok(answer) = serde_json::from_slice::<Answer>(body) else { return false };
     let own_id = answer.id == asked.id || (!asked.idempotent && asked.effect != asked.id);
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,11 +1,11 @@
-//! Small stand-ins for what surrounds the system; used by tests and the quick start only.
+//! Stand-ins for the external systems, used by tests and the quick start only.
 //!
-//! [`platform`] serves an in-memory platform over HTTP with faults that can be switched while
-//! it runs; [`faulty`] puts the same faults between a test and the platform's traits, counting
-//! the calls.  [`minion`] is an upstream that records what it ran.  [`link`] is a hop that can
-//! cut, delay, silence or truncate.  [`load`] makes requests; [`history`] joins what callers
-//! and minions saw and checks the promises over it.  [`fleet`] runs real daemons over these.
-//! [`site`] is the users' platform, for daemons that run on it.
+//! [`platform`] serves an in-memory platform over HTTP and injects faults; [`faulty`] injects
+//! the same faults into calls of the platform's traits and counts the calls.  [`minion`] is an
+//! upstream that records the requests it ran.  [`link`] is a TCP or UDP proxy that can cut,
+//! delay, drop or truncate traffic.  [`load`] generates requests; [`history`] checks the
+//! guarantees over the records of callers and minions.  [`fleet`] runs daemon processes over
+//! these.  [`site`] stands in for the users' platform, for daemons that run on it.
 
 pub mod fault;
 pub mod faulty;
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -1,4 +1,4 @@
-//! A hop between two ends that can cut, delay, silence or truncate.
+//! A TCP or UDP proxy that can cut, delay, drop or truncate traffic.
 
 use async_std::io::{ReadExt, WriteExt};
 use async_std::net::{TcpListener, TcpStream, UdpSocket};
@@ -16,28 +16,28 @@
 use stop_token::future::FutureExt;
 use strum::{Display, EnumString};
 
-/// Largest datagram and piece.
+/// Largest datagram, and largest part of a stream that is forwarded at once, in bytes.
 const MAX_CHUNK_LEN: usize = 64 * 1024;
 
-/// What the hop does.
+/// How the proxy treats traffic.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize, Display, EnumString,
 )]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// Passes everything on.
+    /// Forwards everything.
     #[default]
     Pass,
-    /// Refuses new connections and ends open ones.
+    /// Closes new and open connections; drops datagrams.
     Cut,
-    /// Passes nothing on and ends nothing, for flows open by now and new ones.
+    /// Drops all data of new and open flows without closing them.
     Silent,
-    /// Ends the answering direction after so many more bytes.
+    /// Closes the connection after this many more bytes from the target; drops datagrams.
     Truncate(u64),
 }
 
-/// A hop.
+/// A running proxy; it accepts no more connections or datagrams once dropped.
 pub struct Link {
     address: SocketAddr,
     state: Arc<State>,
@@ -48,7 +48,7 @@
     target: SocketAddr,
     mode: Mutex<Mode>,
     delay: Mutex<Duration>,
-    /// Flows begun before this one are forgotten: silent for good, while new ones work.
+    /// Flows with lower numbers are forgotten: their data is dropped for good, while new ones work.
     forgotten_below: AtomicU64,
     next_flow: AtomicU64,
 }
@@ -85,10 +85,10 @@
 }
 
 impl Link {
-    /// A hop for TCP to `target`.
+    /// Starts a TCP proxy to `target`.
     ///
     /// # Errors
-    /// When no address can be listened at.
+    /// When `listen` can't be bound.
     pub async fn tcp(listen: SocketAddr, target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
@@ -103,10 +103,10 @@
         Ok(Self { address, state, _stop: stop })
     }
 
-    /// A hop for UDP to `target`.
+    /// Starts a UDP proxy to `target`.
     ///
     /// # Errors
-    /// When no address can be bound.
+    /// When `listen` can't be bound.
     pub async fn udp(listen: SocketAddr, target: SocketAddr) -> io::Result<Self> {
         let socket = Arc::new(UdpSocket::bind(listen).await?);
         let address = socket.local_addr()?;
@@ -119,22 +119,22 @@
         Ok(Self { address, state, _stop: stop })
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what it does.
+    /// Sets how it treats traffic.
     pub fn set(&self, mode: Mode) {
         *self.state.mode.lock() = mode;
     }
 
-    /// Changes how long each piece takes one way.
+    /// Sets the delay of each forwarded chunk or datagram, one way.
     pub fn set_delay(&self, delay: Duration) {
         *self.state.delay.lock() = delay;
     }
 
-    /// Loses track of every flow that is open now: they are silent for good.
+    /// Forgets every open flow: its data is dropped for good, without a close.
     pub fn forget_flows(&self) {
         let next = self.state.next_flow.load(Ordering::SeqCst);
         self.state.forgotten_below.store(next, Ordering::SeqCst);
@@ -154,7 +154,7 @@
     requests.await;
 }
 
-/// Copies one direction until an end closes or the hop is cut.
+/// Copies one direction until an end closes, the proxy is cut or the answer is truncated.
 async fn copy(
     mut from: TcpStream,
     mut to: TcpStream,
@@ -193,7 +193,7 @@
             break;
         }
     }
-    // A forgotten flow hears of nothing any more, not even of its end.
+    // The ends of a forgotten flow don't learn that the other one closed.
     while state.is_forgotten(flow) && state.mode() != Mode::Cut {
         task::sleep(MODE_POLL_INTERVAL * 10).await;
     }
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -1,4 +1,4 @@
-//! Making requests, and recording what became of them.
+//! A load generator that records the result of each request.
 
 use crate::history::{Asked, Told};
 use async_std::task;
@@ -17,34 +17,34 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Largest answer taken.
+/// Largest accepted body of an answer.
 const MAX_ANSWER_BYTES: u64 = 64 << 20;
 
-/// Longest wait for an answer, beyond any deadline.
+/// Timeout of each step of an exchange; longer than any request's deadline.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What is asked.
+/// The load to generate.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Entries, taken in turn as a balancer would.
+    /// Addresses of the entries, used round-robin as by a load balancer.
     pub entries: Vec<SocketAddr>,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How many in all.
+    /// Total number of requests.
     pub count: u64,
-    /// Share of patient ones.
+    /// Share of requests of the patient class, 0 to 1.
     pub patient_share: f64,
-    /// Share that must run at most once.
+    /// Share of requests that must run at most once, 0 to 1.
     pub non_idempotent_share: f64,
-    /// Share of those that carry a key.
+    /// Share of the non-idempotent requests that carry an idempotency key, 0 to 1.
     pub keyed_share: f64,
-    /// The deadline given.
+    /// Deadline of each request.
     pub deadline: Span,
-    /// Bytes of each body.
+    /// Length of each body in bytes.
     pub body_len: usize,
-    /// The seed of all choices.
+    /// Seed of the random choices.
     pub seed: u64,
 }
 
@@ -65,38 +65,38 @@
     }
 }
 
-/// One request.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
-    /// Its `X-Request-Id`.
+    /// The `X-Request-Id`.
     pub id: String,
-    /// Its service.
+    /// Name of the service.
     pub service: String,
-    /// Its class.
+    /// The class.
     pub class: Class,
-    /// Its key.
+    /// The idempotency key.
     pub key: Option<String>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Its deadline.
+    /// The deadline.
     pub deadline: Span,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
-/// What became of it.
+/// The result of a request.
 pub struct RequestResult {
-    /// For the history.
+    /// The record for the history check.
     pub asked: Asked,
-    /// Its class.
+    /// The request's class.
     pub class: Class,
-    /// How long it took.
+    /// Time from the start of the exchange to the result.
     pub took: Duration,
-    /// The `Retry-After` it was told, in milliseconds.
+    /// The delay before a retry that a refusal asked for, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
-/// The part of a problem body that is read.
+/// The fields of an `application/problem+json` body that are read.
 #[derive(Deserialize)]
 struct Problem {
     code: u16,
@@ -104,7 +104,7 @@
     retry_after_ms: Option<u64>,
 }
 
-/// Sends one request on a connection of its own.
+/// Sends one request on its own connection.
 pub async fn send(entry: SocketAddr, spec: &RequestSpec) -> RequestResult {
     let began = Instant::now();
     let (told, retry_after_ms) = match exchange(entry, spec).await {
@@ -152,15 +152,18 @@
     }
 }
 
-/// What a run of requests showed.
+/// The results of a generated load.
 pub struct Report {
-    /// Every request.
+    /// Results in the order of their completion.
     pub results: Vec<RequestResult>,
-    /// How long it all took.
+    /// Time until the last result.
     pub took: Duration,
 }
 
-/// Sends requests at a steady rate, whatever becomes of the earlier ones.
+/// Sends requests at a constant rate that doesn't depend on the results of earlier ones.
+///
+/// # Panics
+/// When the plan has no entries.
 pub async fn run(plan: &Plan) -> Report {
     let began = Instant::now();
     let done = Arc::new(Mutex::new(Vec::new()));
@@ -204,18 +207,18 @@
 }
 
 impl Report {
-    /// For the history check.
+    /// The records for the history check.
     pub fn asked(&self) -> Vec<Asked> {
         self.results.iter().map(|result| result.asked.clone()).collect()
     }
 
-    /// Requests of a class that were answered.
+    /// Number of requests of a class that were answered with status 200.
     pub fn answered(&self, class: Class) -> usize {
         let of_class = self.results.iter().filter(|result| result.class == class);
         of_class.filter(|result| matches!(result.asked.told, Told::Answer(200, _))).count()
     }
 
-    /// Refusals by code number.
+    /// Number of refusals by numeric code.
     pub fn refusals(&self) -> BTreeMap<u16, usize> {
         let mut refusals = BTreeMap::new();
         for result in &self.results {
@@ -226,7 +229,7 @@
         refusals
     }
 
-    /// A table for people.
+    /// A human-readable summary: counts, rates and latency quantiles.
     pub fn table(&self) -> String {
         let mut text = String::new();
         let seconds = self.took.as_secs_f64();
--- a/crates/standin/src/minion.rs
+++ b/crates/standin/src/minion.rs
@@ -1,7 +1,7 @@
-//! An upstream that records what it ran.
+//! An upstream that records the requests it got.
 //!
-//! It answers each request with its id and a digest of its body, so that a caller can tell a
-//! whole answer to its own request from any other.
+//! It answers each request with the request's id and a digest of its body, so that a caller can
+//! check that an answer is complete and belongs to its request.
 
 use crate::serve::Server;
 use async_std::task;
@@ -18,77 +18,77 @@
 use std::time::{Duration, Instant};
 use strum::{Display, EnumString};
 
-/// How a minion treats requests.
+/// How a minion handles requests.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize, Display, EnumString,
 )]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// Runs and answers them.
+    /// Runs and answers requests.
     #[default]
     Good,
-    /// Answers 500 at once without running them.
+    /// Answers 500 at once without running requests.
     FailFast,
-    /// Answers 503 without running them.
+    /// Answers 503 at once without running requests.
     Unavailable,
-    /// Runs them, and breaks the answer off within its body.
+    /// Runs requests and closes the connection in the middle of the answer's body.
     Truncate,
-    /// Runs them and never answers.
+    /// Runs requests and never answers.
     Hang,
 }
 
-/// One request as the minion saw it.
+/// A request as the minion recorded it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Run {
     /// The caller's `X-Request-Id`.
     pub id: String,
-    /// Milliseconds from the minion's start to the run's.
+    /// Time from the minion's start to the request's arrival, in milliseconds.
     pub started_ms: u64,
-    /// Whether it was run, and not only refused.
+    /// Whether the request ran; false when it was refused.
     pub ran: bool,
-    /// Which pool's work it was, by the request's path.
+    /// The request's path, which tells the pool.
     pub path: String,
 }
 
-/// What a minion recorded.
+/// The record of a minion.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Record {
-    /// All requests, in order.
+    /// All requests, in order of arrival.
     pub runs: Vec<Run>,
-    /// The most requests it had at one moment.
+    /// Highest number of concurrent requests.
     pub most_outstanding: usize,
 }
 
 struct State {
     mode: Mode,
     duration: Duration,
-    /// Bytes of filling in each answer.
+    /// Length of the padding in each answer, in bytes.
     filling: usize,
     outstanding: usize,
     record: Record,
     started: Instant,
 }
 
-/// A minion.
+/// A running minion.
 pub struct Minion {
-    /// Its server.
+    /// The HTTP server.
     pub server: Server,
     state: Arc<Mutex<State>>,
 }
 
-/// What a whole answer says.
+/// The body of a complete answer.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
     /// The request's id.
     pub id: String,
-    /// A digest of the request's body.
+    /// Digest of the request's body, see [`digest`].
     pub digest: String,
-    /// Filling, to make answers long.
+    /// Padding that makes answers long.
     pub filling: String,
 }
 
-/// The digest of a body.
+/// The SHA-256 digest of a body, in hexadecimal.
 pub fn digest(body: &[u8]) -> String {
     Sha256::digest(body).iter().map(|byte| format!("{byte:02x}")).collect()
 }
@@ -97,7 +97,7 @@
     /// Starts a minion whose requests take `duration`.
     ///
     /// # Errors
-    /// When the address cannot be listened at.
+    /// When `address` can't be bound.
     pub async fn start(address: SocketAddr, duration: Duration) -> io::Result<Self> {
         let state = Arc::new(Mutex::new(State {
             mode: Mode::Good,
@@ -111,27 +111,27 @@
         Ok(Self { server, state })
     }
 
-    /// Changes how it treats requests.
+    /// Sets how it handles requests.
     pub fn set_mode(&self, mode: Mode) {
         self.state.lock().mode = mode;
     }
 
-    /// Changes how long a request takes.
+    /// Sets the processing time of a request.
     pub fn set_duration(&self, duration: Duration) {
         self.state.lock().duration = duration;
     }
 
-    /// Changes how long its answers are.
+    /// Sets the length of the padding in each answer.
     pub fn set_filling(&self, bytes: usize) {
         self.state.lock().filling = bytes;
     }
 
-    /// What it recorded so far.
+    /// The record so far.
     pub fn record(&self) -> Record {
         self.state.lock().record.clone()
     }
 
-    /// Requests it has at this moment.
+    /// Current number of requests.
     pub fn outstanding(&self) -> usize {
         self.state.lock().outstanding
     }
@@ -197,7 +197,7 @@
     response
 }
 
-/// An answer that declares its whole length and carries half of it.
+/// An answer that declares its full length and has half of the body.
 fn truncated(answer: &Answer) -> Response {
     let text = serde_json::to_vec(answer).expect("records always serialize");
     let half = text[..text.len() / 2].to_vec();
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,7 +1,8 @@
-//! The platform over HTTP, by the paths that `celerythread_platform::http` calls.
+//! Serves an in-memory platform over HTTP on the paths that `celerythread_platform::http` uses.
 //!
-//! Besides, `POST /standin/instance` and `/standin/remove` change the list, `/standin/lag`
-//! sets how late it is, and `/standin/fault` makes every following call fail in one way.
+//! In addition, `POST /standin/instance` and `/standin/remove` change the list of instances,
+//! `/standin/lag` sets the delay of its changes, and `/standin/fault` sets the fault of all later
+//! calls.
 
 use crate::fault::{Fault, SLOW_MS};
 use crate::serve::Server;
@@ -23,9 +24,9 @@
 
 /// A served platform.
 pub struct Platform {
-    /// What is served.
+    /// The platform behind the server.
     pub memory: Memory,
-    /// The server.
+    /// The HTTP server.
     pub server: Server,
     fault: Arc<Mutex<Fault>>,
 }
@@ -34,15 +35,15 @@
     /// Serves a new, empty platform.
     ///
     /// # Errors
-    /// When the address cannot be listened at.
+    /// When `address` can't be bound.
     pub async fn start(address: SocketAddr) -> io::Result<Self> {
         Self::serve(address, Memory::default()).await
     }
 
-    /// Serves a platform.
+    /// Serves an existing platform.
     ///
     /// # Errors
-    /// When the address cannot be listened at.
+    /// When `address` can't be bound.
     pub async fn serve(address: SocketAddr, memory: Memory) -> io::Result<Self> {
         let fault = Arc::new(Mutex::new(Fault::None));
         let handler = Arc::new(PlatformHandler { memory: memory.clone(), fault: fault.clone() });
@@ -50,7 +51,7 @@
         Ok(Self { memory, server, fault })
     }
 
-    /// Makes every following call fail in one way.
+    /// Sets the fault of all later calls.
     pub fn set_fault(&self, fault: Fault) {
         *self.fault.lock() = fault;
     }
@@ -61,17 +62,17 @@
     fault: Arc<Mutex<Fault>>,
 }
 
-/// How late the list is, in milliseconds.
+/// Body of `/standin/lag`: the delay of changes to the list of instances.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Lag {
-    /// Milliseconds.
+    /// Delay in milliseconds.
     pub ms: u64,
 }
 
-/// An instance's name.
+/// Body of `/standin/remove`: the instance to remove.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Name {
-    /// The name.
+    /// Name of the instance.
     pub name: String,
 }
 
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Orders to the stand-in itself, which no fault touches.
+    /// Handles control requests to the stand-in itself, which faults don't affect.
     fn control(&self, request: &Request) -> Option<Response> {
         let body = request.body.as_slice();
         let outcome = match request.path() {
@@ -174,7 +175,7 @@
                 task::sleep(Duration::from_secs(3)).await;
                 self.route(&request).await
             }
-            // Faults of a process and not of the platform.
+            // Faults of the client's process, which a server can't inject.
             Fault::KillBefore | Fault::KillAfter | Fault::Pause => self.route(&request).await,
         }
     }
@@ -184,7 +185,7 @@
     }
 }
 
-/// Longer than any client waits.
+/// Answers after 60 s, which is longer than any client waits.
 async fn hang() -> Response {
     task::sleep(Duration::from_secs(60)).await;
     Response::new(StatusCode::GatewayTimeout)
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serving a handler on a listener until it is stopped.
+//! An HTTP server for the stand-ins.
 
 use async_std::net::TcpListener;
 use celerythread_http::server::{self, Handler, Limits, Stop};
@@ -8,17 +8,17 @@
 use stop_token::StopSource;
 use stop_token::future::FutureExt;
 
-/// A server that stops when it is dropped.
+/// A running HTTP server, which stops when it is dropped.
 pub struct Server {
     address: SocketAddr,
     _stop: StopSource,
 }
 
 impl Server {
-    /// Serves `handler` at `address`.
+    /// Serves `handler` at `address`; port 0 lets the operating system choose one.
     ///
     /// # Errors
-    /// When the address cannot be listened at.
+    /// When `address` can't be bound.
     pub async fn start(address: SocketAddr, handler: Arc<dyn Handler>) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -37,7 +37,7 @@
         Ok(Self { address, _stop: source })
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/standin/src/site.rs
+++ b/crates/standin/src/site.rs
@@ -1,9 +1,9 @@
-//! A stand-in for the users' platform, speaking its published protocol.
+//! A stand-in for the users' platform that implements its published protocol.
 //!
-//! [`store`] is the shared table with its transactions, ranges and feed; [`worker`] a minion
-//! that runs tasks under leases and writes down what it ran; [`machine`] the interface to
-//! machines.  [`Site`] puts them together, and [`check`] holds the history of all workers
-//! against the promises.  Faults are switched while everything runs.
+//! [`store`] is the shared table with transactions, range reads and a change feed; [`worker`] a
+//! minion that runs tasks under leases and records its runs; [`machine`] the interface to
+//! machines.  [`Site`] combines them, and [`check`] checks the guarantees over the history of all
+//! workers.  Faults can be injected at any time.
 
 pub mod check;
 pub mod machine;
@@ -32,14 +32,14 @@
 /// Interval between attempts to bind an address that is still in use.
 const REBIND_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A worker that serves.
+/// A worker and its server.
 pub struct RunningWorker {
-    /// What it does.
+    /// The worker.
     pub worker: Arc<Worker>,
     server: Server,
 }
 
-/// A deployment's platform.
+/// The platform of a deployment.
 pub struct Site {
     /// The store.
     pub store: Arc<Store>,
@@ -52,20 +52,20 @@
     proxy_servers: Vec<Server>,
 }
 
-/// The service that all workers serve unless they are added to another one.
+/// The service that workers serve unless they are added to another one.
 pub const DEFAULT_SERVICE: &str = "desk";
 
-/// A second service.
+/// Another service, configured by [`Site::configure_workspaces`].
 pub const SECOND_SERVICE: &str = "hall";
 
 /// A workspace as operators configure it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Workspace<'a> {
-    /// Its name.
+    /// Name of the workspace.
     pub name: &'a str,
-    /// Its callers' keys.
+    /// API keys of its callers.
     pub keys: &'a [&'a str],
-    /// Thousandths of a core that it may have running; 0 for no limit.
+    /// Maximum processor capacity of its running tasks in millicores; 0 for no limit.
     pub cpu: u64,
 }
 
@@ -78,14 +78,14 @@
     }
 }
 
-/// A way to the store that turns calls away while it is shut.
+/// A proxy of the store that answers 503 while it is set unavailable.
 pub struct StoreProxy {
     store: Arc<Store>,
     is_unavailable: AtomicBool,
 }
 
 impl StoreProxy {
-    /// Shuts or opens it.
+    /// Sets whether calls are refused.
     pub fn set_unavailable(&self, unavailable: bool) {
         self.is_unavailable.store(unavailable, Ordering::SeqCst);
     }
@@ -105,12 +105,12 @@
     }
 }
 
-/// An address that the operating system completes.
+/// The loopback address with a port chosen by the operating system.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// The body of a job of one step, whose tasks do what `spec` says.
+/// The body of a job of one step whose tasks behave by `spec`, see [`worker`].
 pub fn job(tasks: u32, spec: &str) -> Value {
     let mut step = json!({ "count": tasks, "cpu": 1000, "memMb": 64, "estimateMs": 200 });
     if spec.contains("lasts") {
@@ -122,10 +122,10 @@
 }
 
 impl Site {
-    /// Starts a platform with one queue and one service of so many workers.
+    /// Starts a platform with one queue and one service with `workers` workers.
     ///
     /// # Errors
-    /// When no port can be listened at.
+    /// When no port can be bound.
     pub async fn start(workers: usize) -> io::Result<Self> {
         let store = Arc::new(Store::default());
         let store_server = Server::start(any_port(), store.clone()).await?;
@@ -146,12 +146,12 @@
         Ok(site)
     }
 
-    /// Where the store is reached.
+    /// Address of the store.
     pub fn store_address(&self) -> SocketAddr {
         self.store_server.address()
     }
 
-    /// Where the interface to machines is reached.
+    /// Address of the interface to machines.
     pub fn machine_address(&self) -> SocketAddr {
         self.machine_server.address()
     }
@@ -168,8 +168,8 @@
         self.store.put("op", "", "config", body.to_string().as_bytes());
     }
 
-    /// Writes a configuration with workspaces, a queue that needs a key for each of the services `desk` and `hall`
-    /// at `jobs.example/q/` and `/h/`, and a public one for `desk` at `/p/`.
+    /// Writes a configuration with workspaces and three queues at `jobs.example`: `/q/` for `desk`
+    /// and `/h/` for `hall`, which need an API key, and a public one at `/p/` for `desk`.
     pub fn configure_workspaces(&self, version: u64, workspaces: &[Workspace]) {
         let queue = |name: &str, path: &str, service: &str, public: bool| {
             json!({
@@ -192,10 +192,10 @@
         self.store.put("op", "", "config", body.to_string().as_bytes());
     }
 
-    /// A further way to the store, which can be shut while others stay open.
+    /// Adds a proxy of the store, which can be made unavailable while others stay available.
     ///
     /// # Errors
-    /// When no port can be listened at.
+    /// When no port can be bound.
     pub async fn add_store_proxy(&mut self) -> io::Result<(Arc<StoreProxy>, SocketAddr)> {
         let proxy = Arc::new(StoreProxy {
             store: self.store.clone(),
@@ -207,7 +207,7 @@
         Ok((proxy, address))
     }
 
-    /// Asks for the upkeep of machines.
+    /// Requests a wave of upkeep of machines, with at most `max_down` of them down at once.
     pub fn request_upkeep(&self, number: u64, machines: &[&str], max_down: usize) {
         let body =
             json!({ "wave": number, "machines": machines, "durationS": 20, "maxCount": max_down });
@@ -215,18 +215,18 @@
         self.machines.set_due(number, machines);
     }
 
-    /// Adds a worker on a machine, and registers it.
+    /// Starts a worker of the default service on a machine and registers it.
     ///
     /// # Errors
-    /// When no port can be listened at.
+    /// When no port can be bound.
     pub async fn add_worker(&mut self, id: &str, machine: &str) -> io::Result<()> {
         self.add_worker_to(DEFAULT_SERVICE, id, machine).await
     }
 
-    /// The same for a service.
+    /// Same as [`Site::add_worker`], but for a given service.
     ///
     /// # Errors
-    /// When no port can be listened at.
+    /// When no port can be bound.
     pub async fn add_worker_to(
         &mut self,
         service: &str,
@@ -241,15 +241,15 @@
         Ok(())
     }
 
-    /// Says that a worker will leave.
+    /// Registers a worker as draining.
     pub fn drain(&self, id: &str) {
         let running = &self.workers[id];
         let entry = running.worker.entry("desk", running.server.address(), "draining");
         self.store.put("servers", "", id, &entry);
     }
 
-    /// A worker is gone without a word: nothing answers at its address, what it ran has ended,
-    /// and after a while it is no longer listed.
+    /// Stops a worker without notice: its runs end, nothing answers at its address any more, and
+    /// its row is deleted.  An unknown id is ignored.
     pub fn crash(&mut self, id: &str) {
         if let Some(running) = self.workers.remove(id) {
             running.worker.crash();
@@ -296,7 +296,7 @@
         Ok(())
     }
 
-    /// What all workers ran, those that are gone included.
+    /// The runs of all workers, including those that were stopped.
     pub fn history(&self) -> Vec<worker::Record> {
         self.machines.history()
     }
--- a/crates/standin/src/site/check.rs
+++ b/crates/standin/src/site/check.rs
@@ -1,13 +1,13 @@
-//! Holding the history of all workers against the promises.
+//! Checks of the guarantees over the history of all workers.
 
 use crate::site::worker::Record;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// A promise that a history breaks, in words.
+/// A description of a violated guarantee.
 pub type Violation = String;
 
-/// No task runs twice at the same time, and none is started after it was done.
+/// Checks that no task has overlapping runs or is started again after it was done.
 pub fn at_most_once(history: &[Record]) -> Vec<Violation> {
     let mut by_task: BTreeMap<&str, Vec<&Record>> = BTreeMap::new();
     for record in history {
@@ -30,7 +30,7 @@
     violations
 }
 
-/// Every task of the jobs has ended as done exactly once.
+/// Checks that every task of one-step jobs, given by id and number of tasks, was done exactly once.
 pub fn all_done(history: &[Record], jobs: &[(String, u32)]) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (job, tasks) in jobs {
@@ -46,7 +46,7 @@
     violations
 }
 
-/// The most tasks that ran at one moment.
+/// Highest number of runs at the same time.
 pub fn max_concurrent(history: &[Record]) -> usize {
     let at = |moment: Instant| {
         let runs = history.iter().filter(|record| {
--- a/crates/standin/src/site/machine.rs
+++ b/crates/standin/src/site/machine.rs
@@ -1,4 +1,4 @@
-//! The interface to machines: the list, and upkeep that gives a machine another worker.
+//! The interface to machines: their list, and upkeep, after which a machine has a new worker.
 
 use crate::serve::Server;
 use crate::site::any_port;
@@ -16,13 +16,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a machine is down for its upkeep.
+/// Time that a machine is down for its upkeep.
 const UPKEEP_DURATION: Duration = Duration::from_millis(400);
 
 struct Machine {
     pool: String,
     worker: Option<Arc<Worker>>,
-    /// Since when it is down for its upkeep.
+    /// Start of the upkeep that the machine is down for.
     down_since: Option<Instant>,
     restart_count: u32,
 }
@@ -30,28 +30,28 @@
 #[derive(Default)]
 struct State {
     machines: BTreeMap<String, Machine>,
-    /// Machines due, by wave.
+    /// Machines due for upkeep, by wave.
     due: BTreeMap<u64, Vec<String>>,
-    /// Upkeeps begun, with how many were down then and what ran on the machine.
+    /// Upkeeps that were started.
     upkeeps: Vec<Upkeep>,
     workers: Vec<Arc<Worker>>,
     servers: Vec<Server>,
 }
 
-/// An upkeep that began.
+/// An upkeep that was started.
 #[derive(Clone, Debug)]
 pub struct Upkeep {
-    /// The machine.
+    /// Name of the machine.
     pub machine: String,
-    /// Machines down then, this one included.
+    /// Number of machines down for upkeep at its start, including this one.
     pub down: usize,
-    /// Tasks that it ended.
+    /// Tasks on the machine that it ended.
     pub ended: Vec<String>,
-    /// Who ordered it.
+    /// Lease holder named in the order.
     pub holder: String,
 }
 
-/// All machines.
+/// The interface to all machines.
 pub struct Machines {
     store: Arc<Store>,
     state: Arc<Mutex<State>>,
@@ -102,13 +102,13 @@
         }
     }
 
-    /// What all workers ran, those that are gone included.
+    /// The runs of all workers, including those that were stopped.
     pub fn history(&self) -> Vec<Record> {
         let workers = self.state.lock().workers.clone();
         workers.iter().flat_map(|worker| worker.records()).collect()
     }
 
-    /// Upkeeps that began.
+    /// Upkeeps that were started, in order.
     pub fn upkeeps(&self) -> Vec<Upkeep> {
         self.state.lock().upkeeps.clone()
     }
@@ -154,7 +154,7 @@
     }
 }
 
-/// Brings a machine back with another worker.
+/// Ends an upkeep after its duration and starts a new worker on the machine.
 async fn finish_upkeep(state: Arc<Mutex<State>>, store: Arc<Store>, name: String) {
     task::sleep(UPKEEP_DURATION).await;
     let id = {
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: rows in tables, transactions with conditions, ranges and a feed.
+//! The platform's store: rows in tables, conditional transactions, range reads and a change feed.
 
 use async_std::task;
 use async_trait::async_trait;
@@ -13,35 +13,36 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time between two looks of a feed that waits.
+/// Time between two checks for changes while a feed call waits.
 const FEED_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Rows of one answer.
+/// Maximum number of rows in one answer to a range read.
 const MAX_PAGE_ROWS: usize = 500;
 
-/// Entries of one transaction.
+/// Maximum number of entries in one transaction: conditions, writes and deletions.
 const MAX_TRANSACTION_ENTRIES: usize = 100;
 
-/// What the store does to calls.
+/// How the store handles calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum FaultMode {
-    /// It serves.
+    /// It serves calls.
     #[default]
     None,
-    /// It does nothing and says so.
+    /// It answers 503 without executing calls.
     Refuses,
-    /// It does nothing and doesn't answer.
+    /// It neither executes nor answers calls.
     Silent,
-    /// It carries transactions out and doesn't answer them.
+    /// It executes transactions without answering them; other calls are served.
     LosesAnswers,
-    /// Every call takes [`SLOW`], and the transactions of a partition take their turns.
+    /// Every call takes [`SLOW_CALL_DURATION`], and transactions of one partition are executed one
+    /// after the other.
     Slow,
 }
 
-/// How long a call takes while the store is slow: a hundred times the usual.
+/// Duration of a call while the store is slow: a hundred times the usual.
 const SLOW_CALL_DURATION: Duration = Duration::from_millis(400);
 
-/// A partition before which transactions of this time wait takes no more.
+/// A slow partition answers 429 to a transaction that would wait longer than this for earlier ones.
 const MAX_QUEUE_DELAY: Duration = Duration::from_secs(1);
 
 type Key = (String, String, String);
@@ -56,67 +57,67 @@
 struct Tables {
     version: u64,
     rows: BTreeMap<Key, Row>,
-    /// Every change with its version; a dropped row has no value.
+    /// Every change with its version; a deletion has no value.
     history: Vec<(u64, Key, Option<String>)>,
-    /// Changes up to this version are forgotten.
+    /// Changes up to this version were removed from the history.
     trimmed_version: u64,
 }
 
-/// The store.
+/// The store.  Values are kept in base64.
 #[derive(Default)]
 pub struct Store {
     tables: Arc<Mutex<Tables>>,
-    /// While the store is slow, when each partition is free again.
+    /// While the store is slow, the time at which each partition has executed its transactions.
     busy_until: Mutex<BTreeMap<String, Instant>>,
     fault_mode: Mutex<FaultMode>,
-    /// The table whose feed brings nothing for now.
+    /// The table whose feed returns no changes for now.
     held_feed: Mutex<Option<String>>,
 }
 
 impl Store {
-    /// Switches what it does to calls.
+    /// Sets how it handles calls.
     pub fn set_fault_mode(&self, fault_mode: FaultMode) {
         *self.fault_mode.lock() = fault_mode;
     }
 
-    /// Holds a table's feed back: until told otherwise its changes come to nobody.
+    /// Makes a table's feed return no changes until this is called with another table or `None`.
     pub fn hold_feed(&self, table: Option<&str>) {
         *self.held_feed.lock() = table.map(Into::into);
     }
 
-    /// Forgets the changes so far: feeds must read their tables again.
+    /// Removes all changes from the history, so that clients must read their tables again.
     pub fn forget_history(&self) {
         let mut tables = self.tables.lock();
         tables.trimmed_version = tables.version;
         tables.history.clear();
     }
 
-    /// Writes a row as an operator or a minion does.
+    /// Writes a row without conditions, as operators and minions do.
     pub fn put(&self, table: &str, part: &str, key: &str, value: &[u8]) {
         self.tables.lock().write((table.into(), part.into(), key.into()), STANDARD.encode(value));
     }
 
-    /// Drops a row.
+    /// Deletes a row.
     pub fn delete_row(&self, table: &str, part: &str, key: &str) {
         self.tables.lock().delete_row((table.into(), part.into(), key.into()));
     }
 
-    /// A row's value.
+    /// A row's decoded value.
     pub fn value(&self, table: &str, part: &str, key: &str) -> Option<Vec<u8>> {
         let tables = self.tables.lock();
         let row = tables.rows.get(&(table.into(), part.into(), key.into()))?;
         STANDARD.decode(&row.value).ok()
     }
 
-    /// How many rows a table has whose keys begin with `prefix`.
+    /// Number of rows of a table whose keys begin with `prefix`.
     pub fn count(&self, table: &str, prefix: &str) -> usize {
         let tables = self.tables.lock();
         let of = |key: &&Key| key.0 == table && key.2.starts_with(prefix);
         tables.rows.keys().filter(of).count()
     }
 
-    /// Carries a transaction out in its partition's turn, whether its caller waits or not; one
-    /// over several partitions takes twice as long.
+    /// Executes a transaction after the earlier ones of its partition, even when its client stops
+    /// waiting.  A transaction over several partitions takes twice as long.
     async fn transact_slowly(&self, body: Value) -> Response {
         let entry = ["expect", "writes", "remove"].iter().find_map(|name| body[name].get(0));
         let part = entry.map(|row| key(row).1).unwrap_or_default();
--- a/crates/standin/src/site/worker.rs
+++ b/crates/standin/src/site/worker.rs
@@ -1,7 +1,8 @@
-//! A minion that runs tasks under leases and writes down what it ran.
+//! A minion that runs tasks under leases and records its runs.
 //!
-//! A task's `spec` says what it does: `ms=300` takes 300 ms, `fail` fails after that, `hang`
-//! stands still at half, `crash` takes its worker down.  A task whose spec has `lasts` runs until it is stopped.
+//! A task's `spec` is a list of words: `ms=300` sets its duration to 300 ms, `fail` makes it fail
+//! after that, `hang` makes it stall at half of its progress, `crash` makes its worker crash, and
+//! with `lasts` it runs until it is stopped.
 
 use crate::site::store::{answer, hang};
 use async_std::task;
@@ -15,46 +16,48 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Time between two looks of a hold that waits.
+/// Time between two checks for ended runs while a hold call waits.
 const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(3);
 
-/// How long a lasting task takes until it is at work.
+/// Time until a long-running task reports full progress.
 const STARTUP_DURATION: Duration = Duration::from_millis(100);
 
-/// How soon after its start a task takes its worker down.
+/// Time from the start of a crashing task to the crash of its worker.
 const CRASH_DELAY: Duration = Duration::from_millis(10);
 
-/// How long a worker that went down is silent; then another life answers at its address.
+/// Time for which a crashed worker doesn't answer; after it the address belongs to another
+/// incarnation, which answers orders for the crashed one with 421.
 const DOWNTIME: Duration = Duration::from_millis(600);
 
-/// What a worker does to orders.
+/// How a worker handles orders.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum FaultMode {
-    /// It carries them out.
+    /// It executes and answers them.
     #[default]
     None,
-    /// It does nothing and doesn't answer, as behind a cut.
+    /// It neither executes nor answers them, as in a network partition.
     Silent,
-    /// It carries starts out and doesn't answer them.
+    /// It executes starts without answering them.
     LosesAnswers,
-    /// It carries starts out after this time, and doesn't answer them.
+    /// It executes starts after this delay without answering them.
     Late(Duration),
 }
 
-/// A run that a worker had.
+/// A run of a task on a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// The worker.
+    /// Id of the worker.
     pub worker: String,
-    /// The task.
+    /// Name of the task.
     pub task: String,
-    /// Its number.
+    /// Number of the run.
     pub run: u64,
-    /// When it began.
+    /// Start of the run.
     pub began: Instant,
-    /// When it ended.
+    /// End of the run; `None` while it runs.
     pub ended: Option<Instant>,
-    /// How it ended.
+    /// How it ended: `done`, `failed`, `stopped`, `lapsed` (the lease expired) or `gone` (the
+    /// worker crashed).
     pub end_reason: Option<&'static str>,
 }
 
@@ -72,11 +75,11 @@
     active: BTreeMap<String, Active>,
     ends: Vec<(u64, String, u64, &'static str)>,
     next_end: u64,
-    /// Highest run of each task that was stopped or ended here.
+    /// Highest number of a run that was stopped or ended here, by task.
     closed: BTreeMap<String, u64>,
     records: Vec<Record>,
     fault_mode: FaultMode,
-    /// When a task that was started takes it down.
+    /// Time at which a started task makes the worker crash.
     down_at: Option<Instant>,
 }
 
@@ -90,43 +93,43 @@
 }
 
 impl Worker {
-    /// A worker that runs nothing.
+    /// Creates a worker without runs.
     pub fn new(id: &str) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let started_unix_ms = since_epoch.as_millis() as u64;
         Self { id: id.into(), started: Instant::now(), started_unix_ms, state: Mutex::default() }
     }
 
-    /// Its id.
+    /// The worker's id.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Switches what it does to orders.
+    /// Sets how it handles orders.
     pub fn set_fault_mode(&self, fault_mode: FaultMode) {
         self.state.lock().fault_mode = fault_mode;
     }
 
-    /// Everything that it ran.
+    /// All its runs, in order of their start.
     pub fn records(&self) -> Vec<Record> {
         let mut state = self.state.lock();
         self.advance(&mut state);
         state.records.clone()
     }
 
-    /// What runs there now.
+    /// Names of the running tasks.
     pub fn running(&self) -> Vec<String> {
         let mut state = self.state.lock();
         self.advance(&mut state);
         state.active.keys().cloned().collect()
     }
 
-    /// Ends everything, as a crash does.
+    /// Ends all runs, as a crash does.
     pub fn crash(&self) {
         end_all(&mut self.state.lock());
     }
 
-    /// For how long a task that it started has had it down; none while it is up.
+    /// Time since a task made the worker crash, which ends all its runs; `None` while it is up.
     fn down_for(&self) -> Option<Duration> {
         let mut state = self.state.lock();
         let down = Instant::now().checked_duration_since(state.down_at?)?;
@@ -134,7 +137,7 @@
         Some(down)
     }
 
-    /// Its entry in the store.
+    /// The value of its row in the store.
     pub fn entry(&self, service: &str, address: SocketAddr, state: &str) -> Vec<u8> {
         json!({
             "service": service, "address": address.to_string(), "zone": "zone", "version": "v1",
@@ -150,7 +153,7 @@
         self.started.elapsed().as_millis() as u64 + 1000
     }
 
-    /// Ends what is over by now.
+    /// Ends the runs whose duration is over or whose lease has expired.
     fn advance(&self, state: &mut State) {
         let lease_expired = self.clock_ms() >= state.deadline;
         let ended: Vec<(String, &'static str)> = state
@@ -279,7 +282,7 @@
     }
 }
 
-/// Whether an order's token is lower than one seen before; otherwise it is the highest from now on.
+/// Whether an order's fencing token is lower than an earlier one; updates the highest token.
 fn is_fenced(state: &mut State, body: &Value) -> bool {
     let token = body["fencingToken"].as_u64().unwrap_or(0);
     let fenced = token < state.highest_token;
