--- a/crates/standin/src/faulty.rs
+++ b/crates/standin/src/faulty.rs
@@ -126,15 +126,15 @@
             return Injection::Paused(until);
         }
         let count = state.counts.entry(call).or_default();
-        let at = *count;
+        let index = *count;
         *count += 1;
         if state.down {
             return Injection::Fault(Fault::FailBefore);
         }
-        let due = |plan: &&Plan| {
-            plan.call == call && at >= plan.from && at < plan.from.saturating_add(plan.count)
+        let applies = |plan: &&Plan| {
+            plan.call == call && index >= plan.from && index < plan.from.saturating_add(plan.count)
         };
-        let fault = state.plans.iter().find(due).map_or(Fault::None, |plan| plan.fault);
+        let fault = state.plans.iter().find(applies).map_or(Fault::None, |plan| plan.fault);
         state.injected += u64::from(fault != Fault::None);
         if fault == Fault::Pause {
             let until = Instant::now() + Duration::from_millis(PAUSE_MS);
--- a/crates/standin/src/history.rs
+++ b/crates/standin/src/history.rs
@@ -59,22 +59,22 @@
 /// Checks the guarantees to callers over the requests of callers and the runs of minions.
 pub fn check(asked: &[Asked], runs: &[Run]) -> Vec<Breach> {
     let mut breaches = BTreeSet::new();
-    let mut ran: BTreeMap<&str, u32> = BTreeMap::new();
+    let mut run_counts: BTreeMap<&str, u32> = BTreeMap::new();
     for run in runs.iter().filter(|run| run.ran) {
-        *ran.entry(&run.id).or_default() += 1;
+        *run_counts.entry(&run.id).or_default() += 1;
     }
-    let mut effects: BTreeMap<&str, u32> = BTreeMap::new();
+    let mut effect_counts: BTreeMap<&str, u32> = BTreeMap::new();
     for request in asked {
-        let times = ran.get(request.id.as_str()).copied().unwrap_or(0);
+        let count = run_counts.get(request.id.as_str()).copied().unwrap_or(0);
         if !request.idempotent {
-            *effects.entry(&request.effect).or_default() += times;
+            *effect_counts.entry(&request.effect).or_default() += count;
         }
         match &request.told {
             Told::Answer(200, body) if !is_own(request, body) => {
                 breaches.insert(Breach::WrongAnswer(request.id.clone()));
             }
             Told::Answer(..) => {}
-            Told::Refused(_, Some(Outcome::NotRun)) if times > 0 => {
+            Told::Refused(_, Some(Outcome::NotRun)) if count > 0 => {
                 breaches.insert(Breach::RanAlthoughRefused(request.id.clone()));
             }
             Told::Refused(..) => {}
@@ -83,8 +83,8 @@
             }
         }
     }
-    let twice = effects.into_iter().filter(|(_, times)| *times > 1);
-    breaches.extend(twice.map(|(effect, _)| Breach::RanTwice(effect.into())));
+    let repeated = effect_counts.into_iter().filter(|(_, count)| *count > 1);
+    breaches.extend(repeated.map(|(effect, _)| Breach::RanTwice(effect.into())));
     breaches.into_iter().collect()
 }
 
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -171,9 +171,9 @@
     let mut requests = Vec::new();
     for number in 0..plan.count {
         let due = Duration::from_secs_f64(number as f64 / plan.rate);
-        let early = due.saturating_sub(began.elapsed());
-        if !early.is_zero() {
-            task::sleep(early).await;
+        let delay = due.saturating_sub(began.elapsed());
+        if !delay.is_zero() {
+            task::sleep(delay).await;
         }
         let spec = generate_request(plan, number, &mut random);
         let entry = plan.entries[number as usize % plan.entries.len()];
--- a/crates/standin/src/site/machine.rs
+++ b/crates/standin/src/site/machine.rs
@@ -31,7 +31,7 @@
 struct State {
     machines: BTreeMap<String, Machine>,
     /// Machines due for upkeep, by wave.
-    due: BTreeMap<u64, Vec<String>>,
+    due_by_wave: BTreeMap<u64, Vec<String>>,
     /// Upkeeps that were started.
     upkeeps: Vec<Upkeep>,
     workers: Vec<Arc<Worker>>,
@@ -72,7 +72,7 @@
 
     pub(super) fn set_due(&self, wave: u64, machines: &[&str]) {
         let names = machines.iter().map(|name| name.to_string()).collect();
-        self.state.lock().due.insert(wave, names);
+        self.state.lock().due_by_wave.insert(wave, names);
     }
 
     pub(super) fn crash(&self, id: &str) {
@@ -115,7 +115,7 @@
 
     fn list(&self) -> Response {
         let state = self.state.lock();
-        let show = |(name, machine): (&String, &Machine)| {
+        let to_json = |(name, machine): (&String, &Machine)| {
             let id = machine.worker.as_ref().map_or("", |worker| worker.id());
             let state_name = match (&machine.down_since, &machine.worker) {
                 (Some(_), _) => "upkeep",
@@ -124,7 +124,7 @@
             };
             json!({ "machine": name, "pool": machine.pool, "state": state_name, "zone": "zone", "id": id })
         };
-        let machines: Vec<Value> = state.machines.iter().map(show).collect();
+        let machines: Vec<Value> = state.machines.iter().map(to_json).collect();
         answer(200, json!({ "machines": machines, "nextToken": null }))
     }
 
@@ -132,7 +132,7 @@
         let name = body["machine"].as_str().unwrap_or_default().to_owned();
         let wave = body["wave"].as_u64().unwrap_or(0);
         let mut state = self.state.lock();
-        let due = state.due.get(&wave).is_some_and(|names| names.contains(&name));
+        let due = state.due_by_wave.get(&wave).is_some_and(|names| names.contains(&name));
         if !due {
             return answer(409, json!({ "reason": "wave" }));
         }
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -112,8 +112,8 @@
     /// Number of rows of a table whose keys begin with `prefix`.
     pub fn count(&self, table: &str, prefix: &str) -> usize {
         let tables = self.tables.lock();
-        let of = |key: &&Key| key.0 == table && key.2.starts_with(prefix);
-        tables.rows.keys().filter(of).count()
+        let matches = |key: &&Key| key.0 == table && key.2.starts_with(prefix);
+        tables.rows.keys().filter(matches).count()
     }
 
     /// Executes a transaction after the earlier ones of its partition, even when its client stops
--- a/crates/standin/src/site/worker.rs
+++ b/crates/standin/src/site/worker.rs
@@ -73,10 +73,10 @@
     highest_token: u64,
     deadline: u64,
     active: BTreeMap<String, Active>,
-    ends: Vec<(u64, String, u64, &'static str)>,
-    next_end: u64,
+    unacknowledged_ends: Vec<(u64, String, u64, &'static str)>,
+    last_end_number: u64,
     /// Highest number of a run that was stopped or ended here, by task.
-    closed: BTreeMap<String, u64>,
+    closed_runs: BTreeMap<String, u64>,
     records: Vec<Record>,
     fault_mode: FaultMode,
     /// Time at which a started task makes the worker crash.
@@ -191,7 +191,7 @@
         if state.active.get(&task).is_some_and(|active| active.run == run) {
             return answer(200, json!({ "clockMs": self.clock_ms() }));
         }
-        if state.closed.get(&task).is_some_and(|closed| run <= *closed) {
+        if state.closed_runs.get(&task).is_some_and(|closed| run <= *closed) {
             return self.conflict("old");
         }
         let spec = body["spec"].as_str().unwrap_or_default().to_owned();
@@ -224,7 +224,7 @@
         if state.active.get(&task).is_some_and(|active| active.run == run) {
             end(&mut state, &task, "stopped");
         }
-        let closed = state.closed.entry(task).or_default();
+        let closed = state.closed_runs.entry(task).or_default();
         *closed = (*closed).max(run);
         answer(200, json!({ "clockMs": self.clock_ms() }))
     }
@@ -241,7 +241,7 @@
             }
             let deadline = body["deadlineMs"].as_u64().unwrap_or(0);
             state.deadline = state.deadline.max(deadline);
-            state.ends.retain(|end| end.0 > acknowledged);
+            state.unacknowledged_ends.retain(|end| end.0 > acknowledged);
         }
         loop {
             {
@@ -250,7 +250,7 @@
                 if state.down_at.is_some_and(|at| Instant::now() >= at) {
                     break;
                 }
-                if began.elapsed() >= wait || !state.ends.is_empty() {
+                if began.elapsed() >= wait || !state.unacknowledged_ends.is_empty() {
                     return self.listing(&state);
                 }
             }
@@ -265,7 +265,7 @@
             .iter()
             .map(|(task, active)| json!([task, active.run, "", percent(active), 0]))
             .collect();
-        let ends = state.ends.iter().take(500);
+        let ends = state.unacknowledged_ends.iter().take(500);
         let finished: Vec<Value> = ends
             .map(|(number, task, run, end_reason)| json!([number, task, run, end_reason, ""]))
             .collect();
@@ -312,9 +312,9 @@
 
 fn end(state: &mut State, task: &str, end_reason: &'static str) {
     let Some(active) = state.active.remove(task) else { return };
-    state.next_end += 1;
-    state.ends.push((state.next_end, task.into(), active.run, end_reason));
-    let closed = state.closed.entry(task.into()).or_default();
+    state.last_end_number += 1;
+    state.unacknowledged_ends.push((state.last_end_number, task.into(), active.run, end_reason));
+    let closed = state.closed_runs.entry(task.into()).or_default();
     *closed = (*closed).max(active.run);
     let record = &mut state.records[active.record];
     record.ended = Some(Instant::now());
