--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -224,7 +224,7 @@
             .find_map(|line| line.ok().filter(|line| line.starts_with("listening")))
             .ok_or_else(|| {
                 io::Error::other(format!(
-                    "{name} ended without a line that begins with `listening`"
+                    "{name} did not start: it printed no line that begins with `listening`"
                 ))
             })?;
         // A full pipe would block the daemon's log writes.
