--- a/crates/standin/src/bin/celerythread-standin.rs
+++ b/crates/standin/src/bin/celerythread-standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes.  Each prints one line `listening ADDRESS` and then serves.
+//! Runs a stand-in as a process.  A serving stand-in prints one line `listening ADDRESS` first.
 
 use async_std::task;
 use celerythread_http::client;
@@ -16,8 +16,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Longest wait for an order to a stand-in.
-const CONTROL_WAIT: Duration = Duration::from_secs(5);
+/// Timeout of a control request to a stand-in.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(5);
 
 mod flags {
     #![allow(missing_docs, unreachable_pub, reason = "generated")]
@@ -31,63 +31,63 @@
         cmd celerythread-standin {
             /// The platform: table, objects, list of instances, workers.
             cmd platform {
-                /// Where to listen.
+                /// Address to listen on.
                 required --listen address: SocketAddr
-                /// How late the list of instances is.
+                /// Delay of changes to the list of instances.
                 optional --lag span: Span
             }
             /// A minion.
             cmd minion {
-                /// Where to listen.
+                /// Address to listen on.
                 required --listen address: SocketAddr
-                /// How long a request takes.
+                /// Processing time of a request.
                 optional --duration span: Span
             }
-            /// Puts an instance on the platform's list.
+            /// Adds an instance to the platform's list.
             cmd instance {
-                /// The platform.
+                /// Address of the platform.
                 required --platform address: SocketAddr
-                /// Its name.
+                /// Name of the instance.
                 required --name name: String
-                /// entry, minion or worker.
+                /// Role: entry, minion or worker.
                 required --role role: Role
-                /// Its availability zone.
+                /// Availability zone of the instance.
                 required --zone name: String
-                /// Its rack.
+                /// Rack of the instance.
                 required --rack name: String
-                /// Where a minion serves.
+                /// Address at which a minion serves.
                 optional --address address: SocketAddr
                 /// The pool that a minion was bought for.
                 optional --pool name: String
-                /// A worker's thousandths of a core.
+                /// A worker's processor capacity in millicores.
                 optional --cpu count: Millicores
-                /// A worker's memory.
+                /// A worker's memory capacity.
                 optional --memory size: Bytes
             }
-            /// A hop for TCP.
+            /// A TCP proxy.
             cmd link {
-                /// Where to listen.
+                /// Address to listen on.
                 required --listen address: SocketAddr
-                /// Where to pass things on to.
+                /// Address to forward to.
                 required --target address: SocketAddr
-                /// How long each piece takes one way.
+                /// Delay of each forwarded chunk, one way.
                 optional --delay span: Span
             }
-            /// A load on entries, with its report and history check.
+            /// Sends requests to entries, prints a report and checks the history.
             cmd load {
-                /// An entry; may be given several times.
+                /// Address of an entry; may be given several times.
                 repeated --entry address: SocketAddr
-                /// A minion whose record is joined to the history; may be given several times.
+                /// Address of a minion whose record is checked too; may be given several times.
                 repeated --minion address: SocketAddr
-                /// The service.
+                /// Name of the service.
                 required --service name: String
-                /// Requests a second.
+                /// Requests per second.
                 optional --rate number: f64
-                /// How many requests.
+                /// Number of requests.
                 optional --count number: u64
-                /// The seed.
+                /// Seed of the random choices.
                 optional --seed number: u64
-                /// The deadline.
+                /// Deadline of each request.
                 optional --deadline span: Span
             }
         }
@@ -113,29 +113,29 @@
         flags::CelerythreadStandinCmd::Platform(flags) => {
             let platform = Platform::start(flags.listen).await?;
             platform.memory.roster.set_lag(flags.lag.unwrap_or_default().0);
-            serve(platform.server.address()).await
+            serve_forever(platform.server.address()).await
         }
         flags::CelerythreadStandinCmd::Minion(flags) => {
             let duration = flags.duration.unwrap_or(Span::millis(20)).0;
             let minion = Minion::start(flags.listen, duration).await?;
-            serve(minion.server.address()).await
+            serve_forever(minion.server.address()).await
         }
-        flags::CelerythreadStandinCmd::Instance(flags) => instance(flags).await,
+        flags::CelerythreadStandinCmd::Instance(flags) => add_instance(flags).await,
         flags::CelerythreadStandinCmd::Link(flags) => {
             let link = Link::tcp(flags.listen, flags.target).await?;
             link.set_delay(flags.delay.unwrap_or_default().0);
-            serve(link.address()).await
+            serve_forever(link.address()).await
         }
-        flags::CelerythreadStandinCmd::Load(flags) => load(flags).await,
+        flags::CelerythreadStandinCmd::Load(flags) => run_load(flags).await,
     }
 }
 
-async fn serve(address: SocketAddr) -> io::Result<ExitCode> {
+async fn serve_forever(address: SocketAddr) -> io::Result<ExitCode> {
     println!("listening {address}");
     async_std::future::pending().await
 }
 
-async fn load(flags: flags::Load) -> io::Result<ExitCode> {
+async fn run_load(flags: flags::Load) -> io::Result<ExitCode> {
     let base = Plan::default();
     let plan = Plan {
         entries: flags.entry,
@@ -163,7 +163,7 @@
     Ok(if breaches.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-async fn instance(flags: flags::Instance) -> io::Result<ExitCode> {
+async fn add_instance(flags: flags::Instance) -> io::Result<ExitCode> {
     let pool = flags.pool.map(|pool| pool.parse()).transpose().map_err(io::Error::other)?;
     let instance = Instance {
         name: flags.name,
@@ -183,7 +183,7 @@
     let mut request = client::request(Method::Post, flags.platform, "/standin/instance")
         .map_err(|fault| io::Error::other(fault.to_string()))?;
     request.set_body(serde_json::to_string(&instance).map_err(io::Error::other)?);
-    let done = client::fetch(flags.platform, request, CONTROL_WAIT, 1 << 20).await;
+    let done = client::fetch(flags.platform, request, CONTROL_TIMEOUT, 1 << 20).await;
     done.map_err(|failure| io::Error::other(failure.fault.to_string()))?;
     Ok(ExitCode::SUCCESS)
 }
@@ -191,7 +191,7 @@
 async fn fetch_record(minion: SocketAddr) -> io::Result<Record> {
     let request = client::request(Method::Get, minion, "/standin/record")
         .map_err(|fault| io::Error::other(fault.to_string()))?;
-    let (_, body) = client::fetch(minion, request, CONTROL_WAIT, 64 << 20)
+    let (_, body) = client::fetch(minion, request, CONTROL_TIMEOUT, 64 << 20)
         .await
         .map_err(|failure| io::Error::other(failure.fault.to_string()))?;
     serde_json::from_slice(&body).map_err(io::Error::other)
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -1,4 +1,4 @@
-//! Making requests, and recording what became of them.
+//! A load generator that records the result of each request.
 
 use crate::history::{Asked, Told};
 use async_std::task;
@@ -17,34 +17,34 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Largest answer taken.
-const ANSWER_LIMIT: u64 = 64 << 20;
+/// Largest accepted body of an answer.
+const MAX_ANSWER_BYTES: u64 = 64 << 20;
 
-/// Longest wait for an answer, beyond any deadline.
-const WAIT: Duration = Duration::from_secs(60);
+/// Timeout of each step of an exchange; longer than any request's deadline.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What is asked.
+/// The load to generate.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Entries, taken in turn as a balancer would.
+    /// Addresses of the entries, used round-robin as by a load balancer.
     pub entries: Vec<SocketAddr>,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How many in all.
+    /// Total number of requests.
     pub count: u64,
-    /// Share of patient ones.
-    pub patient: f64,
-    /// Share that must run at most once.
-    pub once: f64,
-    /// Share of those that carry a key.
-    pub keyed: f64,
-    /// The deadline given.
+    /// Share of requests of the patient class, 0 to 1.
+    pub patient_share: f64,
+    /// Share of requests that must run at most once, 0 to 1.
+    pub non_idempotent_share: f64,
+    /// Share of the non-idempotent requests that carry an idempotency key, 0 to 1.
+    pub keyed_share: f64,
+    /// Deadline of each request.
     pub deadline: Span,
-    /// Bytes of each body.
-    pub body: usize,
-    /// The seed of all choices.
+    /// Length of each body in bytes.
+    pub body_len: usize,
+    /// Seed of the random choices.
     pub seed: u64,
 }
 
@@ -55,48 +55,48 @@
             service: String::new(),
             rate: 100.0,
             count: 100,
-            patient: 0.3,
-            once: 0.3,
-            keyed: 0.5,
+            patient_share: 0.3,
+            non_idempotent_share: 0.3,
+            keyed_share: 0.5,
             deadline: Span::secs(5),
-            body: 64,
+            body_len: 64,
             seed: 1,
         }
     }
 }
 
-/// One request.
+/// A request to send.
 #[derive(Clone, Debug)]
-pub struct Single {
-    /// Its `X-Request-Id`.
+pub struct RequestSpec {
+    /// The `X-Request-Id`.
     pub id: String,
-    /// Its service.
+    /// Name of the service.
     pub service: String,
-    /// Its class.
+    /// The class.
     pub class: Class,
-    /// Its key.
+    /// The idempotency key.
     pub key: Option<String>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Its deadline.
+    /// The deadline.
     pub deadline: Span,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
-/// What became of it.
-pub struct Done {
-    /// For the history.
+/// The result of a request.
+pub struct RequestResult {
+    /// The record for the history check.
     pub asked: Asked,
-    /// Its class.
+    /// The request's class.
     pub class: Class,
-    /// How long it took.
+    /// Time from the start of the exchange to the result.
     pub took: Duration,
-    /// The `Retry-After` it was told, in milliseconds.
+    /// The delay before a retry that a refusal asked for, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
-/// The part of a problem body that is read.
+/// The fields of an `application/problem+json` body that are read.
 #[derive(Deserialize)]
 struct Problem {
     code: u16,
@@ -104,43 +104,43 @@
     retry_after_ms: Option<u64>,
 }
 
-/// Sends one request on a connection of its own.
-pub async fn send(entry: SocketAddr, single: &Single) -> Done {
+/// Sends one request on its own connection.
+pub async fn send(entry: SocketAddr, spec: &RequestSpec) -> RequestResult {
     let began = Instant::now();
-    let (told, retry_after_ms) = match exchange(entry, single).await {
-        Some((response, body)) => tell(&response, body),
+    let (told, retry_after_ms) = match exchange(entry, spec).await {
+        Some((response, body)) => classify_answer(&response, body),
         None => (Told::Broken, None),
     };
-    let effect = single.key.clone().unwrap_or_else(|| single.id.clone());
+    let effect = spec.key.clone().unwrap_or_else(|| spec.id.clone());
     let asked = Asked {
-        id: single.id.clone(),
+        id: spec.id.clone(),
         effect,
-        idempotent: single.idempotent,
-        body: single.body.clone(),
+        idempotent: spec.idempotent,
+        body: spec.body.clone(),
         told,
     };
-    Done { asked, class: single.class, took: began.elapsed(), retry_after_ms }
+    RequestResult { asked, class: spec.class, took: began.elapsed(), retry_after_ms }
 }
 
-async fn exchange(entry: SocketAddr, single: &Single) -> Option<(Response, Vec<u8>)> {
-    let method = if single.idempotent { Method::Put } else { Method::Post };
+async fn exchange(entry: SocketAddr, spec: &RequestSpec) -> Option<(Response, Vec<u8>)> {
+    let method = if spec.idempotent { Method::Put } else { Method::Post };
     let mut request = client::request(method, entry, "/work").ok()?;
-    request.insert_header("celerythread-service", single.service.as_str());
-    request.insert_header("x-request-id", single.id.as_str());
-    request.insert_header("celerythread-deadline", single.deadline.to_string());
-    let urgency = if single.class == Class::Urgent { "u=1" } else { "u=5" };
+    request.insert_header("celerythread-service", spec.service.as_str());
+    request.insert_header("x-request-id", spec.id.as_str());
+    request.insert_header("celerythread-deadline", spec.deadline.to_string());
+    let urgency = if spec.class == Class::Urgent { "u=1" } else { "u=5" };
     request.insert_header("priority", urgency);
-    if let Some(key) = &single.key {
+    if let Some(key) = &spec.key {
         request.insert_header("idempotency-key", format!("\"{key}\""));
     }
-    request.set_body(single.body.clone());
-    let mut connection = Connection::open(entry, WAIT).await.ok()?;
-    let answer = connection.send(request, WAIT).await.ok()?;
-    let body = connection.read_body(answer.length, WAIT, ANSWER_LIMIT).await.ok()?;
+    request.set_body(spec.body.clone());
+    let mut connection = Connection::open(entry, ANSWER_TIMEOUT).await.ok()?;
+    let answer = connection.send(request, ANSWER_TIMEOUT).await.ok()?;
+    let body = connection.read_body(answer.length, ANSWER_TIMEOUT, MAX_ANSWER_BYTES).await.ok()?;
     Some((answer.head, body))
 }
 
-fn tell(response: &Response, body: Vec<u8>) -> (Told, Option<u64>) {
+fn classify_answer(response: &Response, body: Vec<u8>) -> (Told, Option<u64>) {
     let is_problem = response
         .header("content-type")
         .is_some_and(|value| value.as_str() == "application/problem+json");
@@ -152,91 +152,94 @@
     }
 }
 
-/// What a run of requests showed.
+/// The results of a generated load.
 pub struct Report {
-    /// Every request.
-    pub done: Vec<Done>,
-    /// How long it all took.
+    /// Results in the order of their completion.
+    pub results: Vec<RequestResult>,
+    /// Time until the last result.
     pub took: Duration,
 }
 
-/// Sends requests at a steady rate, whatever becomes of the earlier ones.
+/// Sends requests at a constant rate that doesn't depend on the results of earlier ones.
+///
+/// # Panics
+/// When the plan has no entries.
 pub async fn run(plan: &Plan) -> Report {
     let began = Instant::now();
     let done = Arc::new(Mutex::new(Vec::new()));
     let mut random = StdRng::seed_from_u64(plan.seed);
-    let mut sent = Vec::new();
+    let mut requests = Vec::new();
     for number in 0..plan.count {
         let due = Duration::from_secs_f64(number as f64 / plan.rate);
-        let early = due.saturating_sub(began.elapsed());
-        if !early.is_zero() {
-            task::sleep(early).await;
+        let delay = due.saturating_sub(began.elapsed());
+        if !delay.is_zero() {
+            task::sleep(delay).await;
         }
-        let single = choose(plan, number, &mut random);
+        let spec = generate_request(plan, number, &mut random);
         let entry = plan.entries[number as usize % plan.entries.len()];
         let done = done.clone();
-        sent.push(task::spawn(async move {
-            let one = send(entry, &single).await;
-            done.lock().push(one);
+        requests.push(task::spawn(async move {
+            let result = send(entry, &spec).await;
+            done.lock().push(result);
         }));
     }
-    for one in sent {
-        one.await;
+    for request in requests {
+        request.await;
     }
-    let done = std::mem::take(&mut *done.lock());
-    Report { done, took: began.elapsed() }
+    let results = std::mem::take(&mut *done.lock());
+    Report { results, took: began.elapsed() }
 }
 
-fn choose(plan: &Plan, number: u64, random: &mut StdRng) -> Single {
-    let patient = random.random_bool(plan.patient);
-    let once = random.random_bool(plan.once);
-    let keyed = once && random.random_bool(plan.keyed);
+fn generate_request(plan: &Plan, number: u64, random: &mut StdRng) -> RequestSpec {
+    let patient = random.random_bool(plan.patient_share);
+    let non_idempotent = random.random_bool(plan.non_idempotent_share);
+    let keyed = non_idempotent && random.random_bool(plan.keyed_share);
     let id = format!("{:x}-{number}", plan.seed);
-    Single {
+    RequestSpec {
         key: keyed.then(|| format!("key-{id}")),
         id,
         service: plan.service.clone(),
         class: if patient { Class::Patient } else { Class::Urgent },
-        idempotent: !once,
+        idempotent: !non_idempotent,
         deadline: plan.deadline,
-        body: (0..plan.body).map(|_| random.random()).collect(),
+        body: (0..plan.body_len).map(|_| random.random()).collect(),
     }
 }
 
 impl Report {
-    /// For the history check.
+    /// The records for the history check.
     pub fn asked(&self) -> Vec<Asked> {
-        self.done.iter().map(|done| done.asked.clone()).collect()
+        self.results.iter().map(|result| result.asked.clone()).collect()
     }
 
-    /// Requests of a class that were answered.
+    /// Number of requests of a class that were answered with status 200.
     pub fn answered(&self, class: Class) -> usize {
-        let of_class = self.done.iter().filter(|done| done.class == class);
-        of_class.filter(|done| matches!(done.asked.told, Told::Answer(200, _))).count()
+        let of_class = self.results.iter().filter(|result| result.class == class);
+        of_class.filter(|result| matches!(result.asked.told, Told::Answer(200, _))).count()
     }
 
-    /// Refusals by code number.
+    /// Number of refusals by numeric code.
     pub fn refusals(&self) -> BTreeMap<u16, usize> {
         let mut refusals = BTreeMap::new();
-        for done in &self.done {
-            if let Told::Refused(code, _) = done.asked.told {
+        for result in &self.results {
+            if let Told::Refused(code, _) = result.asked.told {
                 *refusals.entry(code).or_default() += 1;
             }
         }
         refusals
     }
 
-    /// A table for people.
+    /// A human-readable summary: counts, rates and latency quantiles.
     pub fn table(&self) -> String {
         let mut text = String::new();
         let seconds = self.took.as_secs_f64();
-        let _ = writeln!(text, "{} requests in {seconds:.1} s", self.done.len());
+        let _ = writeln!(text, "{} requests in {seconds:.1} s", self.results.len());
         for class in [Class::Urgent, Class::Patient] {
             let mut times: Histogram<u64> =
                 Histogram::new_with_bounds(1, 600_000_000, 3).expect("valid bounds");
-            for done in self.done.iter().filter(|done| done.class == class) {
-                if matches!(done.asked.told, Told::Answer(200, _)) {
-                    let _ = times.record(done.took.as_micros() as u64);
+            for result in self.results.iter().filter(|result| result.class == class) {
+                if matches!(result.asked.told, Told::Answer(200, _)) {
+                    let _ = times.record(result.took.as_micros() as u64);
                 }
             }
             let at = |quantile| times.value_at_quantile(quantile) as f64 / 1000.0;
@@ -253,7 +256,7 @@
         for (code, count) in self.refusals() {
             let _ = writeln!(text, "refused  {code}: {count}");
         }
-        let broken = self.done.iter().filter(|d| matches!(d.asked.told, Told::Broken)).count();
+        let broken = self.results.iter().filter(|d| matches!(d.asked.told, Told::Broken)).count();
         let _ = writeln!(text, "broken   {broken}");
         text
     }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,7 +1,8 @@
-//! The platform over HTTP, by the paths that `celerythread_platform::http` calls.
+//! Serves an in-memory platform over HTTP on the paths that `celerythread_platform::http` uses.
 //!
-//! Besides, `POST /standin/instance` and `/standin/remove` change the list, `/standin/lag`
-//! sets how late it is, and `/standin/fault` makes every following call fail in one way.
+//! In addition, `POST /standin/instance` and `/standin/remove` change the list of instances,
+//! `/standin/lag` sets the delay of its changes, and `/standin/fault` sets the fault of all later
+//! calls.
 
 use crate::fault::{Fault, SLOW_MS};
 use crate::serve::Server;
@@ -23,9 +24,9 @@
 
 /// A served platform.
 pub struct Platform {
-    /// What is served.
+    /// The platform behind the server.
     pub memory: Memory,
-    /// The server.
+    /// The HTTP server.
     pub server: Server,
     fault: Arc<Mutex<Fault>>,
 }
@@ -34,78 +35,78 @@
     /// Serves a new, empty platform.
     ///
     /// # Errors
-    /// When the address cannot be listened at.
+    /// When `address` can't be bound.
     pub async fn start(address: SocketAddr) -> io::Result<Self> {
         Self::serve(address, Memory::default()).await
     }
 
-    /// Serves a platform.
+    /// Serves an existing platform.
     ///
     /// # Errors
-    /// When the address cannot be listened at.
+    /// When `address` can't be bound.
     pub async fn serve(address: SocketAddr, memory: Memory) -> io::Result<Self> {
         let fault = Arc::new(Mutex::new(Fault::None));
-        let handler = Arc::new(Front { memory: memory.clone(), fault: fault.clone() });
+        let handler = Arc::new(PlatformHandler { memory: memory.clone(), fault: fault.clone() });
         let server = Server::start(address, handler).await?;
         Ok(Self { memory, server, fault })
     }
 
-    /// Makes every following call fail in one way.
+    /// Sets the fault of all later calls.
     pub fn set_fault(&self, fault: Fault) {
         *self.fault.lock() = fault;
     }
 }
 
-struct Front {
+struct PlatformHandler {
     memory: Memory,
     fault: Arc<Mutex<Fault>>,
 }
 
-/// How late the list is, in milliseconds.
+/// Body of `/standin/lag`: the delay of changes to the list of instances.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Lag {
-    /// Milliseconds.
+    /// Delay in milliseconds.
     pub ms: u64,
 }
 
-/// An instance's name.
+/// Body of `/standin/remove`: the instance to remove.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Name {
-    /// The name.
+    /// Name of the instance.
     pub name: String,
 }
 
-impl Front {
+impl PlatformHandler {
     async fn route(&self, request: &Request) -> Response {
         let memory = &self.memory;
         let body = request.body.as_slice();
         match (request.head.method(), request.path()) {
-            (Method::Post, "/table/commit") => match read::<Transaction>(body) {
+            (Method::Post, "/table/commit") => match parse::<Transaction>(body) {
                 Ok(transaction) => answer(memory.table.commit(transaction).await),
                 Err(refusal) => *refusal,
             },
-            (Method::Post, "/table/read") => match read::<ReadQuery>(body) {
+            (Method::Post, "/table/read") => match parse::<ReadQuery>(body) {
                 Ok(query) => answer(memory.table.read(query.space, &query.keys).await),
                 Err(refusal) => *refusal,
             },
-            (Method::Post, "/table/changes") => match read::<ChangesQuery>(body) {
+            (Method::Post, "/table/changes") => match parse::<ChangesQuery>(body) {
                 Ok(query) => answer(memory.table.changes(query.space, query.since).await),
                 Err(refusal) => *refusal,
             },
-            (Method::Post, "/roster/list") => match read::<String>(body) {
+            (Method::Post, "/roster/list") => match parse::<String>(body) {
                 Ok(known) => answer(memory.roster.list(&known).await),
                 Err(refusal) => *refusal,
             },
-            (Method::Post, "/roster/reboot") => match read::<Reboot>(body) {
+            (Method::Post, "/roster/reboot") => match parse::<Reboot>(body) {
                 Ok(order) => answer(memory.roster.reboot(&order.name, order.boot).await),
                 Err(refusal) => *refusal,
             },
-            (Method::Post, "/workers/order") => match read::<Command>(body) {
+            (Method::Post, "/workers/order") => match parse::<Command>(body) {
                 Ok(order) => answer(memory.workers.order(&order.worker, order.order).await),
                 Err(refusal) => *refusal,
             },
             (Method::Post, "/workers/tasks") => answer(memory.workers.tasks().await),
-            (Method::Post, "/workers/inspect") => match read::<Inspection>(body) {
+            (Method::Post, "/workers/inspect") => match parse::<Inspection>(body) {
                 Ok(query) => answer(memory.workers.inspect(&query.worker, &query.job).await),
                 Err(refusal) => *refusal,
             },
@@ -131,30 +132,30 @@
         }
     }
 
-    /// Orders to the stand-in itself, which no fault touches.
+    /// Handles control requests to the stand-in itself, which faults don't affect.
     fn control(&self, request: &Request) -> Option<Response> {
         let body = request.body.as_slice();
-        let done = match request.path() {
+        let outcome = match request.path() {
             "/standin/instance" => {
-                read::<Instance>(body).map(|instance| self.memory.roster.put(instance))
+                parse::<Instance>(body).map(|instance| self.memory.roster.put(instance))
             }
             "/standin/remove" => {
-                read::<Name>(body).map(|name| self.memory.roster.remove(&name.name))
+                parse::<Name>(body).map(|name| self.memory.roster.remove(&name.name))
             }
-            "/standin/lag" => read::<Lag>(body)
+            "/standin/lag" => parse::<Lag>(body)
                 .map(|lag| self.memory.roster.set_lag(Duration::from_millis(lag.ms))),
-            "/standin/fault" => read::<Fault>(body).map(|fault| *self.fault.lock() = fault),
+            "/standin/fault" => parse::<Fault>(body).map(|fault| *self.fault.lock() = fault),
             _ => return None,
         };
-        Some(done.map_or_else(|refusal| *refusal, |()| answer(Ok(()))))
+        Some(outcome.map_or_else(|refusal| *refusal, |()| answer(Ok(()))))
     }
 }
 
 #[async_trait]
-impl Handler for Front {
+impl Handler for PlatformHandler {
     async fn handle(&self, request: Request) -> Response {
-        if let Some(done) = self.control(&request) {
-            return done;
+        if let Some(outcome) = self.control(&request) {
+            return outcome;
         }
         let unavailable = || answer::<()>(Err(Error::Unavailable { reason: "down".into() }));
         let fault = *self.fault.lock();
@@ -163,9 +164,9 @@
             Fault::FailBefore => unavailable(),
             Fault::LoseAnswer => {
                 self.route(&request).await;
-                never().await
+                hang().await
             }
-            Fault::Hang => never().await,
+            Fault::Hang => hang().await,
             Fault::Slow => {
                 task::sleep(Duration::from_millis(SLOW_MS)).await;
                 self.route(&request).await
@@ -174,7 +175,7 @@
                 task::sleep(Duration::from_secs(3)).await;
                 self.route(&request).await
             }
-            // Faults of a process and not of the platform.
+            // Faults of the client's process, which a server can't inject.
             Fault::KillBefore | Fault::KillAfter | Fault::Pause => self.route(&request).await,
         }
     }
@@ -184,13 +185,13 @@
     }
 }
 
-/// Longer than any client waits.
-async fn never() -> Response {
+/// Answers after 60 s, which is longer than any client waits.
+async fn hang() -> Response {
     task::sleep(Duration::from_secs(60)).await;
     Response::new(StatusCode::GatewayTimeout)
 }
 
-fn read<T: for<'de> Deserialize<'de>>(body: &[u8]) -> Result<T, Box<Response>> {
+fn parse<T: for<'de> Deserialize<'de>>(body: &[u8]) -> Result<T, Box<Response>> {
     serde_json::from_slice(body).map_err(|error| Box::new(refused(&error.to_string())))
 }
 
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: rows in tables, transactions with conditions, ranges and a feed.
+//! The platform's store: rows in tables, conditional transactions, range reads and a change feed.
 
 use async_std::task;
 use async_trait::async_trait;
@@ -13,36 +13,37 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time between two looks of a feed that waits.
-const LOOK: Duration = Duration::from_millis(2);
+/// Time between two checks for changes while a feed call waits.
+const FEED_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Rows of one answer.
-const PAGE: usize = 500;
+/// Maximum number of rows in one answer to a range read.
+const MAX_PAGE_ROWS: usize = 500;
 
-/// Entries of one transaction.
-const ENTRIES: usize = 100;
+/// Maximum number of entries in one transaction: conditions, writes and deletions.
+const MAX_TRANSACTION_ENTRIES: usize = 100;
 
-/// What the store does to calls.
+/// How the store handles calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Trouble {
-    /// It serves.
+pub enum FaultMode {
+    /// It serves calls.
     #[default]
     None,
-    /// It does nothing and says so.
+    /// It answers 503 without executing calls.
     Refuses,
-    /// It does nothing and doesn't answer.
+    /// It neither executes nor answers calls.
     Silent,
-    /// It carries transactions out and doesn't answer them.
+    /// It executes transactions without answering them; other calls are served.
     LosesAnswers,
-    /// Every call takes [`SLOW`], and the transactions of a partition take their turns.
+    /// Every call takes [`SLOW_CALL_DURATION`], and transactions of one partition are executed one
+    /// after the other.
     Slow,
 }
 
-/// How long a call takes while the store is slow: a hundred times the usual.
-const SLOW: Duration = Duration::from_millis(400);
+/// Duration of a call while the store is slow: a hundred times the usual.
+const SLOW_CALL_DURATION: Duration = Duration::from_millis(400);
 
-/// A partition before which transactions of this time wait takes no more.
-const QUEUE: Duration = Duration::from_secs(1);
+/// A slow partition answers 429 to a transaction that would wait longer than this for earlier ones.
+const MAX_QUEUE_DELAY: Duration = Duration::from_secs(1);
 
 type Key = (String, String, String);
 
@@ -56,67 +57,67 @@
 struct Tables {
     version: u64,
     rows: BTreeMap<Key, Row>,
-    /// Every change with its version; a dropped row has no value.
+    /// Every change with its version; a deletion has no value.
     history: Vec<(u64, Key, Option<String>)>,
-    /// Changes up to this version are forgotten.
-    forgotten: u64,
+    /// Changes up to this version were removed from the history.
+    trimmed_version: u64,
 }
 
-/// The store.
+/// The store.  Values are kept in base64.
 #[derive(Default)]
 pub struct Store {
     tables: Arc<Mutex<Tables>>,
-    /// While the store is slow, when each partition is free again.
+    /// While the store is slow, the time at which each partition has executed its transactions.
     busy_until: Mutex<BTreeMap<String, Instant>>,
-    trouble: Mutex<Trouble>,
-    /// The table whose feed brings nothing for now.
+    fault_mode: Mutex<FaultMode>,
+    /// The table whose feed returns no changes for now.
     held_feed: Mutex<Option<String>>,
 }
 
 impl Store {
-    /// Switches what it does to calls.
-    pub fn trouble(&self, trouble: Trouble) {
-        *self.trouble.lock() = trouble;
+    /// Sets how it handles calls.
+    pub fn set_fault_mode(&self, fault_mode: FaultMode) {
+        *self.fault_mode.lock() = fault_mode;
     }
 
-    /// Holds a table's feed back: until told otherwise its changes come to nobody.
+    /// Makes a table's feed return no changes until this is called with another table or `None`.
     pub fn hold_feed(&self, table: Option<&str>) {
         *self.held_feed.lock() = table.map(Into::into);
     }
 
-    /// Forgets the changes so far: feeds must read their tables again.
+    /// Removes all changes from the history, so that clients must read their tables again.
     pub fn forget_history(&self) {
         let mut tables = self.tables.lock();
-        tables.forgotten = tables.version;
+        tables.trimmed_version = tables.version;
         tables.history.clear();
     }
 
-    /// Writes a row as an operator or a minion does.
+    /// Writes a row without conditions, as operators and minions do.
     pub fn put(&self, table: &str, part: &str, key: &str, value: &[u8]) {
         self.tables.lock().write((table.into(), part.into(), key.into()), STANDARD.encode(value));
     }
 
-    /// Drops a row.
-    pub fn drop_row(&self, table: &str, part: &str, key: &str) {
-        self.tables.lock().drop_row((table.into(), part.into(), key.into()));
+    /// Deletes a row.
+    pub fn delete_row(&self, table: &str, part: &str, key: &str) {
+        self.tables.lock().delete_row((table.into(), part.into(), key.into()));
     }
 
-    /// A row's value.
+    /// A row's decoded value.
     pub fn value(&self, table: &str, part: &str, key: &str) -> Option<Vec<u8>> {
         let tables = self.tables.lock();
         let row = tables.rows.get(&(table.into(), part.into(), key.into()))?;
         STANDARD.decode(&row.value).ok()
     }
 
-    /// How many rows a table has whose keys begin with `prefix`.
+    /// Number of rows of a table whose keys begin with `prefix`.
     pub fn count(&self, table: &str, prefix: &str) -> usize {
         let tables = self.tables.lock();
-        let of = |key: &&Key| key.0 == table && key.2.starts_with(prefix);
-        tables.rows.keys().filter(of).count()
+        let matches = |key: &&Key| key.0 == table && key.2.starts_with(prefix);
+        tables.rows.keys().filter(matches).count()
     }
 
-    /// Carries a transaction out in its partition's turn, whether its caller waits or not; one
-    /// over several partitions takes twice as long.
+    /// Executes a transaction after the earlier ones of its partition, even when its client stops
+    /// waiting.  A transaction over several partitions takes twice as long.
     async fn transact_slowly(&self, body: Value) -> Response {
         let entry = ["expect", "writes", "remove"].iter().find_map(|name| body[name].get(0));
         let part = entry.map(|row| key(row).1).unwrap_or_default();
@@ -124,12 +125,13 @@
         let done = {
             let mut busy = self.busy_until.lock();
             let free = busy.get(&part).copied().unwrap_or(now).max(now);
-            if free - now > QUEUE {
+            if free - now > MAX_QUEUE_DELAY {
                 return answer(429, json!({}));
             }
-            let took = if body["across"] == true { SLOW * 2 } else { SLOW };
-            busy.insert(part, free + took);
-            free + took
+            let duration =
+                if body["across"] == true { SLOW_CALL_DURATION * 2 } else { SLOW_CALL_DURATION };
+            busy.insert(part, free + duration);
+            free + duration
         };
         let tables = self.tables.clone();
         task::spawn(async move {
@@ -143,7 +145,7 @@
         let tables = self.tables.lock();
         let (table, part) = (parameter(request, "table"), parameter(request, "part"));
         let (from, to) = (parameter(request, "from"), request.query("to"));
-        let limit = parameter(request, "limit").parse().unwrap_or(PAGE).min(PAGE);
+        let limit = parameter(request, "limit").parse().unwrap_or(MAX_PAGE_ROWS).min(MAX_PAGE_ROWS);
         let inside = |key: &&Key| {
             key.0 == table
                 && key.1 == part
@@ -151,7 +153,7 @@
                 && to.as_ref().is_none_or(|to| key.2 < *to)
         };
         let keys: Vec<&Key> = tables.rows.keys().filter(inside).collect();
-        let rows: Vec<Value> = keys.iter().take(limit).map(|key| tables.show(key)).collect();
+        let rows: Vec<Value> = keys.iter().take(limit).map(|key| tables.row_json(key)).collect();
         let more = keys.len() > limit;
         answer(200, json!({ "rows": rows, "morePages": more, "ver": tables.version }))
     }
@@ -178,28 +180,28 @@
             if let Some(response) = self.changes(&table, after, began.elapsed() >= wait) {
                 return response;
             }
-            task::sleep(LOOK).await;
+            task::sleep(FEED_POLL_INTERVAL).await;
         }
     }
 
-    fn changes(&self, table: &str, after: u64, over: bool) -> Option<Response> {
+    fn changes(&self, table: &str, after: u64, timed_out: bool) -> Option<Response> {
         if self.held_feed.lock().as_deref() == Some(table) {
-            return over.then(|| answer(200, json!({ "rows": [], "ver": after })));
+            return timed_out.then(|| answer(200, json!({ "rows": [], "ver": after })));
         }
         let tables = self.tables.lock();
-        if after < tables.forgotten {
+        if after < tables.trimmed_version {
             return Some(answer(410, json!({})));
         }
         let mut rows = Vec::new();
         for (version, key, value) in &tables.history {
             if *version > after && key.0 == table {
                 rows.push(match value {
-                    Some(value) => show(key, value, *version),
+                    Some(value) => row_json(key, value, *version),
                     None => json!({ "table": key.0, "part": key.1, "key": key.2, "deleted": true, "ver": version }),
                 });
             }
         }
-        let ready = over || !rows.is_empty();
+        let ready = timed_out || !rows.is_empty();
         ready.then(|| answer(200, json!({ "rows": rows, "ver": tables.version })))
     }
 }
@@ -210,9 +212,9 @@
         self.write_at(key, value);
     }
 
-    fn drop_row(&mut self, key: Key) {
+    fn delete_row(&mut self, key: Key) {
         self.version += 1;
-        self.drop_at(key);
+        self.delete_at(key);
     }
 
     fn write_at(&mut self, key: Key, value: String) {
@@ -221,45 +223,47 @@
         self.rows.insert(key, Row { value, version });
     }
 
-    fn drop_at(&mut self, key: Key) {
+    fn delete_at(&mut self, key: Key) {
         if self.rows.remove(&key).is_some() {
             self.history.push((self.version, key, None));
         }
     }
 
-    fn show(&self, key: &Key) -> Value {
+    fn row_json(&self, key: &Key) -> Value {
         let row = self.rows.get(key);
-        show(key, row.map_or("", |row| &row.value), row.map_or(0, |row| row.version))
+        row_json(key, row.map_or("", |row| &row.value), row.map_or(0, |row| row.version))
     }
 }
 
 fn transact(tables: &mut Tables, body: &Value) -> Response {
     let list = |name: &str| body[name].as_array().cloned().unwrap_or_default();
-    if ["expect", "writes", "remove"].iter().map(|name| list(name).len()).sum::<usize>() > ENTRIES {
+    if ["expect", "writes", "remove"].iter().map(|name| list(name).len()).sum::<usize>()
+        > MAX_TRANSACTION_ENTRIES
+    {
         return answer(400, json!({}));
     }
-    let wrong: Vec<Value> = list("expect")
+    let mismatched: Vec<Value> = list("expect")
         .iter()
         .filter(|row| {
             let known = tables.rows.get(&key(row)).map_or(0, |row| row.version);
             known != row["ver"].as_u64().unwrap_or(0)
         })
-        .map(|row| tables.show(&key(row)))
+        .map(|row| tables.row_json(&key(row)))
         .collect();
-    if !wrong.is_empty() {
-        return answer(412, json!({ "rows": wrong, "ver": tables.version }));
+    if !mismatched.is_empty() {
+        return answer(412, json!({ "rows": mismatched, "ver": tables.version }));
     }
     tables.version += 1;
     for row in list("writes") {
         tables.write_at(key(&row), row["value"].as_str().unwrap_or_default().into());
     }
     for row in list("remove") {
-        tables.drop_at(key(&row));
+        tables.delete_at(key(&row));
     }
     answer(200, json!({ "ver": tables.version }))
 }
 
-fn show((table, part, key): &Key, value: &str, version: u64) -> Value {
+fn row_json((table, part, key): &Key, value: &str, version: u64) -> Value {
     json!({ "table": table, "part": part, "key": key, "value": value, "ver": version })
 }
 
@@ -287,21 +291,23 @@
 #[async_trait]
 impl Handler for Store {
     async fn handle(&self, request: Request) -> Response {
-        let trouble = *self.trouble.lock();
-        match trouble {
-            Trouble::Refuses => return answer(503, json!({})),
-            Trouble::Silent => return hang().await,
-            Trouble::Slow if request.path() != "/-/rows-tx" => task::sleep(SLOW).await,
-            Trouble::None | Trouble::LosesAnswers | Trouble::Slow => {}
+        let fault_mode = *self.fault_mode.lock();
+        match fault_mode {
+            FaultMode::Refuses => return answer(503, json!({})),
+            FaultMode::Silent => return hang().await,
+            FaultMode::Slow if request.path() != "/-/rows-tx" => {
+                task::sleep(SLOW_CALL_DURATION).await
+            }
+            FaultMode::None | FaultMode::LosesAnswers | FaultMode::Slow => {}
         }
         match request.path() {
             "/-/rows-tx" => {
                 let body = serde_json::from_slice(&request.body).unwrap_or_default();
-                if trouble == Trouble::Slow {
+                if fault_mode == FaultMode::Slow {
                     return self.transact_slowly(body).await;
                 }
                 let response = transact(&mut self.tables.lock(), &body);
-                if trouble == Trouble::LosesAnswers { hang().await } else { response }
+                if fault_mode == FaultMode::LosesAnswers { hang().await } else { response }
             }
             "/-/rows-get" => self.range(&request),
             "/-/rows-parts" => self.parts(&request),
--- a/crates/standin/src/site/worker.rs
+++ b/crates/standin/src/site/worker.rs
@@ -1,7 +1,8 @@
-//! A minion that runs tasks under leases and writes down what it ran.
+//! A minion that runs tasks under leases and records its runs.
 //!
-//! A task's `spec` says what it does: `ms=300` takes 300 ms, `fail` fails after that, `hang`
-//! stands still at half, `crash` takes its worker down.  A task whose spec has `lasts` runs until it is stopped.
+//! A task's `spec` is a list of words: `ms=300` sets its duration to 300 ms, `fail` makes it fail
+//! after that, `hang` makes it stall at half of its progress, `crash` makes its worker crash, and
+//! with `lasts` it runs until it is stopped.
 
 use crate::site::store::{answer, hang};
 use async_std::task;
@@ -15,47 +16,49 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Time between two looks of a hold that waits.
-const LOOK: Duration = Duration::from_millis(3);
+/// Time between two checks for ended runs while a hold call waits.
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(3);
 
-/// How long a lasting task takes until it is at work.
-const START_UP: Duration = Duration::from_millis(100);
+/// Time until a long-running task reports full progress.
+const STARTUP_DURATION: Duration = Duration::from_millis(100);
 
-/// How soon after its start a task takes its worker down.
-const CRASH_AFTER: Duration = Duration::from_millis(10);
+/// Time from the start of a crashing task to the crash of its worker.
+const CRASH_DELAY: Duration = Duration::from_millis(10);
 
-/// How long a worker that went down is silent; then another life answers at its address.
-const DOWN: Duration = Duration::from_millis(600);
+/// Time for which a crashed worker doesn't answer; after it the address belongs to another
+/// incarnation, which answers orders for the crashed one with 421.
+const DOWNTIME: Duration = Duration::from_millis(600);
 
-/// What a worker does to orders.
+/// How a worker handles orders.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Trouble {
-    /// It carries them out.
+pub enum FaultMode {
+    /// It executes and answers them.
     #[default]
     None,
-    /// It does nothing and doesn't answer, as behind a cut.
+    /// It neither executes nor answers them, as in a network partition.
     Silent,
-    /// It carries starts out and doesn't answer them.
+    /// It executes starts without answering them.
     LosesAnswers,
-    /// It carries starts out after this time, and doesn't answer them.
+    /// It executes starts after this delay without answering them.
     Late(Duration),
 }
 
-/// A run that a worker had.
+/// A run of a task on a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// The worker.
+    /// Id of the worker.
     pub worker: String,
-    /// The task.
+    /// Name of the task.
     pub task: String,
-    /// Its number.
+    /// Number of the run.
     pub run: u64,
-    /// When it began.
+    /// Start of the run.
     pub began: Instant,
-    /// When it ended.
+    /// End of the run; `None` while it runs.
     pub ended: Option<Instant>,
-    /// How it ended.
-    pub how: Option<&'static str>,
+    /// How it ended: `done`, `failed`, `stopped`, `lapsed` (the lease expired) or `gone` (the
+    /// worker crashed).
+    pub end_reason: Option<&'static str>,
 }
 
 struct Active {
@@ -67,16 +70,16 @@
 
 #[derive(Default)]
 struct State {
-    token: u64,
+    highest_token: u64,
     deadline: u64,
     active: BTreeMap<String, Active>,
-    ends: Vec<(u64, String, u64, &'static str)>,
-    next_end: u64,
-    /// Highest run of each task that was stopped or ended here.
-    closed: BTreeMap<String, u64>,
+    unacknowledged_ends: Vec<(u64, String, u64, &'static str)>,
+    last_end_number: u64,
+    /// Highest number of a run that was stopped or ended here, by task.
+    closed_runs: BTreeMap<String, u64>,
     records: Vec<Record>,
-    trouble: Trouble,
-    /// When a task that was started takes it down.
+    fault_mode: FaultMode,
+    /// Time at which a started task makes the worker crash.
     down_at: Option<Instant>,
 }
 
@@ -90,43 +93,43 @@
 }
 
 impl Worker {
-    /// A worker that runs nothing.
+    /// Creates a worker without runs.
     pub fn new(id: &str) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let started_unix_ms = since_epoch.as_millis() as u64;
         Self { id: id.into(), started: Instant::now(), started_unix_ms, state: Mutex::default() }
     }
 
-    /// Its id.
+    /// The worker's id.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Switches what it does to orders.
-    pub fn trouble(&self, trouble: Trouble) {
-        self.state.lock().trouble = trouble;
+    /// Sets how it handles orders.
+    pub fn set_fault_mode(&self, fault_mode: FaultMode) {
+        self.state.lock().fault_mode = fault_mode;
     }
 
-    /// Everything that it ran.
+    /// All its runs, in order of their start.
     pub fn records(&self) -> Vec<Record> {
         let mut state = self.state.lock();
         self.advance(&mut state);
         state.records.clone()
     }
 
-    /// What runs there now.
+    /// Names of the running tasks.
     pub fn running(&self) -> Vec<String> {
         let mut state = self.state.lock();
         self.advance(&mut state);
         state.active.keys().cloned().collect()
     }
 
-    /// Ends everything, as a crash does.
+    /// Ends all runs, as a crash does.
     pub fn crash(&self) {
         end_all(&mut self.state.lock());
     }
 
-    /// For how long a task that it started has had it down; none while it is up.
+    /// Time since a task made the worker crash, which ends all its runs; `None` while it is up.
     fn down_for(&self) -> Option<Duration> {
         let mut state = self.state.lock();
         let down = Instant::now().checked_duration_since(state.down_at?)?;
@@ -134,7 +137,7 @@
         Some(down)
     }
 
-    /// Its entry in the store.
+    /// The value of its row in the store.
     pub fn entry(&self, service: &str, address: SocketAddr, state: &str) -> Vec<u8> {
         json!({
             "service": service, "address": address.to_string(), "zone": "zone", "version": "v1",
@@ -150,25 +153,25 @@
         self.started.elapsed().as_millis() as u64 + 1000
     }
 
-    /// Ends what is over by now.
+    /// Ends the runs whose duration is over or whose lease has expired.
     fn advance(&self, state: &mut State) {
-        let lapsed = self.clock_ms() >= state.deadline;
-        let over: Vec<(String, &'static str)> = state
+        let lease_expired = self.clock_ms() >= state.deadline;
+        let ended: Vec<(String, &'static str)> = state
             .active
             .iter()
             .filter_map(|(task, active)| {
                 let spent = active.began.elapsed() >= duration(&active.spec);
-                let how = if active.spec.contains("fail") { "failed" } else { "done" };
+                let end_reason = if active.spec.contains("fail") { "failed" } else { "done" };
                 let ends = spent && !active.spec.contains("hang") && !active.spec.contains("lasts");
                 if ends {
-                    Some((task.clone(), how))
+                    Some((task.clone(), end_reason))
                 } else {
-                    lapsed.then(|| (task.clone(), "lapsed"))
+                    lease_expired.then(|| (task.clone(), "lapsed"))
                 }
             })
             .collect();
-        for (task, how) in over {
-            end(state, &task, how);
+        for (task, end_reason) in ended {
+            end(state, &task, end_reason);
         }
     }
 
@@ -188,16 +191,23 @@
         if state.active.get(&task).is_some_and(|active| active.run == run) {
             return answer(200, json!({ "clockMs": self.clock_ms() }));
         }
-        if state.closed.get(&task).is_some_and(|closed| run <= *closed) {
+        if state.closed_runs.get(&task).is_some_and(|closed| run <= *closed) {
             return self.conflict("old");
         }
         let spec = body["spec"].as_str().unwrap_or_default().to_owned();
         let began = Instant::now();
         let (worker, name) = (self.id.clone(), task.clone());
-        state.records.push(Record { worker, task: name, run, began, ended: None, how: None });
+        state.records.push(Record {
+            worker,
+            task: name,
+            run,
+            began,
+            ended: None,
+            end_reason: None,
+        });
         let record = state.records.len() - 1;
         if spec.contains("crash") {
-            state.down_at = Some(began + CRASH_AFTER);
+            state.down_at = Some(began + CRASH_DELAY);
         }
         state.active.insert(task, Active { record, run, spec, began });
         answer(200, json!({ "clockMs": self.clock_ms() }))
@@ -214,7 +224,7 @@
         if state.active.get(&task).is_some_and(|active| active.run == run) {
             end(&mut state, &task, "stopped");
         }
-        let closed = state.closed.entry(task).or_default();
+        let closed = state.closed_runs.entry(task).or_default();
         *closed = (*closed).max(run);
         answer(200, json!({ "clockMs": self.clock_ms() }))
     }
@@ -231,7 +241,7 @@
             }
             let deadline = body["deadlineMs"].as_u64().unwrap_or(0);
             state.deadline = state.deadline.max(deadline);
-            state.ends.retain(|end| end.0 > acknowledged);
+            state.unacknowledged_ends.retain(|end| end.0 > acknowledged);
         }
         loop {
             {
@@ -240,11 +250,11 @@
                 if state.down_at.is_some_and(|at| Instant::now() >= at) {
                     break;
                 }
-                if began.elapsed() >= wait || !state.ends.is_empty() {
+                if began.elapsed() >= wait || !state.unacknowledged_ends.is_empty() {
                     return self.listing(&state);
                 }
             }
-            task::sleep(LOOK).await;
+            task::sleep(HOLD_POLL_INTERVAL).await;
         }
         hang().await
     }
@@ -255,9 +265,10 @@
             .iter()
             .map(|(task, active)| json!([task, active.run, "", percent(active), 0]))
             .collect();
-        let ends = state.ends.iter().take(500);
-        let finished: Vec<Value> =
-            ends.map(|(number, task, run, how)| json!([number, task, run, how, ""])).collect();
+        let ends = state.unacknowledged_ends.iter().take(500);
+        let finished: Vec<Value> = ends
+            .map(|(number, task, run, end_reason)| json!([number, task, run, end_reason, ""]))
+            .collect();
         let clock = self.clock_ms();
         let body = json!({
             "clockMs": clock, "born": self.started_unix_ms,
@@ -271,18 +282,18 @@
     }
 }
 
-/// Whether an order's token is lower than one seen before; otherwise it is the highest from now on.
+/// Whether an order's fencing token is lower than an earlier one; updates the highest token.
 fn is_fenced(state: &mut State, body: &Value) -> bool {
     let token = body["fencingToken"].as_u64().unwrap_or(0);
-    let fenced = token < state.token;
-    state.token = state.token.max(token);
+    let fenced = token < state.highest_token;
+    state.highest_token = state.highest_token.max(token);
     fenced
 }
 
 fn percent(active: &Active) -> u64 {
     let elapsed = active.began.elapsed();
     if active.spec.contains("lasts") {
-        return if elapsed >= START_UP { 100 } else { 10 };
+        return if elapsed >= STARTUP_DURATION { 100 } else { 10 };
     }
     let total = duration(&active.spec).as_millis().max(1);
     let done = (elapsed.as_millis() * 100 / total).min(99) as u64;
@@ -299,26 +310,26 @@
     tasks.iter().for_each(|task| end(state, task, "gone"));
 }
 
-fn end(state: &mut State, task: &str, how: &'static str) {
+fn end(state: &mut State, task: &str, end_reason: &'static str) {
     let Some(active) = state.active.remove(task) else { return };
-    state.next_end += 1;
-    state.ends.push((state.next_end, task.into(), active.run, how));
-    let closed = state.closed.entry(task.into()).or_default();
+    state.last_end_number += 1;
+    state.unacknowledged_ends.push((state.last_end_number, task.into(), active.run, end_reason));
+    let closed = state.closed_runs.entry(task.into()).or_default();
     *closed = (*closed).max(active.run);
     let record = &mut state.records[active.record];
     record.ended = Some(Instant::now());
-    record.how = Some(how);
+    record.end_reason = Some(end_reason);
 }
 
 #[async_trait]
 impl Handler for Worker {
     async fn handle(&self, request: Request) -> Response {
-        let trouble = self.state.lock().trouble;
-        if trouble == Trouble::Silent {
+        let fault_mode = self.state.lock().fault_mode;
+        if fault_mode == FaultMode::Silent {
             return hang().await;
         }
         let down = self.down_for();
-        if down.is_some_and(|down| down < DOWN) {
+        if down.is_some_and(|down| down < DOWNTIME) {
             return hang().await;
         }
         let is_other = |id: &str| id != self.id || down.is_some();
@@ -326,12 +337,12 @@
             return answer(421, json!({}));
         }
         let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
-        match (request.path(), trouble) {
-            ("/-/run-start", Trouble::LosesAnswers) => {
+        match (request.path(), fault_mode) {
+            ("/-/run-start", FaultMode::LosesAnswers) => {
                 self.start(&body);
                 hang().await
             }
-            ("/-/run-start", Trouble::Late(delay)) => {
+            ("/-/run-start", FaultMode::Late(delay)) => {
                 task::sleep(delay).await;
                 self.start(&body);
                 hang().await
--- a/tests/all/site/store.rs
+++ b/tests/all/site/store.rs
@@ -2,19 +2,19 @@
 
 use super::*;
 use celerythread_standin::site::check;
-use celerythread_standin::site::store::Trouble;
+use celerythread_standin::site::store::FaultMode;
 
 /// Submits jobs one after the other, with the store in trouble from the tenth to the thirtieth.
 async fn submit_during(
     test: &'static str,
-    trouble: Trouble,
+    trouble: FaultMode,
 ) -> (Deployment, BTreeMap<String, u16>) {
     let deployment = Deployment::start(test, 2, 2).await;
     let mut answers = BTreeMap::new();
     for number in 0..40 {
         match number {
-            10 => deployment.site.store.trouble(trouble),
-            30 => deployment.site.store.trouble(Trouble::None),
+            10 => deployment.site.store.set_fault_mode(trouble),
+            30 => deployment.site.store.set_fault_mode(FaultMode::None),
             _ => {}
         }
         let status = deployment.submit(number as usize % 2, &id(number), 2, "ms=150").await;
@@ -30,7 +30,7 @@
         deployment.wait_for_state(0, job, "completed").await;
     }
     let history = deployment.site.history();
-    assert_eq!(check::once(&history), Vec::<String>::new());
+    assert_eq!(check::at_most_once(&history), Vec::<String>::new());
     assert_eq!(check::all_done(&history, &accepted(answers, 2)), Vec::<String>::new());
     for (job, _) in answers.iter().filter(|(_, status)| **status == 503) {
         let ran = history.iter().any(|record| record.task.starts_with(job.as_str()));
@@ -40,14 +40,14 @@
 
 #[async_std::test]
 async fn jobs_refused_while_the_store_refuses_never_run() {
-    let (deployment, answers) = submit_during("store-refuses", Trouble::Refuses).await;
+    let (deployment, answers) = submit_during("store-refuses", FaultMode::Refuses).await;
     assert!(answers.values().any(|status| *status == 503), "{answers:?}");
     check_outcomes(&deployment, &answers).await;
 }
 
 #[async_std::test]
 async fn a_silent_store_leaves_no_job_half_accepted() {
-    let (deployment, answers) = submit_during("store-silent", Trouble::Silent).await;
+    let (deployment, answers) = submit_during("store-silent", FaultMode::Silent).await;
     check_outcomes(&deployment, &answers).await;
 }
 
@@ -55,7 +55,7 @@
 /// lost.  Callers must be told that the outcome is unknown.
 #[async_std::test]
 async fn lost_answers_of_the_store_are_not_taken_for_refusals() {
-    let (deployment, answers) = submit_during("store-loses", Trouble::LosesAnswers).await;
+    let (deployment, answers) = submit_during("store-loses", FaultMode::LosesAnswers).await;
     check_outcomes(&deployment, &answers).await;
 }
 
@@ -80,7 +80,7 @@
     /// Each partition gets two of the jobs, and executes two and a half in this time.
     const SUBMIT_INTERVAL: Duration = Duration::from_millis(40);
     let deployment = Deployment::start("store-slow", 2, 2).await;
-    deployment.site.store.trouble(Trouble::Slow);
+    deployment.site.store.set_fault_mode(FaultMode::Slow);
     let mut sent = Vec::new();
     for number in 0..JOBS {
         let entry = deployment.entries[number as usize % 2].callers;
@@ -96,7 +96,7 @@
         let (job, status) = submission.await;
         answers.insert(job, status);
     }
-    deployment.site.store.trouble(Trouble::None);
+    deployment.site.store.set_fault_mode(FaultMode::None);
     let accepted = answers.values().filter(|status| **status == 200).count();
     assert!(accepted as u32 >= JOBS * 9 / 10, "{accepted} of {JOBS}: {answers:?}");
     check_outcomes(&deployment, &answers).await;
@@ -109,13 +109,13 @@
 async fn a_slow_store_keeps_its_owners_at_work() {
     let deployment = Deployment::start("store-slow-owner", 2, 2).await;
     let owner = deployment.owner();
-    deployment.site.store.trouble(Trouble::Slow);
+    deployment.site.store.set_fault_mode(FaultMode::Slow);
     for number in 0..8 {
         let status = deployment.submit(number as usize % 2, &id(number), 2, "ms=50").await;
         assert_eq!(status, 200, "job {number}");
         deployment.wait_for_state(0, &id(number), "completed").await;
     }
-    deployment.site.store.trouble(Trouble::None);
+    deployment.site.store.set_fault_mode(FaultMode::None);
     assert_eq!(deployment.owner(), owner);
     assert!(deployment.entries.iter().all(|entry| !entry.has_logged("cell_lost")));
 }
@@ -146,7 +146,7 @@
         deployment.wait_for_state(1, &id(number), "completed").await;
     }
     let history = deployment.site.history();
-    assert_eq!(check::once(&history), Vec::<String>::new());
+    assert_eq!(check::at_most_once(&history), Vec::<String>::new());
 }
 
 /// Guards against machines that get no work after they were once to be emptied.  A former fleet
@@ -173,7 +173,7 @@
 async fn jobs_are_refused_during_a_store_outage() {
     let deployment = Deployment::start("store-away", 2, 2).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "ms=50").await, 200);
-    deployment.site.store.trouble(Trouble::Silent);
+    deployment.site.store.set_fault_mode(FaultMode::Silent);
     let ready = async |entry: usize| {
         let callers = deployment.entries[entry].callers;
         Some(call(callers, Method::Get, "/-/ready", None).await?.0 == 200)
@@ -183,11 +183,11 @@
     for number in 2..6 {
         assert_eq!(deployment.submit(0, &id(number), 1, "ms=50").await, 503);
     }
-    deployment.site.store.trouble(Trouble::None);
+    deployment.site.store.set_fault_mode(FaultMode::None);
     eventually("its end is seen", async || ready(0).await?.then_some(())).await;
     for number in 2..6 {
         assert_eq!(deployment.submit(0, &id(number), 1, "ms=50").await, 200);
         deployment.wait_for_state(0, &id(number), "completed").await;
     }
-    assert_eq!(check::once(&deployment.site.history()), Vec::<String>::new());
+    assert_eq!(check::at_most_once(&deployment.site.history()), Vec::<String>::new());
 }
--- a/tests/all/site/workspaces.rs
+++ b/tests/all/site/workspaces.rs
@@ -1,7 +1,7 @@
 //! Workspaces: keys, access to jobs, and limits.
 
 use super::*;
-use celerythread_standin::site::{HALL, Workspace, check};
+use celerythread_standin::site::{SECOND_SERVICE, Workspace, check};
 
 const KEY: &str = "pqk8bdk9eevyxq2yyaza";
 const SECOND_KEY: &str = "x6pwawxdmdejk7f92bqu";
@@ -145,13 +145,13 @@
 #[async_std::test]
 async fn an_entry_cut_off_from_the_store_learns_of_keys_from_its_peers() {
     let mut deployment = start("turned-away", 2, 1).await;
-    let (gate, store) = deployment.site.add_gate().await.unwrap();
+    let (gate, store) = deployment.site.add_store_proxy().await.unwrap();
     let machines = deployment.site.machine_address();
     let entry = Entry::start_with(store, machines, "turned-away", "gated", "").await;
     deployment.add_started(entry).await;
     let gated = deployment.entries.last().unwrap().callers;
     wait_for_status(gated, 200, "/q/", &[&token(KEY)]).await;
-    gate.shut(true);
+    gate.set_unavailable(true);
     let left = Workspace { keys: &[SECOND_KEY], ..TEAM };
     deployment.site.configure_workspaces(3, &[left, OTHER]);
     let began = Instant::now();
@@ -167,11 +167,11 @@
     for (strict, wanted) in [("strict_keys = true\ntrust_keys_for = 1500ms\n", true), ("", false)] {
         let mut site = celerythread_standin::site::Site::start(1).await.unwrap();
         site.configure_workspaces(2, &[TEAM]);
-        let (gate, store) = site.add_gate().await.unwrap();
+        let (gate, store) = site.add_store_proxy().await.unwrap();
         let machines = site.machine_address();
         let entry = Entry::start_with(store, machines, "cut-off", "alone", strict).await;
         wait_for_status(entry.callers, 401, "/q/", &[&token(OTHER_KEY)]).await;
-        gate.shut(true);
+        gate.set_unavailable(true);
         task::sleep(Duration::from_millis(2500)).await;
         let refused = entry.has_logged("keys_unconfirmed");
         assert!(!refused);
@@ -191,7 +191,7 @@
         assert_eq!(entry.has_logged("keys_unconfirmed"), wanted);
         // A key that is unknown to the last known configuration is refused in any case.
         assert_eq!(status_as(entry.callers, OTHER_KEY, Method::Get, "/q/").await, 401);
-        gate.shut(false);
+        gate.set_unavailable(false);
         wait_for_status(entry.callers, 200, "/q/", &[&token(KEY)]).await;
     }
 }
@@ -202,7 +202,7 @@
     let mut deployment = Deployment::start(test, 3, 2).await;
     for number in 0..2 {
         let (id, machine) = (format!("i-hall-{number}"), format!("m-hall-{number}"));
-        deployment.site.add_worker_to(HALL, &id, &machine).await.unwrap();
+        deployment.site.add_worker_to(SECOND_SERVICE, &id, &machine).await.unwrap();
     }
     set_limit(&deployment, 2, cores);
     for entry in &deployment.entries {
@@ -241,8 +241,8 @@
 
 fn assert_limited(deployment: &Deployment, max_tasks: usize) {
     let history = deployment.site.history();
-    assert_eq!(check::once(&history), Vec::<String>::new());
-    let at_once = check::most_at_once(&history);
+    assert_eq!(check::at_most_once(&history), Vec::<String>::new());
+    let at_once = check::max_concurrent(&history);
     assert!(at_once <= max_tasks, "{at_once} tasks at once, {max_tasks} allowed");
 }
 
@@ -277,7 +277,7 @@
     assert_eq!(submit_as(entry, KEY, &format!("/q/{}", id(3)), 2, "ms=20000").await, 200);
     // If both jobs waited, the shorter one would be started first.
     eventually("the limit is in use", async || {
-        (check::most_at_once(&deployment.site.history()) == 2).then_some(())
+        (check::max_concurrent(&deployment.site.history()) == 2).then_some(())
     })
     .await;
     assert_eq!(submit_as(entry, KEY, &held, 1, "ms=50").await, 200);
@@ -316,28 +316,28 @@
     let deployment = start_limited("limit-lowered", 6).await;
     let paths = submit_all(&deployment, 6, "ms=1500").await;
     eventually("six tasks run", async || {
-        (check::most_at_once(&deployment.site.history()) == 6).then_some(())
+        (check::max_concurrent(&deployment.site.history()) == 6).then_some(())
     })
     .await;
     set_limit(&deployment, 3, 2);
     let lowered = Instant::now() + MAX_PROPAGATION_TIME;
     wait_for_all_completed(&deployment, &paths).await;
     let history = deployment.site.history();
-    assert!(history.iter().all(|record| record.how == Some("done")));
+    assert!(history.iter().all(|record| record.end_reason == Some("done")));
     let late: Vec<_> = history.into_iter().filter(|record| record.began > lowered).collect();
-    assert!(check::most_at_once(&late) <= 2);
+    assert!(check::max_concurrent(&late) <= 2);
     assert_limited(&deployment, 6);
 }
 
 /// Guards against a share that is used twice because the answer to its transfer was lost.
 #[async_std::test]
 async fn a_limit_holds_while_the_store_loses_answers() {
-    use celerythread_standin::site::store::Trouble;
+    use celerythread_standin::site::store::FaultMode;
     let deployment = start_limited("limit-lost", 4).await;
     let paths = submit_all(&deployment, 4, "ms=300").await;
-    deployment.site.store.trouble(Trouble::LosesAnswers);
+    deployment.site.store.set_fault_mode(FaultMode::LosesAnswers);
     task::sleep(Duration::from_millis(1500)).await;
-    deployment.site.store.trouble(Trouble::None);
+    deployment.site.store.set_fault_mode(FaultMode::None);
     wait_for_all_completed(&deployment, &paths).await;
     assert_limited(&deployment, 4);
 }
