--- a/tests/all/claims.rs
+++ b/tests/all/claims.rs
@@ -1,6 +1,6 @@
 //! Keyed requests: at most one run, whatever the platform does.
 
-use crate::cluster::{Cluster, FAULTS, Shape, apart, single, until};
+use crate::cluster::{Cluster, FAULTS, Shape, single, spawn_thread, wait_until};
 use assert_matches::assert_matches;
 use celerythread_model::request::Outcome;
 use celerythread_standin::fault::Fault;
@@ -23,12 +23,12 @@
 /// A chain pays twice: its client repeats a scoring run at another entry because the first
 /// answer was late.  The repeat gets the first run's answer.
 #[async_std::test]
-async fn a_repeat_at_another_entry_gets_the_kept_answer() {
+async fn a_repeat_at_another_entry_gets_the_stored_answer() {
     let cluster = Cluster::start(Shape::default()).await;
     let first = cluster.send(0, &keyed("a", "k")).await;
     assert_matches!(&first.asked.told, Told::Answer(200, _));
     let mut last = None;
-    until("the answer is kept", async || {
+    wait_until("the answer is kept", async || {
         last = Some(cluster.send(1, &keyed("b", "k")).await);
         matches!(last.as_ref().unwrap().asked.told, Told::Answer(200, _))
     })
@@ -40,14 +40,14 @@
 }
 
 #[async_std::test]
-async fn a_long_answer_is_kept_in_the_object_store() {
+async fn a_large_answer_is_stored_in_the_object_store() {
     let cluster = Cluster::start(Shape::default()).await;
     for minion in cluster.minions.values() {
         minion.set_filling(100_000);
     }
     let first = cluster.send(0, &keyed("a", "k")).await;
     let Told::Answer(200, body) = &first.asked.told else { panic!("{:?}", first.asked.told) };
-    until("the answer is kept", async || {
+    wait_until("the answer is kept", async || {
         let again = cluster.send(1, &keyed("b", "k")).await;
         matches!(&again.asked.told, Told::Answer(200, kept) if kept == body)
     })
@@ -57,14 +57,14 @@
 }
 
 #[async_std::test]
-async fn while_the_first_runs_a_repeat_is_told_so() {
+async fn a_repeat_is_refused_while_the_first_request_runs() {
     let cluster =
         Cluster::start(Shape { duration: Duration::from_millis(500), ..Shape::default() }).await;
     let entry = cluster.entries[0].callers;
     let first = async_std::task::spawn(async move {
         celerythread_standin::load::send(entry, &keyed("a", "k")).await
     });
-    until("the first runs", async || !cluster.runs().is_empty()).await;
+    wait_until("the first runs", async || !cluster.runs().is_empty()).await;
     let repeat = cluster.send(1, &keyed("b", "k")).await;
     assert_matches!(repeat.asked.told, Told::Refused(1017, Some(Outcome::Unknown)));
     assert!(repeat.retry_after_ms.is_some());
@@ -93,11 +93,11 @@
     async_std::task::spawn(async move {
         celerythread_standin::load::send(entry, &keyed("a", "k")).await
     });
-    until("the first runs", async || !cluster.runs().is_empty()).await;
+    wait_until("the first runs", async || !cluster.runs().is_empty()).await;
     let dead = cluster.entries[0].daemon.as_ref().unwrap().id().to_string();
     cluster.entries[0].switch.set_down(true);
     cluster.kill(0);
-    until("the dead entry is cleared from the registry", async || {
+    wait_until("the dead entry is cleared from the registry", async || {
         let status = cluster.get(1, "/v1/status").await.unwrap();
         !status["entries"].to_string().contains(&dead)
     })
@@ -116,10 +116,10 @@
     for entry in &cluster.entries {
         entry.switch.set_down(true);
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     let refused = cluster.send(0, &keyed("a", "k")).await;
     assert_matches!(refused.asked.told, Told::Refused(1016, Some(Outcome::NotRun)));
-    assert!(began.elapsed() < Duration::from_secs(3));
+    assert!(started_at.elapsed() < Duration::from_secs(3));
     assert!(refused.retry_after_ms.is_some());
     let mut asked = vec![refused.asked];
     for n in 0..20 {
@@ -140,12 +140,13 @@
 
 /// A request refused before it was sent leaves its key free for the next try.
 #[async_std::test]
-async fn a_request_that_was_not_run_gives_its_key_back() {
+async fn a_request_that_was_not_run_releases_its_key() {
     let cluster = Cluster::start(Shape { entries: 1, ..Shape::default() }).await;
-    let hasty = Single { deadline: celerythread_model::unit::Span::millis(1), ..keyed("a", "k") };
-    let refused = cluster.send(0, &hasty).await;
+    let short_deadline =
+        Single { deadline: celerythread_model::unit::Span::millis(1), ..keyed("a", "k") };
+    let refused = cluster.send(0, &short_deadline).await;
     if let Told::Refused(_, Some(Outcome::NotRun)) = refused.asked.told {
-        until("the key is free", async || {
+        wait_until("the key is free", async || {
             let again = cluster.send(0, &keyed("b", "k")).await;
             matches!(again.asked.told, Told::Answer(200, _))
         })
@@ -162,7 +163,7 @@
     let mut outcomes = Vec::new();
     for fault in FAULTS {
         for at in 0..2 {
-            outcomes.push((fault, at, apart(move || claim_under(fault, at))));
+            outcomes.push((fault, at, spawn_thread(move || run_claim_with_fault(fault, at))));
         }
     }
     for (fault, at, outcome) in outcomes {
@@ -171,23 +172,23 @@
     }
 }
 
-async fn claim_under(fault: Fault, at: u64) -> Vec<String> {
+async fn run_claim_with_fault(fault: Fault, at: u64) -> Vec<String> {
     let mut cluster = Cluster::start(Shape::default()).await;
     let switch = cluster.entries[0].switch.clone();
     // Only claims are on their way now and then lease renewals: both are struck, so that the
     // claim meets the fault wherever it stands in the order.
     let from = switch.count(Call::Commit) + at;
     switch.plan(Plan { call: Call::Commit, from, count: 2, fault });
-    let mut asked = vec![cluster.send_or_break(0, &keyed("first", "k")).await];
+    let mut asked = vec![cluster.send_with_timeout(0, &keyed("first", "k")).await];
     cluster.reap();
-    let began = Instant::now();
-    let mut settled = false;
+    let started_at = Instant::now();
+    let mut resolved = false;
     let mut n = 0;
-    while !settled && began.elapsed() < Duration::from_secs(20) {
+    while !resolved && started_at.elapsed() < Duration::from_secs(20) {
         cluster.reap();
         let index = if cluster.entries[0].daemon.is_some() { n % 2 } else { 1 };
-        let done = cluster.send_or_break(index, &keyed(&format!("again{n}"), "k")).await;
-        settled = matches!(done.told, Told::Answer(200, _) | Told::Refused(1019, _));
+        let done = cluster.send_with_timeout(index, &keyed(&format!("again{n}"), "k")).await;
+        resolved = matches!(done.told, Told::Answer(200, _) | Told::Refused(1019, _));
         asked.push(done);
         n += 1;
         async_std::task::sleep(Duration::from_millis(50)).await;
@@ -199,7 +200,7 @@
         .filter(|breach| !matches!(breach, celerythread_standin::history::Breach::Untold(_)))
         .map(ToString::to_string)
         .collect();
-    if !settled {
+    if !resolved {
         breaches.push("never answered or known to be unknown".into());
     }
     cluster.reap();
@@ -209,7 +210,7 @@
 
 impl Cluster {
     /// Sends a request to an entry that may die over it.
-    pub(crate) async fn send_or_break(
+    pub(crate) async fn send_with_timeout(
         &mut self,
         index: usize,
         one: &Single,
@@ -232,12 +233,12 @@
 /// Claims are kept for as long as the configuration says and then cleared; those that are young
 /// stay.
 #[async_std::test]
-async fn old_claims_are_cleared_and_young_ones_kept() {
+async fn expired_claims_are_deleted_and_recent_ones_remain() {
     use celerythread_model::table::Space;
     use celerythread_model::unit::Revision;
     use celerythread_platform::Table;
     use celerythread_platform::message::Transaction;
-    let cluster = Cluster::bare(Shape::default()).await;
+    let cluster = Cluster::without_entries(Shape::default()).await;
     let row = |made_at: u64| {
         serde_json::json!({
             "attempt": "a", "entry": "e", "fingerprint": "f", "made_at": made_at,
@@ -249,12 +250,12 @@
     for n in 0..250 {
         transaction = transaction.put(Space::Claim, format!("claim/alpha/old{n}"), &row(1));
     }
-    let young = row(now.as_millis() as u64);
-    transaction = transaction.put(Space::Claim, "claim/alpha/young", &young);
+    let recent = row(now.as_millis() as u64);
+    transaction = transaction.put(Space::Claim, "claim/alpha/young", &recent);
     cluster.memory.table.commit(transaction).await.unwrap();
     let mut cluster = cluster;
     cluster.start_entry(0).await;
-    until("old claims are cleared", async || {
+    wait_until("old claims are cleared", async || {
         let rows = cluster.memory.table.changes(Space::Claim, Revision(0)).await.unwrap().rows;
         let left: Vec<&str> =
             rows.iter().filter(|row| row.value.is_some()).map(|row| row.key.as_str()).collect();
--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -42,7 +42,7 @@
 ];
 
 /// Longest wait for something that must come.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a deployment is made of.
 #[derive(Clone, Debug)]
@@ -103,35 +103,35 @@
 }
 
 /// Waits until a condition holds, and fails with its name when it never does.
-pub(crate) async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+pub(crate) async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let began = Instant::now();
     while !holds().await {
-        assert!(began.elapsed() < PATIENCE, "never: {what}");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "never: {what}");
         task::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Runs one cell of a matrix on a thread of its own.
-pub(crate) fn apart<T: Send + 'static, F: Future<Output = T>>(
-    cell: impl FnOnce() -> F + Send + 'static,
+/// Runs one case of a matrix on a thread of its own.
+pub(crate) fn spawn_thread<T: Send + 'static, F: Future<Output = T>>(
+    case: impl FnOnce() -> F + Send + 'static,
 ) -> JoinHandle<T> {
-    std::thread::spawn(move || task::block_on(cell()))
+    std::thread::spawn(move || task::block_on(case()))
 }
 
 impl Cluster {
     /// Starts a deployment, with its configuration in force and every minion owned.
     pub(crate) async fn start(shape: Shape) -> Self {
-        let mut cluster = Self::bare(shape).await;
+        let mut cluster = Self::without_entries(shape).await;
         for index in 0..cluster.shape.entries {
             cluster.start_entry(index).await;
         }
         cluster.configure().await;
-        cluster.settled().await;
+        cluster.wait_until_owned().await;
         cluster
     }
 
     /// The platform and the minions, without entries.
-    pub(crate) async fn bare(shape: Shape) -> Self {
+    pub(crate) async fn without_entries(shape: Shape) -> Self {
         let memory = Memory::default();
         let mut minions = BTreeMap::new();
         for (service, count) in &shape.minions {
@@ -206,7 +206,7 @@
     }
 
     /// The template and parameters of this shape.
-    pub(crate) fn files(&self, note: &str) -> (String, String) {
+    pub(crate) fn config_files(&self, workspace: &str) -> (String, String) {
         let mut template =
             String::from("[workspace]\nname = ${name}\nreboot = 1s\nrollout_weight = 1\n");
         for (service, count) in &self.shape.minions {
@@ -218,27 +218,28 @@
         template.push_str(
             "[team t]\ncpu = 100000\nrequests = 1000\n[team small]\ncpu = 1000\nrequests = 2\n",
         );
-        (template, format!("[parameters]\nname = {note}\n"))
+        (template, format!("[parameters]\nname = {workspace}\n"))
     }
 
     /// Applies the first configuration and waits until every entry acts by it.
     pub(crate) async fn configure(&self) {
-        let answer = self.apply(0, "first", Revision(0), "first").await;
+        let answer = self.apply_config(0, "first", Revision(0), "first").await;
         assert!(answer.is_ok(), "{answer:?}");
         for index in 0..self.entries.len() {
-            until("configuration in force", async || self.config_number(index).await >= 1).await;
+            wait_until("configuration in force", async || self.config_number(index).await >= 1)
+                .await;
         }
     }
 
     /// Applies a configuration through one entry.
-    pub(crate) async fn apply(
+    pub(crate) async fn apply_config(
         &self,
         index: usize,
         change: &str,
         base: Revision,
-        note: &str,
+        workspace: &str,
     ) -> Result<Value, celerythread::Error> {
-        let (template, parameters) = self.files(note);
+        let (template, parameters) = self.config_files(workspace);
         let body = json!({
             "change": change, "author": "test", "base": base,
             "template": template, "parameters": parameters,
@@ -252,20 +253,20 @@
     }
 
     /// Waits until every minion has a row and an owner that lives.
-    pub(crate) async fn settled(&self) {
-        until("every minion owned", async || {
+    pub(crate) async fn wait_until_owned(&self) {
+        wait_until("every minion owned", async || {
             let rows = self.minion_rows().await;
-            let owned = self.owned().await;
+            let owned = self.owned_minions().await;
             rows.len() == self.minions.len() && owned == self.minions.len()
         })
         .await;
     }
 
-    async fn owned(&self) -> usize {
+    async fn owned_minions(&self) -> usize {
         for entry in self.entries.iter().filter(|entry| entry.daemon.is_some()) {
-            let rooms =
+            let minions =
                 client::ask_one::<Value>(entry.operators, Method::Get, "/v1/minions", vec![]);
-            if let Ok(Value::Array(list)) = rooms.await {
+            if let Ok(Value::Array(list)) = minions.await {
                 return list.iter().filter(|minion| !minion["owner"].is_null()).count();
             }
         }
@@ -316,8 +317,8 @@
     }
 
     pub(crate) fn index_of(&self, entry: &id::Entry) -> usize {
-        let is = |one: &Entry| one.daemon.as_ref().is_some_and(|daemon| daemon.id() == entry);
-        self.entries.iter().position(is).unwrap()
+        let is_owner = |one: &Entry| one.daemon.as_ref().is_some_and(|daemon| daemon.id() == entry);
+        self.entries.iter().position(is_owner).unwrap()
     }
 
     /// The index of the entry that holds a duty.
@@ -384,14 +385,14 @@
     }
 }
 
-/// The number of a refusal, or nought.
-pub(crate) fn refusal(error: &celerythread::Error) -> u16 {
+/// The result code of a refusal, or 0 for any other error.
+pub(crate) fn refusal_code(error: &celerythread::Error) -> u16 {
     match error {
         celerythread::Error::Refused { number, .. } => *number,
         _ => 0,
     }
 }
 
-pub(crate) fn is(error: &celerythread::Error, code: Code) -> bool {
-    refusal(error) == code.number()
+pub(crate) fn has_code(error: &celerythread::Error, code: Code) -> bool {
+    refusal_code(error) == code.number()
 }
--- a/tests/all/config.rs
+++ b/tests/all/config.rs
@@ -1,22 +1,22 @@
 //! Configuration: in force everywhere, and never an older one again.
 
-use crate::cluster::{Cluster, Shape, apart, is, until};
+use crate::cluster::{Cluster, Shape, has_code, spawn_thread, wait_until};
 use celerythread_model::code::Code;
 use celerythread_model::unit::Revision;
 use celerythread_standin::fault::Fault;
 use celerythread_standin::faulty::{Call, Plan};
 
 /// Reads each entry's number over and over; fails when one goes back.
-struct Watch {
+struct ConfigWatch {
     highest: Vec<u64>,
 }
 
-impl Watch {
+impl ConfigWatch {
     fn new(cluster: &Cluster) -> Self {
         Self { highest: vec![0; cluster.entries.len()] }
     }
 
-    async fn look(&mut self, cluster: &Cluster) {
+    async fn poll(&mut self, cluster: &Cluster) {
         for index in 0..self.highest.len() {
             if cluster.entries[index].daemon.is_none() {
                 continue;
@@ -27,9 +27,9 @@
         }
     }
 
-    async fn until_all(&mut self, cluster: &Cluster, number: u64) {
-        until("in force everywhere", async || {
-            self.look(cluster).await;
+    async fn wait_for_all(&mut self, cluster: &Cluster, number: u64) {
+        wait_until("in force everywhere", async || {
+            self.poll(cluster).await;
             let alive = cluster.entries.iter().map(|entry| entry.daemon.is_some());
             self.highest.iter().zip(alive).all(|(at, alive)| !alive || *at >= number)
         })
@@ -40,12 +40,15 @@
 #[async_std::test]
 async fn an_accepted_configuration_is_in_force_everywhere() {
     let cluster = Cluster::start(Shape { entries: 3, zones: 3, ..Shape::default() }).await;
-    let mut watch = Watch::new(&cluster);
+    let mut watch = ConfigWatch::new(&cluster);
     for number in 2..6 {
         let index = number as usize % 3;
         let base = Revision(number - 1);
-        cluster.apply(index, &format!("c{number}"), base, &format!("n{number}")).await.unwrap();
-        watch.until_all(&cluster, number).await;
+        cluster
+            .apply_config(index, &format!("c{number}"), base, &format!("n{number}"))
+            .await
+            .unwrap();
+        watch.wait_for_all(&cluster, number).await;
     }
     cluster.stop().await;
 }
@@ -53,28 +56,30 @@
 /// Two operators change the same configuration at once; one's change is silently lost.  The
 /// second must be refused with what the first has changed.
 #[async_std::test]
-async fn racing_operators_are_told_apart() {
+async fn only_one_of_several_concurrent_changes_is_accepted() {
     let cluster = Cluster::start(Shape { entries: 3, ..Shape::default() }).await;
-    let race = futures_join(&cluster).await;
-    let won = race.iter().filter(|answer| answer.is_ok()).count();
-    assert_eq!(won, 1, "{race:?}");
-    for answer in &race {
+    let results = apply_concurrently(&cluster).await;
+    let won = results.iter().filter(|answer| answer.is_ok()).count();
+    assert_eq!(won, 1, "{results:?}");
+    for answer in &results {
         if let Err(error) = answer {
-            assert!(is(error, Code::StaleBase), "{error:?}");
+            assert!(has_code(error, Code::StaleBase), "{error:?}");
             let celerythread::Error::Refused { extra, .. } = error else { unreachable!() };
             assert!(extra["diff"].as_str().unwrap().contains("-name = first"), "{extra}");
         }
     }
-    let mut watch = Watch::new(&cluster);
-    watch.until_all(&cluster, 2).await;
+    let mut watch = ConfigWatch::new(&cluster);
+    watch.wait_for_all(&cluster, 2).await;
     cluster.stop().await;
 }
 
-async fn futures_join(cluster: &Cluster) -> Vec<Result<serde_json::Value, celerythread::Error>> {
+async fn apply_concurrently(
+    cluster: &Cluster,
+) -> Vec<Result<serde_json::Value, celerythread::Error>> {
     let (a, b, c) = futures::join!(
-        cluster.apply(0, "ca", Revision(1), "na"),
-        cluster.apply(1, "cb", Revision(1), "nb"),
-        cluster.apply(2, "cc", Revision(1), "nc"),
+        cluster.apply_config(0, "ca", Revision(1), "na"),
+        cluster.apply_config(1, "cb", Revision(1), "nb"),
+        cluster.apply_config(2, "cc", Revision(1), "nc"),
     );
     vec![a, b, c]
 }
@@ -82,49 +87,49 @@
 /// An operator's change is made twice, the second time over another's: the first answer was
 /// lost and the operator repeated it.  The same change id is the same change, for good.
 #[async_std::test]
-async fn a_repeated_change_is_made_once() {
+async fn a_repeated_change_is_applied_once() {
     let cluster = Cluster::start(Shape::default()).await;
     let switch = &cluster.entries[0].switch;
     let from = switch.count(Call::Commit);
     switch.plan(Plan { call: Call::Commit, from, count: 3, fault: Fault::LoseAnswer });
-    let first = cluster.apply(0, "mine", Revision(1), "mine").await.unwrap();
+    let first = cluster.apply_config(0, "mine", Revision(1), "mine").await.unwrap();
     assert_eq!(first["number"], 2);
-    cluster.apply(1, "theirs", Revision(2), "theirs").await.unwrap();
-    let repeated = cluster.apply(1, "mine", Revision(1), "mine").await.unwrap();
+    cluster.apply_config(1, "theirs", Revision(2), "theirs").await.unwrap();
+    let repeated = cluster.apply_config(1, "mine", Revision(1), "mine").await.unwrap();
     assert_eq!(repeated["number"], 2);
-    let mut watch = Watch::new(&cluster);
-    watch.until_all(&cluster, 3).await;
-    let other = cluster.apply(0, "mine", Revision(3), "other").await.unwrap_err();
-    assert!(is(&other, Code::ChangeReused), "{other:?}");
+    let mut watch = ConfigWatch::new(&cluster);
+    watch.wait_for_all(&cluster, 3).await;
+    let other = cluster.apply_config(0, "mine", Revision(3), "other").await.unwrap_err();
+    assert!(has_code(&other, Code::ChangeReused), "{other:?}");
     cluster.stop().await;
 }
 
 /// A zone is cut off from the platform and its entries go on with an old configuration although
 /// their peers have the new one.  They must get it from the peers.
 #[async_std::test]
-async fn an_entry_cut_off_from_the_platform_gets_it_from_its_peers() {
+async fn an_entry_cut_off_from_the_platform_gets_the_configuration_from_its_peers() {
     let cluster = Cluster::start(Shape { entries: 3, zones: 3, ..Shape::default() }).await;
     cluster.entries[2].switch.set_down(true);
-    cluster.apply(0, "c2", Revision(1), "n2").await.unwrap();
-    let mut watch = Watch::new(&cluster);
-    watch.until_all(&cluster, 2).await;
+    cluster.apply_config(0, "c2", Revision(1), "n2").await.unwrap();
+    let mut watch = ConfigWatch::new(&cluster);
+    watch.wait_for_all(&cluster, 2).await;
     cluster.entries[2].switch.set_down(false);
-    cluster.apply(2, "c3", Revision(2), "n3").await.unwrap();
-    watch.until_all(&cluster, 3).await;
+    cluster.apply_config(2, "c3", Revision(2), "n3").await.unwrap();
+    watch.wait_for_all(&cluster, 3).await;
     cluster.stop().await;
 }
 
 /// A new instance serves with no configuration, or an old one, because it starts during an
 /// outage.  It must wait instead.
 #[async_std::test]
-async fn an_entry_that_starts_in_an_outage_waits() {
+async fn an_entry_that_starts_in_an_outage_is_not_ready() {
     let mut cluster = Cluster::start(Shape::default()).await;
     cluster.start_entry(2).await;
     cluster.entries[2].switch.set_down(true);
     // It may have read the table before the switch fell; another one starts fallen.
     let ready = cluster.get(2, "/ready").await;
     let settings = celerythread_entry::Settings { name: "late".into(), ..cluster.settings(3) };
-    let mut late = Cluster::bare(Shape { minions: vec![], ..Shape::default() }).await;
+    let mut late = Cluster::without_entries(Shape { minions: vec![], ..Shape::default() }).await;
     late.start_with(0, settings).await;
     late.entries[0].switch.set_down(true);
     drop(ready);
@@ -137,7 +142,7 @@
 /// Every fault at every commit of an apply: the outcome told is the outcome had.
 #[async_std::test]
 async fn every_fault_at_every_call_of_an_apply() {
-    let mut tries = Vec::new();
+    let mut threads = Vec::new();
     for fault in [
         Fault::FailBefore,
         Fault::LoseAnswer,
@@ -147,29 +152,29 @@
         Fault::Pause,
     ] {
         for call in [Call::Commit, Call::Read, Call::Changes] {
-            tries.push(apart(move || apply_under(fault, call)));
+            threads.push(spawn_thread(move || run_apply_with_fault(fault, call)));
         }
     }
-    for one in tries {
+    for one in threads {
         one.join().unwrap();
     }
 }
 
-async fn apply_under(fault: Fault, call: Call) {
+async fn run_apply_with_fault(fault: Fault, call: Call) {
     let cluster = Cluster::start(Shape::default()).await;
-    let mut watch = Watch::new(&cluster);
+    let mut watch = ConfigWatch::new(&cluster);
     let switch = &cluster.entries[0].switch;
     let from = switch.count(call);
     switch.plan(Plan { call, from, count: 2, fault });
-    let first = cluster.apply(0, "mine", Revision(1), "mine").await;
-    watch.look(&cluster).await;
+    let first = cluster.apply_config(0, "mine", Revision(1), "mine").await;
+    watch.poll(&cluster).await;
     // Whatever was told, the same change again through the other entry settles it.
-    let settled = cluster.apply(1, "mine", Revision(1), "mine").await;
+    let settled = cluster.apply_config(1, "mine", Revision(1), "mine").await;
     let settled = settled.unwrap_or_else(|error| panic!("{fault} at {call}: {error:?}"));
     assert_eq!(settled["number"], 2, "{fault} at {call}");
     if let Ok(first) = first {
         assert_eq!(first["number"], 2, "{fault} at {call}");
     }
-    watch.until_all(&cluster, 2).await;
+    watch.wait_for_all(&cluster, 2).await;
     cluster.stop().await;
 }
--- a/tests/all/faults.rs
+++ b/tests/all/faults.rs
@@ -23,9 +23,9 @@
             ("failure within a wave", &["a_failure_within_a_wave_pauses_it"]),
             ("any order of failures", &["no_order_of_failures_makes_a_wave_break_the_floor"]),
             ("operator race", &["racing_waves_are_refused", "racing_moves_never_break_the_floor"]),
-            ("driver killed", &["a_replaced_driver_goes_on"]),
+            ("driver killed", &["a_new_lease_holder_continues_the_wave"]),
             ("driver paused past its lease", &["a_paused_entry_that_wakes_up_does_no_harm"]),
-            ("platform outage", &["an_outage_begins_no_disruption"]),
+            ("platform outage", &["no_disruption_begins_during_an_outage"]),
             ("a whole availability zone lost within a wave", NOT),
         ],
         guards: &[
@@ -48,7 +48,7 @@
                 "fail before effect, lost answer, hang, slow, late effect, pause, kill: at every call",
                 &["every_fault_at_every_call_of_a_move"],
             ),
-            ("under load", &["a_move_under_load_loses_and_misplaces_nothing"]),
+            ("under load", &["a_move_under_load_loses_and_misroutes_no_request"]),
             (
                 "former owner paused or cut off",
                 &["a_move_waits_for_a_former_owner_that_may_be_paused"],
@@ -82,7 +82,7 @@
                 "answer cut",
                 &[
                     "a_truncated_answer_is_an_error",
-                    "a_broken_answer_never_looks_whole",
+                    "a_truncated_answer_is_never_passed_on_as_complete",
                     "a_long_answer_that_breaks_off_breaks_the_callers_connection",
                     "a_cut_body_is_an_error",
                 ],
@@ -90,7 +90,7 @@
             ("answer late", &["a_late_answer_never_reaches_another_caller"]),
             ("interim answer", &["an_interim_answer_is_skipped"]),
             ("requests pipelined", &["pipelined_requests_are_all_answered"]),
-            ("connections forgotten", &["forgotten_connections_lose_no_request"]),
+            ("connections forgotten", &["silently_dropped_connections_lose_no_request"]),
             ("conflicting lengths", &["conflicting_lengths_of_an_answer_are_an_error"]),
             ("answer of a wrong length within its framing", NOT),
         ],
@@ -117,10 +117,10 @@
         cells: &[
             ("by phase and idempotence", &["the_table_by_phase_and_idempotence"]),
             ("connection refused", &["a_refused_connection_is_not_run"]),
-            ("overload", &["overload_is_refused_at_once_with_a_time_to_come_back"]),
+            ("overload", &["overload_is_refused_at_once_with_retry_after"]),
             ("platform outage", &["an_outage_refuses_keyed_requests_and_serves_the_others"]),
             ("silence", &["a_silent_minion_leaves_the_outcome_unknown_at_once"]),
-            ("bad requests", &["what_a_caller_says_wrong_gets_its_number"]),
+            ("bad requests", &["invalid_request_headers_get_their_result_codes"]),
             ("half a request", &["half_a_request_is_never_handled"]),
         ],
         guards: &[
@@ -143,10 +143,10 @@
                 "fail before effect, lost answer, hang, slow, late effect, pause, kill: at every commit",
                 &["every_fault_at_every_call_of_a_claim"],
             ),
-            ("repeat at another entry", &["a_repeat_at_another_entry_gets_the_kept_answer"]),
+            ("repeat at another entry", &["a_repeat_at_another_entry_gets_the_stored_answer"]),
             ("entry dies while it runs", &["a_dead_entrys_claim_is_never_run_again"]),
             ("unkeyed, whatever the minion does", &["an_unkeyed_request_is_sent_once"]),
-            ("connections forgotten", &["forgotten_connections_lose_no_request"]),
+            ("connections forgotten", &["silently_dropped_connections_lose_no_request"]),
             ("an entry killed", &["a_killed_entry_is_replaced"]),
             ("jobs: every fault at every call", &["every_fault_at_every_call_of_a_job"]),
             (
@@ -177,7 +177,7 @@
             (
                 "non-idempotent requests go onto new connections only",
                 "entry::dispatch::attempt",
-                "forgotten_connections_lose_no_request",
+                "silently_dropped_connections_lose_no_request",
             ),
         ],
     },
@@ -185,7 +185,7 @@
         name: "A leaving upstream receives no new work after a few seconds",
         cells: &[
             ("told by the list", &["a_leaving_minion_gets_no_new_work_within_two_seconds"]),
-            ("drained by a move or wave", &["a_move_under_load_loses_and_misplaces_nothing"]),
+            ("drained by a move or wave", &["a_move_under_load_loses_and_misroutes_no_request"]),
             ("its owner cut off from platform and peers", NOT),
         ],
         guards: &[(
@@ -219,17 +219,17 @@
         name: "An accepted configuration is in force everywhere within seconds and never reverts",
         cells: &[
             ("no fault", &["an_accepted_configuration_is_in_force_everywhere"]),
-            ("operator race", &["racing_operators_are_told_apart"]),
-            ("lost answer", &["a_repeated_change_is_made_once"]),
+            ("operator race", &["only_one_of_several_concurrent_changes_is_accepted"]),
+            ("lost answer", &["a_repeated_change_is_applied_once"]),
             (
                 "fail before effect, lost answer, hang, slow, late effect, pause: at commit, read, changes",
                 &["every_fault_at_every_call_of_an_apply"],
             ),
             (
                 "zone cut off from the platform",
-                &["an_entry_cut_off_from_the_platform_gets_it_from_its_peers"],
+                &["an_entry_cut_off_from_the_platform_gets_the_configuration_from_its_peers"],
             ),
-            ("new entry in an outage", &["an_entry_that_starts_in_an_outage_waits"]),
+            ("new entry in an outage", &["an_entry_that_starts_in_an_outage_is_not_ready"]),
             ("rows late, doubled, in any order", &["rows_in_any_order_end_alike"]),
             ("entry cut off from platform and peers", NOT),
         ],
@@ -242,7 +242,7 @@
             (
                 "a change's id is written against there being none",
                 "entry::operator::config::transaction",
-                "a_repeated_change_is_made_once",
+                "a_repeated_change_is_applied_once",
             ),
         ],
     },
@@ -252,11 +252,11 @@
             ("saturation", &["urgent_goes_first_and_patient_still_moves"]),
             ("all entries together", &["no_minion_has_more_than_its_slots_from_all_entries"]),
             ("any order of steps", &["grants_never_exceed_the_slots"]),
-            ("borrower dies", &["a_dead_borrower_gives_its_slots_back"]),
-            ("borrower gives up", &["a_slot_granted_to_one_who_gave_up_comes_back"]),
-            ("fast failing minion", &["a_fast_failing_minion_draws_no_more_than_its_share"]),
+            ("borrower dies", &["slots_lent_to_a_dead_entry_are_reclaimed"]),
+            ("borrower gives up", &["a_slot_granted_to_an_abandoned_request_is_released"]),
+            ("fast failing minion", &["a_fast_failing_minion_gets_no_more_than_its_share"]),
             ("everything fails", &["ejection_never_empties_a_service"]),
-            ("jobs", &["urgent_work_goes_before_patient_work_which_finishes_at_last"]),
+            ("jobs", &["urgent_jobs_preempt_patient_jobs_which_finish_later"]),
             ("owner cut off from its peers while they take its minions over", NOT),
         ],
         guards: &[
@@ -273,12 +273,12 @@
             (
                 "a grant whose exchange broke is taken back once its borrower's beats do not list it",
                 "entry::peers::Peers::note_broken",
-                "a_slot_granted_to_one_who_gave_up_comes_back",
+                "a_slot_granted_to_an_abandoned_request_is_released",
             ),
             (
                 "slots lent to an entry that left the registry are taken back",
                 "entry::peers::settle_unregistered",
-                "a_dead_borrower_gives_its_slots_back",
+                "slots_lent_to_a_dead_entry_are_reclaimed",
             ),
         ],
     },
@@ -329,7 +329,7 @@
 }
 
 /// The text of `docs/FAULTS.md`.
-pub(crate) fn page() -> String {
+pub(crate) fn render_page() -> String {
     let mut text = String::from(
         "# Faults\n\nPrinted by `PRINT_FAULTS=1 cargo test --test all the_faults_page`; CI checks \
          that it is current and that every test it names exists.\n",
--- a/tests/all/jobs.rs
+++ b/tests/all/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs on workers.
 
-use crate::cluster::{Cluster, FAULTS, Shape, apart, is, until};
+use crate::cluster::{Cluster, FAULTS, Shape, has_code, spawn_thread, wait_until};
 use celerythread_model::code::Code;
 use celerythread_model::job::{Job, Stage};
 use celerythread_model::table::Space;
@@ -13,31 +13,31 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-fn workers(count: usize) -> Shape {
+fn workers_only(count: usize) -> Shape {
     Shape { minions: vec![("alpha", 1)], floor: 0, workers: count, ..Shape::default() }
 }
 
-struct Order<'a> {
+struct Submission<'a> {
     name: &'a str,
     cpu: u32,
     patient: bool,
-    once: bool,
+    non_idempotent: bool,
 }
 
-fn order(name: &str) -> Order<'_> {
-    Order { name, cpu: 1000, patient: false, once: false }
+fn submission(name: &str) -> Submission<'_> {
+    Submission { name, cpu: 1000, patient: false, non_idempotent: false }
 }
 
 async fn submit(
     cluster: &Cluster,
     index: usize,
-    order: Order<'_>,
+    submission: Submission<'_>,
 ) -> Result<Value, celerythread::Error> {
     let body = json!({
-        "job": order.name, "team": "t", "kind": "k",
-        "class": if order.patient { "patient" } else { "urgent" },
-        "idempotence": if order.once { "NonIdempotent" } else { "Idempotent" },
-        "size": { "cpu": order.cpu, "memory": 1 << 30, "accelerators": 0 },
+        "job": submission.name, "team": "t", "kind": "k",
+        "class": if submission.patient { "patient" } else { "urgent" },
+        "idempotence": if submission.non_idempotent { "NonIdempotent" } else { "Idempotent" },
+        "size": { "cpu": submission.cpu, "memory": 1 << 30, "accelerators": 0 },
         "duration": "1s",
     });
     cluster.post(index, "/v1/jobs", &body).await
@@ -53,31 +53,33 @@
     jobs(cluster).await.get(name).map(|job| job.stage)
 }
 
-async fn until_stage(cluster: &Cluster, name: &str, expected: Stage) {
-    until(&format!("{name} is {expected}"), async || stage(cluster, name).await == Some(expected))
-        .await;
+async fn wait_until_stage(cluster: &Cluster, name: &str, expected: Stage) {
+    wait_until(&format!("{name} is {expected}"), async || {
+        stage(cluster, name).await == Some(expected)
+    })
+    .await;
 }
 
-fn starts_of(cluster: &Cluster, name: &str) -> usize {
+fn start_count(cluster: &Cluster, name: &str) -> usize {
     cluster.memory.workers.starts().iter().filter(|(_, job, _)| job.as_str() == name).count()
 }
 
-fn behave(cluster: &Cluster, worker: &str, behaviour: Behaviour) {
+fn set_behaviour(cluster: &Cluster, worker: &str, behaviour: Behaviour) {
     cluster.memory.workers.set_behaviour(worker.parse().unwrap(), behaviour);
 }
 
-fn long() -> Behaviour {
+fn minute_long() -> Behaviour {
     Behaviour { duration: Duration::from_secs(60), ..Behaviour::default() }
 }
 
 #[async_std::test]
 async fn jobs_run_and_finish() {
-    let cluster = Cluster::start(workers(3)).await;
+    let cluster = Cluster::start(workers_only(3)).await;
     for n in 0..20 {
         let name = format!("j{n}");
-        submit(&cluster, n % 2, order(&name)).await.unwrap();
+        submit(&cluster, n % 2, submission(&name)).await.unwrap();
     }
-    until("all done", async || {
+    wait_until("all done", async || {
         jobs(&cluster).await.values().filter(|job| job.stage == Stage::Done).count() == 20
     })
     .await;
@@ -88,24 +90,25 @@
 /// The first answer was lost and the operator submits again; the job runs twice.
 #[async_std::test]
 async fn a_repeated_submission_is_one_job() {
-    let cluster = Cluster::start(workers(1)).await;
+    let cluster = Cluster::start(workers_only(1)).await;
     let switch = &cluster.entries[0].switch;
     let from = switch.count(Call::Commit);
     switch.plan(Plan { call: Call::Commit, from, count: 2, fault: Fault::LoseAnswer });
-    submit(&cluster, 0, order("j")).await.unwrap();
-    submit(&cluster, 1, order("j")).await.unwrap();
-    until_stage(&cluster, "j", Stage::Done).await;
-    assert_eq!(starts_of(&cluster, "j"), 1);
-    let other = submit(&cluster, 1, Order { cpu: 2000, ..order("j") }).await.unwrap_err();
-    assert!(is(&other, Code::ChangeReused), "{other:?}");
+    submit(&cluster, 0, submission("j")).await.unwrap();
+    submit(&cluster, 1, submission("j")).await.unwrap();
+    wait_until_stage(&cluster, "j", Stage::Done).await;
+    assert_eq!(start_count(&cluster, "j"), 1);
+    let other = submit(&cluster, 1, Submission { cpu: 2000, ..submission("j") }).await.unwrap_err();
+    assert!(has_code(&other, Code::ChangeReused), "{other:?}");
     cluster.stop().await;
 }
 
 #[async_std::test]
 async fn an_impossible_job_is_refused_with_the_reason() {
-    let cluster = Cluster::start(workers(2)).await;
-    let refused = submit(&cluster, 0, Order { cpu: 5000, ..order("big") }).await.unwrap_err();
-    assert!(is(&refused, Code::JobImpossible), "{refused:?}");
+    let cluster = Cluster::start(workers_only(2)).await;
+    let refused =
+        submit(&cluster, 0, Submission { cpu: 5000, ..submission("big") }).await.unwrap_err();
+    assert!(has_code(&refused, Code::JobImpossible), "{refused:?}");
     assert!(stage(&cluster, "big").await.is_none());
     cluster.stop().await;
 }
@@ -113,19 +116,23 @@
 /// A shop's revaluation waits behind a year-end audit that fills the fleet.  Patient work is put
 /// aside for it, and finishes afterwards.
 #[async_std::test]
-async fn urgent_work_goes_before_patient_work_which_finishes_at_last() {
-    let cluster = Cluster::start(workers(1)).await;
-    behave(&cluster, "w0", Behaviour { duration: Duration::from_secs(2), ..Behaviour::default() });
+async fn urgent_jobs_preempt_patient_jobs_which_finish_later() {
+    let cluster = Cluster::start(workers_only(1)).await;
+    set_behaviour(
+        &cluster,
+        "w0",
+        Behaviour { duration: Duration::from_secs(2), ..Behaviour::default() },
+    );
     for n in 0..4 {
         let name = format!("audit{n}");
-        submit(&cluster, 0, Order { patient: true, ..order(&name) }).await.unwrap();
+        submit(&cluster, 0, Submission { patient: true, ..submission(&name) }).await.unwrap();
     }
-    until("the worker is full", async || cluster.memory.workers.starts().len() == 4).await;
-    let began = Instant::now();
-    submit(&cluster, 1, Order { cpu: 2000, ..order("revaluation") }).await.unwrap();
-    until("urgent work starts", async || starts_of(&cluster, "revaluation") == 1).await;
-    assert!(began.elapsed() < Duration::from_millis(5200), "{:?}", began.elapsed());
-    until("all done", async || {
+    wait_until("the worker is full", async || cluster.memory.workers.starts().len() == 4).await;
+    let started_at = Instant::now();
+    submit(&cluster, 1, Submission { cpu: 2000, ..submission("revaluation") }).await.unwrap();
+    wait_until("urgent work starts", async || start_count(&cluster, "revaluation") == 1).await;
+    assert!(started_at.elapsed() < Duration::from_millis(5200), "{:?}", started_at.elapsed());
+    wait_until("all done", async || {
         jobs(&cluster).await.values().filter(|job| job.stage == Stage::Done).count() == 5
     })
     .await;
@@ -134,18 +141,20 @@
 
 /// A worker fails everything it starts, is free again at once, and draws all the jobs.
 #[async_std::test]
-async fn a_worker_that_fails_everything_is_set_aside() {
-    let cluster = Cluster::start(workers(3)).await;
-    behave(&cluster, "w0", Behaviour { fails: true, ..Behaviour::default() });
+async fn a_worker_that_fails_every_job_is_ejected() {
+    let cluster = Cluster::start(workers_only(3)).await;
+    set_behaviour(&cluster, "w0", Behaviour { fails: true, ..Behaviour::default() });
     for n in 0..30 {
         let name = format!("j{n}");
-        submit(&cluster, 0, order(&name)).await.unwrap();
+        submit(&cluster, 0, submission(&name)).await.unwrap();
     }
-    until("all done", async || jobs(&cluster).await.values().all(|job| job.stage == Stage::Done))
-        .await;
+    wait_until("all done", async || {
+        jobs(&cluster).await.values().all(|job| job.stage == Stage::Done)
+    })
+    .await;
     let starts = cluster.memory.workers.starts();
-    let on_sick = starts.iter().filter(|(worker, _, _)| worker.as_str() == "w0").count();
-    assert!(on_sick <= 16, "{on_sick} of {} starts went to the sick worker", starts.len());
+    let on_failing = starts.iter().filter(|(worker, _, _)| worker.as_str() == "w0").count();
+    assert!(on_failing <= 16, "{on_failing} of {} starts went to the sick worker", starts.len());
     cluster.stop().await;
 }
 
@@ -153,16 +162,16 @@
 /// operator and not run again; an idempotent job goes elsewhere.
 #[async_std::test]
 async fn a_lost_worker_leaves_a_non_idempotent_job_unknown() {
-    let cluster = Cluster::start(workers(1)).await;
-    behave(&cluster, "w0", long());
-    submit(&cluster, 0, Order { once: true, ..order("once") }).await.unwrap();
-    submit(&cluster, 0, order("again")).await.unwrap();
-    until("both run", async || cluster.memory.workers.starts().len() == 2).await;
+    let cluster = Cluster::start(workers_only(1)).await;
+    set_behaviour(&cluster, "w0", minute_long());
+    submit(&cluster, 0, Submission { non_idempotent: true, ..submission("once") }).await.unwrap();
+    submit(&cluster, 0, submission("again")).await.unwrap();
+    wait_until("both run", async || cluster.memory.workers.starts().len() == 2).await;
     cluster.memory.workers.lose(&"w0".parse().unwrap());
     cluster.memory.roster.remove("w0");
-    until_stage(&cluster, "once", Stage::Unknown).await;
-    until_stage(&cluster, "again", Stage::Queued).await;
-    assert_eq!(starts_of(&cluster, "once"), 1);
+    wait_until_stage(&cluster, "once", Stage::Unknown).await;
+    wait_until_stage(&cluster, "again", Stage::Queued).await;
+    assert_eq!(start_count(&cluster, "once"), 1);
     cluster.stop().await;
 }
 
@@ -170,37 +179,37 @@
 /// shows its old boot; the placer finds no task and orders the attempt again, and it runs twice.
 #[async_std::test]
 async fn a_restarted_worker_never_runs_a_non_idempotent_job_twice() {
-    let cluster = Cluster::start(workers(1)).await;
-    behave(&cluster, "w0", long());
-    submit(&cluster, 0, Order { once: true, ..order("once") }).await.unwrap();
-    until("it runs", async || starts_of(&cluster, "once") == 1).await;
+    let cluster = Cluster::start(workers_only(1)).await;
+    set_behaviour(&cluster, "w0", minute_long());
+    submit(&cluster, 0, Submission { non_idempotent: true, ..submission("once") }).await.unwrap();
+    wait_until("it runs", async || start_count(&cluster, "once") == 1).await;
     cluster.memory.workers.restart(&"w0".parse().unwrap());
-    until_stage(&cluster, "once", Stage::Unknown).await;
-    assert_eq!(starts_of(&cluster, "once"), 1);
+    wait_until_stage(&cluster, "once", Stage::Unknown).await;
+    assert_eq!(start_count(&cluster, "once"), 1);
     cluster.stop().await;
 }
 
 /// A wave of cancellations: two hundred jobs at once are a few writes, and their tasks stop.
 #[async_std::test]
-async fn a_wave_of_cancellations_is_a_few_writes() {
-    let cluster = Cluster::start(workers(2)).await;
-    behave(&cluster, "w0", long());
-    behave(&cluster, "w1", long());
+async fn a_batch_of_cancellations_takes_few_writes() {
+    let cluster = Cluster::start(workers_only(2)).await;
+    set_behaviour(&cluster, "w0", minute_long());
+    set_behaviour(&cluster, "w1", minute_long());
     let names: Vec<String> = (0..200).map(|n| format!("j{n}")).collect();
     for name in &names {
-        submit(&cluster, 0, Order { patient: true, ..order(name) }).await.unwrap();
+        submit(&cluster, 0, Submission { patient: true, ..submission(name) }).await.unwrap();
     }
-    until("the workers are full", async || cluster.memory.workers.starts().len() == 8).await;
+    wait_until("the workers are full", async || cluster.memory.workers.starts().len() == 8).await;
     let switch = &cluster.entries[1].switch;
     let before = switch.count(Call::Commit);
     cluster.post(1, "/v1/jobs/cancel", &json!({ "jobs": names })).await.unwrap();
     let writes = switch.count(Call::Commit) - before;
     assert!(writes <= 20, "{writes} writes for 200 jobs");
-    until("all cancelled", async || {
+    wait_until("all cancelled", async || {
         jobs(&cluster).await.values().all(|job| job.stage == Stage::Cancelled)
     })
     .await;
-    until("their tasks are stopped", async || {
+    wait_until("their tasks are stopped", async || {
         use celerythread_platform::Workers;
         cluster.memory.workers.tasks().await.unwrap().is_empty()
     })
@@ -212,24 +221,28 @@
 /// A long outage: running jobs go on, none is started, and what was in flight is settled
 /// afterwards without double work.
 #[async_std::test]
-async fn an_outage_starts_nothing_and_loses_nothing() {
-    let cluster = Cluster::start(workers(1)).await;
-    behave(
+async fn an_outage_starts_no_job_and_loses_none() {
+    let cluster = Cluster::start(workers_only(1)).await;
+    set_behaviour(
         &cluster,
         "w0",
         Behaviour { duration: Duration::from_millis(700), ..Behaviour::default() },
     );
     for n in 0..8 {
         let name = format!("j{n}");
-        submit(&cluster, 0, Order { once: true, ..order(&name) }).await.unwrap();
+        submit(&cluster, 0, Submission { non_idempotent: true, ..submission(&name) })
+            .await
+            .unwrap();
     }
-    until("four run", async || cluster.memory.workers.starts().len() == 4).await;
+    wait_until("four run", async || cluster.memory.workers.starts().len() == 4).await;
     cluster.entries.iter().for_each(|entry| entry.switch.set_down(true));
     async_std::task::sleep(Duration::from_millis(1500)).await;
     assert_eq!(cluster.memory.workers.starts().len(), 4);
     cluster.entries.iter().for_each(|entry| entry.switch.set_down(false));
-    until("all done", async || jobs(&cluster).await.values().all(|job| job.stage == Stage::Done))
-        .await;
+    wait_until("all done", async || {
+        jobs(&cluster).await.values().all(|job| job.stage == Stage::Done)
+    })
+    .await;
     assert_eq!(cluster.memory.workers.starts().len(), 8);
     cluster.stop().await;
 }
@@ -239,43 +252,48 @@
 #[async_std::test]
 async fn every_fault_at_every_call_of_a_job() {
     let calls = [(Call::Commit, 3), (Call::Order, 1), (Call::Tasks, 2), (Call::Inspect, 1)];
-    let mut cells = Vec::new();
+    let mut cases = Vec::new();
     for (call, count) in calls {
         for at in 0..count {
-            cells.extend(FAULTS.map(|fault| (call, at, fault)));
+            cases.extend(FAULTS.map(|fault| (call, at, fault)));
         }
     }
-    for batch in cells.chunks(12) {
-        let running: Vec<_> =
-            batch.iter().copied().map(|cell| apart(move || job_under(cell))).collect();
-        for (cell, one) in batch.iter().zip(running) {
-            let wrong = one.join().unwrap();
-            assert!(wrong.is_empty(), "{} at {} {}: {wrong:?}", cell.2, cell.0, cell.1);
+    for batch in cases.chunks(12) {
+        let running: Vec<_> = batch
+            .iter()
+            .copied()
+            .map(|case| spawn_thread(move || run_job_with_fault(case)))
+            .collect();
+        for (case, one) in batch.iter().zip(running) {
+            let failures = one.join().unwrap();
+            assert!(failures.is_empty(), "{} at {} {}: {failures:?}", case.2, case.0, case.1);
         }
     }
 }
 
-async fn job_under((call, at, fault): (Call, u64, Fault)) -> Vec<String> {
-    let mut cluster = Cluster::start(workers(1)).await;
+async fn run_job_with_fault((call, at, fault): (Call, u64, Fault)) -> Vec<String> {
+    let mut cluster = Cluster::start(workers_only(1)).await;
     let holder = cluster.holder("jobs").await;
     let switch = cluster.entries[holder].switch.clone();
-    submit(&cluster, 1 - holder, Order { once: true, ..order("j") }).await.unwrap();
+    submit(&cluster, 1 - holder, Submission { non_idempotent: true, ..submission("j") })
+        .await
+        .unwrap();
     switch.plan(Plan { call, from: switch.count(call) + at, count: 1, fault });
-    let mut wrong = Vec::new();
-    let began = Instant::now();
+    let mut failures = Vec::new();
+    let started_at = Instant::now();
     while stage(&cluster, "j").await != Some(Stage::Done) {
         cluster.reap();
-        if began.elapsed() > Duration::from_secs(25) {
-            wrong.push(format!("it is {:?}", stage(&cluster, "j").await));
+        if started_at.elapsed() > Duration::from_secs(25) {
+            failures.push(format!("it is {:?}", stage(&cluster, "j").await));
             break;
         }
         async_std::task::sleep(Duration::from_millis(20)).await;
     }
-    let starts = starts_of(&cluster, "j");
+    let starts = start_count(&cluster, "j");
     if starts != 1 {
-        wrong.push(format!("started {starts} times"));
+        failures.push(format!("started {starts} times"));
     }
     cluster.reap();
     cluster.stop().await;
-    wrong
+    failures
 }
--- a/tests/all/maintenance.rs
+++ b/tests/all/maintenance.rs
@@ -1,17 +1,17 @@
 //! Maintenance waves.
 
-use crate::cluster::{Cluster, Shape, instance, is, until};
+use crate::cluster::{Cluster, Shape, has_code, instance, wait_until};
 use celerythread_model::code::Code;
 use celerythread_model::fleet::State;
 use celerythread_platform::message::{Instance, Role};
 use serde_json::{Value, json};
 use std::time::Duration;
 
-fn six() -> Shape {
+fn six_minions() -> Shape {
     Shape { minions: vec![("alpha", 6)], floor: 4, ..Shape::default() }
 }
 
-async fn declare(
+async fn declare_wave(
     cluster: &Cluster,
     index: usize,
     wave: &str,
@@ -19,26 +19,26 @@
     cluster.post(index, "/v1/maintenance", &json!({ "wave": wave, "author": "test" })).await
 }
 
-async fn progress(cluster: &Cluster, index: usize, wave: &str) -> String {
+async fn wave_progress(cluster: &Cluster, index: usize, wave: &str) -> String {
     let waves = cluster.get(index, "/v1/maintenance").await.unwrap_or_default();
     let found = waves.as_array().into_iter().flatten().find(|w| w["wave"] == wave).cloned();
     found.map_or_else(String::new, |w| w["progress"].as_str().unwrap_or_default().into())
 }
 
 /// Fails when more are out than the floor leaves.
-async fn watch_floor(cluster: &Cluster) {
+async fn assert_within_floor(cluster: &Cluster) {
     let out = cluster.minion_rows().await.iter().filter(|m| m.state != State::Active).count();
     assert!(out <= 2, "{out} of 6 are out at a floor of 4");
 }
 
 #[async_std::test]
 async fn a_wave_maintains_everything_within_the_floor() {
-    let cluster = Cluster::start(six()).await;
-    let declared = declare(&cluster, 0, "w").await.unwrap();
+    let cluster = Cluster::start(six_minions()).await;
+    let declared = declare_wave(&cluster, 0, "w").await.unwrap();
     assert_eq!((&declared["parallel"], &declared["binding"]), (&json!(2), &json!("alpha")));
-    until("done", async || {
-        watch_floor(&cluster).await;
-        progress(&cluster, 0, "w").await == "done"
+    wait_until("done", async || {
+        assert_within_floor(&cluster).await;
+        wave_progress(&cluster, 0, "w").await == "done"
     })
     .await;
     for row in cluster.minion_rows().await {
@@ -52,7 +52,7 @@
 /// its floor.  It must wait, and go on by itself.
 #[async_std::test]
 async fn a_failure_within_a_wave_pauses_it() {
-    let cluster = Cluster::start(six()).await;
+    let cluster = Cluster::start(six_minions()).await;
     // Two fail just before: nothing is left to spare.
     let gone: Vec<Instance> = cluster
         .memory
@@ -64,79 +64,82 @@
     for instance in &gone {
         cluster.memory.roster.put(Instance { leaving: true, ..instance.clone() });
     }
-    until("seen as failed", async || {
+    wait_until("seen as failed", async || {
         let rows = cluster.minion_rows().await;
         rows.iter().filter(|row| row.state == State::Draining).count() == 2
     })
     .await;
-    let refused = declare(&cluster, 0, "w").await;
-    assert!(is(refused.as_ref().unwrap_err(), Code::WaveTooLate), "{refused:?}");
+    let refused = declare_wave(&cluster, 0, "w").await;
+    assert!(has_code(refused.as_ref().unwrap_err(), Code::WaveTooLate), "{refused:?}");
     // They come back, the wave is declared, and one fails again within it.
     for instance in &gone {
         cluster.memory.roster.remove(&instance.name);
     }
-    until("their rows are removed", async || cluster.minion_rows().await.len() == 4).await;
+    wait_until("their rows are removed", async || cluster.minion_rows().await.len() == 4).await;
     for instance in &gone {
         cluster.memory.roster.put(instance.clone());
     }
-    until("they are back", async || cluster.minion_rows().await.len() == 6).await;
-    cluster.settled().await;
-    declare(&cluster, 0, "w").await.unwrap();
+    wait_until("they are back", async || cluster.minion_rows().await.len() == 6).await;
+    cluster.wait_until_owned().await;
+    declare_wave(&cluster, 0, "w").await.unwrap();
     for instance in &gone {
         cluster.memory.roster.put(Instance { leaving: true, ..instance.clone() });
     }
-    until("paused", async || progress(&cluster, 0, "w").await == "paused").await;
+    wait_until("paused", async || wave_progress(&cluster, 0, "w").await == "paused").await;
     let active = cluster.minion_rows().await.iter().filter(|m| m.state == State::Active).count();
     assert!(active >= 4, "only {active} serve at a floor of 4");
     for instance in &gone {
         cluster.memory.roster.remove(&instance.name);
     }
-    until("their rows are removed", async || cluster.minion_rows().await.len() == 4).await;
+    wait_until("their rows are removed", async || cluster.minion_rows().await.len() == 4).await;
     for instance in &gone {
         cluster.memory.roster.put(instance.clone());
     }
-    until("it goes on by itself and ends", async || progress(&cluster, 0, "w").await == "done")
-        .await;
+    wait_until("it goes on by itself and ends", async || {
+        wave_progress(&cluster, 0, "w").await == "done"
+    })
+    .await;
     cluster.stop().await;
 }
 
 /// Two operators declare waves over the same instances; together they break the floor.
 #[async_std::test]
 async fn racing_waves_are_refused() {
-    let cluster = Cluster::start(six()).await;
-    let (a, b) = futures::join!(declare(&cluster, 0, "a"), declare(&cluster, 1, "b"));
+    let cluster = Cluster::start(six_minions()).await;
+    let (a, b) = futures::join!(declare_wave(&cluster, 0, "a"), declare_wave(&cluster, 1, "b"));
     assert_eq!([&a, &b].iter().filter(|answer| answer.is_ok()).count(), 1, "{a:?} {b:?}");
     let refused = a.err().or(b.err()).unwrap();
-    assert!(is(&refused, Code::WaveConflict), "{refused:?}");
-    until("no more than the floor leaves", async || {
-        watch_floor(&cluster).await;
-        progress(&cluster, 0, "a").await == "done" || progress(&cluster, 0, "b").await == "done"
+    assert!(has_code(&refused, Code::WaveConflict), "{refused:?}");
+    wait_until("no more than the floor leaves", async || {
+        assert_within_floor(&cluster).await;
+        wave_progress(&cluster, 0, "a").await == "done"
+            || wave_progress(&cluster, 0, "b").await == "done"
     })
     .await;
     cluster.stop().await;
 }
 
 #[async_std::test]
-async fn a_wave_that_cannot_finish_in_time_is_refused_with_what_binds() {
-    let cluster = Cluster::start(six()).await;
+async fn a_wave_that_cannot_finish_in_time_is_refused_with_its_bottleneck() {
+    let cluster = Cluster::start(six_minions()).await;
     let body = json!({ "wave": "w", "author": "test", "within": "10s" });
     let refused = cluster.post(0, "/v1/maintenance", &body).await.unwrap_err();
-    assert!(is(&refused, Code::WaveTooLate), "{refused:?}");
+    assert!(has_code(&refused, Code::WaveTooLate), "{refused:?}");
     let celerythread::Error::Refused { detail, .. } = &refused else { unreachable!() };
     assert!(detail.contains("forecast") && detail.contains("alpha binds"), "{detail}");
     cluster.stop().await;
 }
 
 #[async_std::test]
-async fn cancelling_leaves_every_minion_settled() {
-    let cluster = Cluster::start(six()).await;
-    declare(&cluster, 0, "w").await.unwrap();
-    until("something is out", async || {
+async fn cancelling_a_wave_leaves_every_minion_active() {
+    let cluster = Cluster::start(six_minions()).await;
+    declare_wave(&cluster, 0, "w").await.unwrap();
+    wait_until("something is out", async || {
         cluster.minion_rows().await.iter().any(|m| m.state != State::Active)
     })
     .await;
     cluster.post(1, "/v1/maintenance/cancel", &json!({ "wave": "w" })).await.unwrap();
-    until("all settled", async || {
+    wait_until("all settled", async || {
         cluster.minion_rows().await.iter().all(|m| m.state == State::Active)
     })
     .await;
@@ -151,32 +154,34 @@
 /// out until then, and one whose window is closed waits and says so.
 #[async_std::test]
 async fn a_wave_waits_for_its_start_and_its_window() {
-    let cluster = Cluster::start(six()).await;
+    let cluster = Cluster::start(six_minions()).await;
     let body = json!({ "wave": "w", "author": "test", "after": "1500ms" });
     cluster.post(0, "/v1/maintenance", &body).await.unwrap();
-    until("it waits", async || progress(&cluster, 0, "w").await == "paused").await;
+    wait_until("it waits", async || wave_progress(&cluster, 0, "w").await == "paused").await;
     assert!(cluster.minion_rows().await.iter().all(|row| row.state == State::Active));
-    until("done", async || progress(&cluster, 0, "w").await == "done").await;
+    wait_until("done", async || wave_progress(&cluster, 0, "w").await == "done").await;
     let body = json!({ "wave": "x", "author": "test", "window": "nowhen" });
     let refused = cluster.post(0, "/v1/maintenance", &body).await.unwrap_err();
-    assert!(is(&refused, Code::NotFound), "{refused:?}");
+    assert!(has_code(&refused, Code::NotFound), "{refused:?}");
     cluster.stop().await;
 }
 
 /// The entry that runs a wave dies; another goes on where it stopped.
 #[async_std::test]
-async fn a_replaced_driver_goes_on() {
-    let mut cluster = Cluster::start(Shape { entries: 3, ..six() }).await;
+async fn a_new_lease_holder_continues_the_wave() {
+    let mut cluster = Cluster::start(Shape { entries: 3, ..six_minions() }).await;
     let holder = cluster.holder("fleet").await;
     let other = (holder + 1) % 3;
-    declare(&cluster, other, "w").await.unwrap();
-    until("begun", async || cluster.minion_rows().await.iter().any(|m| m.state != State::Active))
-        .await;
+    declare_wave(&cluster, other, "w").await.unwrap();
+    wait_until("begun", async || {
+        cluster.minion_rows().await.iter().any(|m| m.state != State::Active)
+    })
+    .await;
     cluster.entries[holder].switch.set_down(true);
     cluster.kill(holder);
-    until("done", async || {
-        watch_floor(&cluster).await;
-        progress(&cluster, other, "w").await == "done"
+    wait_until("done", async || {
+        assert_within_floor(&cluster).await;
+        wave_progress(&cluster, other, "w").await == "done"
     })
     .await;
     for row in cluster.minion_rows().await {
@@ -187,11 +192,13 @@
 
 /// A long outage in the middle of a wave: nothing more is taken out, and it ends afterwards.
 #[async_std::test]
-async fn an_outage_begins_no_disruption() {
-    let cluster = Cluster::start(six()).await;
-    declare(&cluster, 0, "w").await.unwrap();
-    until("begun", async || cluster.minion_rows().await.iter().any(|m| m.state != State::Active))
-        .await;
+async fn no_disruption_begins_during_an_outage() {
+    let cluster = Cluster::start(six_minions()).await;
+    declare_wave(&cluster, 0, "w").await.unwrap();
+    wait_until("begun", async || {
+        cluster.minion_rows().await.iter().any(|m| m.state != State::Active)
+    })
+    .await;
     for entry in &cluster.entries {
         entry.switch.set_down(true);
     }
@@ -205,9 +212,9 @@
     for entry in &cluster.entries {
         entry.switch.set_down(false);
     }
-    until("done", async || {
-        watch_floor(&cluster).await;
-        progress(&cluster, 0, "w").await == "done"
+    wait_until("done", async || {
+        assert_within_floor(&cluster).await;
+        wave_progress(&cluster, 0, "w").await == "done"
     })
     .await;
     cluster.stop().await;
@@ -215,7 +222,7 @@
 
 #[async_std::test]
 async fn a_leaving_minion_gets_no_new_work_within_two_seconds() {
-    let cluster = Cluster::start(six()).await;
+    let cluster = Cluster::start(six_minions()).await;
     let leaving = cluster.memory.roster.now().into_iter().find(|i| i.name == "alpha-3").unwrap();
     cluster.memory.roster.put(Instance { leaving: true, ..leaving });
     async_std::task::sleep(Duration::from_secs(2)).await;
@@ -229,8 +236,8 @@
 }
 
 #[async_std::test]
-async fn a_new_minion_joins_the_pool_it_was_bought_for() {
-    let mut cluster = Cluster::start(six()).await;
+async fn a_new_minion_joins_the_pool_in_its_listing() {
+    let mut cluster = Cluster::start(six_minions()).await;
     let minion = celerythread_standin::minion::Minion::start(
         crate::cluster::loopback(),
         Duration::from_millis(5),
@@ -243,7 +250,7 @@
         ..instance("alpha-new", Role::Minion, "z0")
     });
     cluster.minions.insert("alpha-new".into(), minion);
-    cluster.settled().await;
+    cluster.wait_until_owned().await;
     assert_eq!(cluster.minion_row("alpha-new").await.pool.as_str(), "alpha");
     cluster.stop().await;
 }
--- a/tests/all/moves.rs
+++ b/tests/all/moves.rs
@@ -1,6 +1,6 @@
 //! An instance belongs to exactly one pool, and a move cuts off nothing.
 
-use crate::cluster::{Cluster, FAULTS, Shape, apart, is, single, until};
+use crate::cluster::{Cluster, FAULTS, Shape, has_code, single, spawn_thread, wait_until};
 use celerythread_model::code::Code;
 use celerythread_model::fleet::State;
 use celerythread_standin::fault::Fault;
@@ -20,14 +20,16 @@
     cluster.post(index, "/v1/pools/move", &body).await
 }
 
-async fn moved(cluster: &Cluster) -> bool {
+async fn is_moved(cluster: &Cluster) -> bool {
     let row = cluster.minion_row("alpha-0").await;
     row.state == State::Active && row.pool.as_str() == "beta"
 }
 
 /// Requests to both services go on all the while; each minion is told by their path which pool
 /// the sender took it for.
-fn traffic(cluster: &Cluster) -> (Arc<AtomicBool>, async_std::task::JoinHandle<Vec<load::Done>>) {
+fn start_traffic(
+    cluster: &Cluster,
+) -> (Arc<AtomicBool>, async_std::task::JoinHandle<Vec<load::Done>>) {
     let stop = Arc::new(AtomicBool::new(false));
     let entries: Vec<_> = cluster.entries.iter().map(|entry| entry.callers).collect();
     let flag = stop.clone();
@@ -54,14 +56,16 @@
 }
 
 #[async_std::test]
-async fn a_move_under_load_loses_and_misplaces_nothing() {
+async fn a_move_under_load_loses_and_misroutes_no_request() {
     let cluster = Cluster::start(Shape::default()).await;
-    let (stop, traffic) = traffic(&cluster);
+    let (stop, traffic) = start_traffic(&cluster);
     order_move(&cluster, 0).await.unwrap();
-    until("moved", async || moved(&cluster).await).await;
+    wait_until("moved", async || is_moved(&cluster).await).await;
     let at = cluster.minions["alpha-0"].record().runs.len();
-    until("serves its new pool", async || cluster.minions["alpha-0"].record().runs.len() > at + 3)
-        .await;
+    wait_until("serves its new pool", async || {
+        cluster.minions["alpha-0"].record().runs.len() > at + 3
+    })
+    .await;
     stop.store(true, Ordering::SeqCst);
     let done = traffic.await;
     for one in &done {
@@ -105,10 +109,10 @@
 async fn an_impossible_move_is_refused_with_its_number() {
     let cluster = Cluster::start(Shape { floor: 2, ..Shape::default() }).await;
     let at_floor = order_move(&cluster, 0).await.unwrap_err();
-    assert!(is(&at_floor, Code::WrongState), "{at_floor:?}");
+    assert!(has_code(&at_floor, Code::WrongState), "{at_floor:?}");
     let nobody = json!({ "minion": "nobody", "target": "beta" });
     let unknown = cluster.post(0, "/v1/pools/move", &nobody).await.unwrap_err();
-    assert!(is(&unknown, Code::NotFound));
+    assert!(has_code(&unknown, Code::NotFound));
     cluster.stop().await;
 }
 
@@ -125,7 +129,7 @@
     let entry = &mut cluster.entries[owner];
     entry.switch.set_down(true);
     drop(entry.daemon.take());
-    until("taken over", async || {
+    wait_until("taken over", async || {
         let row = cluster.ownership("alpha-0").await.unwrap();
         !row.former.is_empty()
     })
@@ -136,7 +140,7 @@
     // The list shows it gone for longer than it lags: now it is certain.
     let name = cluster.entries[owner].name.clone();
     cluster.memory.roster.remove(&name);
-    until("moved", async || moved(&cluster).await).await;
+    wait_until("moved", async || is_moved(&cluster).await).await;
     cluster.stop().await;
 }
 
@@ -154,13 +158,13 @@
             async_std::task::spawn(async move { load::send(entry, &one).await })
         })
         .collect();
-    until("work on it", async || cluster.minions["alpha-0"].outstanding() > 0).await;
+    wait_until("work on it", async || cluster.minions["alpha-0"].outstanding() > 0).await;
     order_move(&cluster, 1).await.unwrap();
-    until("idle", async || {
+    wait_until("idle", async || {
         let state = cluster.minion_row("alpha-0").await.state;
         let outstanding = cluster.minions["alpha-0"].outstanding();
         assert!(state != State::Rebooting || outstanding == 0, "rebooted under {outstanding}");
-        state == State::Rebooting || moved(&cluster).await
+        state == State::Rebooting || is_moved(&cluster).await
     })
     .await;
     for one in sent {
@@ -174,21 +178,24 @@
 #[async_std::test]
 async fn every_fault_at_every_call_of_a_move() {
     let calls = count_calls().await;
-    let mut cells = Vec::new();
+    let mut cases = Vec::new();
     for (call, count) in calls {
         for at in 0..count {
             for fault in FAULTS {
-                cells.push((call, at, fault));
+                cases.push((call, at, fault));
             }
         }
     }
     // A few at a time: each is a deployment of its own.
-    for batch in cells.chunks(12) {
-        let running: Vec<_> =
-            batch.iter().copied().map(|cell| apart(move || move_under(cell))).collect();
-        for (cell, one) in batch.iter().zip(running) {
-            let wrong = one.join().unwrap();
-            assert!(wrong.is_empty(), "{} at {} {}: {wrong:?}", cell.2, cell.0, cell.1);
+    for batch in cases.chunks(12) {
+        let running: Vec<_> = batch
+            .iter()
+            .copied()
+            .map(|case| spawn_thread(move || run_move_with_fault(case)))
+            .collect();
+        for (case, one) in batch.iter().zip(running) {
+            let failures = one.join().unwrap();
+            assert!(failures.is_empty(), "{} at {} {}: {failures:?}", case.2, case.0, case.1);
         }
     }
 }
@@ -202,17 +209,17 @@
     let kinds = [(Call::Commit, 6), (Call::List, 2), (Call::Reboot, 1), (Call::Changes, 2)];
     let before: Vec<u64> = kinds.iter().map(|(call, _)| switch.count(*call)).collect();
     order_move(&cluster, holder).await.unwrap();
-    until("moved", async || moved(&cluster).await).await;
+    wait_until("moved", async || is_moved(&cluster).await).await;
     let counts = kinds
         .iter()
         .zip(before)
-        .map(|((call, most), before)| (*call, (switch.count(*call) - before).min(*most)))
+        .map(|((call, max_calls), before)| (*call, (switch.count(*call) - before).min(*max_calls)))
         .collect();
     cluster.stop().await;
     counts
 }
 
-async fn move_under((call, at, fault): (Call, u64, Fault)) -> Vec<String> {
+async fn run_move_with_fault((call, at, fault): (Call, u64, Fault)) -> Vec<String> {
     let mut cluster = Cluster::start(Shape::default()).await;
     let holder = cluster.holder("fleet").await;
     let other = 1 - holder;
@@ -220,31 +227,31 @@
     order_move(&cluster, other).await.unwrap();
     let from = switch.count(call) + at;
     switch.plan(Plan { call, from, count: 1, fault });
-    let mut wrong = Vec::new();
-    let began = std::time::Instant::now();
-    while !moved(&cluster).await {
+    let mut failures = Vec::new();
+    let started_at = std::time::Instant::now();
+    while !is_moved(&cluster).await {
         cluster.reap();
-        if began.elapsed() > Duration::from_secs(25) {
-            wrong.push("never moved".into());
+        if started_at.elapsed() > Duration::from_secs(25) {
+            failures.push("never moved".into());
             break;
         }
         async_std::task::sleep(Duration::from_millis(20)).await;
     }
     let row = cluster.minion_row("alpha-0").await;
     if row.epoch.0 != 2 {
-        wrong.push(format!("epoch {}", row.epoch));
+        failures.push(format!("epoch {}", row.epoch));
     }
     let boots = cluster.memory.roster.now().iter().find(|i| i.name == "alpha-0").unwrap().boot;
     if boots != 2 {
-        wrong.push(format!("booted {boots} times"));
+        failures.push(format!("booted {boots} times"));
     }
     for service in ["alpha", "beta"] {
         let out = cluster.disruption(service).await.out;
         if !out.is_empty() {
-            wrong.push(format!("{service} still counts {out:?} out"));
+            failures.push(format!("{service} still counts {out:?} out"));
         }
     }
     cluster.reap();
     cluster.stop().await;
-    wrong
+    failures
 }
--- a/tests/all/pages.rs
+++ b/tests/all/pages.rs
@@ -7,18 +7,18 @@
 use std::fs;
 use strum::VariantArray;
 
-fn page(path: &str) -> String {
+fn read_page(path: &str) -> String {
     fs::read_to_string(format!("{}/{path}", env!("CARGO_MANIFEST_DIR"))).unwrap()
 }
 
-fn unknown(mistakes: &[Mistake]) -> Vec<String> {
+fn unknown_keys(mistakes: &[Mistake]) -> Vec<String> {
     let wrong = |m: &&Mistake| matches!(m.code, Code::UnknownKey | Code::UnknownSection);
     mistakes.iter().filter(wrong).map(ToString::to_string).collect()
 }
 
 /// Section and key of each row of the settings page.
-fn documented() -> Vec<(String, String)> {
-    let page = page("docs/SETTINGS-PLATFORM.md");
+fn documented_keys() -> Vec<(String, String)> {
+    let page = read_page("docs/SETTINGS-PLATFORM.md");
     let rows = page.lines().filter(|line| line.starts_with("| `"));
     rows.map(|row| {
         let mut cells = row.split('|').skip(1).map(|cell| cell.trim().trim_matches('`').to_owned());
@@ -29,7 +29,7 @@
 
 #[test]
 fn the_platforms_settings_page_has_exactly_the_keys() {
-    let keys = documented();
+    let keys = documented_keys();
     let mut nonsense = String::new();
     let mut section = String::new();
     for (of, key) in &keys {
@@ -40,7 +40,7 @@
         nonsense.push_str(&format!("{key} = ?\n"));
     }
     let mistakes = Settings::read(&nonsense).unwrap_err();
-    assert_eq!(unknown(&mistakes), Vec::<String>::new(), "documented, but not a key");
+    assert_eq!(unknown_keys(&mistakes), Vec::<String>::new(), "documented, but not a key");
     let source = include_str!("../../crates/scheduler/src/settings.rs");
     let flat: String = source.split_whitespace().collect();
     for (section, key) in &keys {
@@ -54,8 +54,8 @@
 
 /// The template's keys are known, and with values of the platform's kinds the file is right.
 #[test]
-fn the_deploy_template_makes_right_settings() {
-    let mut text = page("deploy/entry.ini");
+fn the_deploy_template_gives_valid_settings() {
+    let mut text = read_page("deploy/entry.ini");
     let values = [
         ("{{nodeName}}", "edge-1"),
         ("{{zone}}", "med-a"),
@@ -102,19 +102,19 @@
 }
 
 #[test]
-fn all_mistakes_of_the_settings_are_told_at_once() {
+fn all_mistakes_in_the_settings_are_reported_at_once() {
     let text = "[instance]\nname = a\n[peer]\nlisten = here\nrenew = 1s\ntakeover_after = 2s\n\
                 [run]\nlease = 1s\n[other]\nkey = 1\n";
     let mistakes = Settings::read(text).unwrap_err();
-    for wanted in ["zone", "listen", "store", "takeover_after", "lease", "other"] {
-        let told = mistakes.iter().any(|m| m.key == wanted || m.section == wanted);
-        assert!(told, "{wanted} is not among {mistakes:?}");
+    for expected in ["zone", "listen", "store", "takeover_after", "lease", "other"] {
+        let reported = mistakes.iter().any(|m| m.key == expected || m.section == expected);
+        assert!(reported, "{expected} is not among {mistakes:?}");
     }
 }
 
 #[test]
 fn every_counter_and_histogram_of_the_scheduler_is_explained() {
-    let page = page("docs/OPERATIONS.md");
+    let page = read_page("docs/OPERATIONS.md");
     for counter in Counter::VARIANTS {
         assert!(page.contains(&format!("`{counter}`")), "{counter}");
     }
--- a/tests/all/peers.rs
+++ b/tests/all/peers.rs
@@ -1,6 +1,6 @@
 //! Links between entries that are cut, silent, or strange.
 
-use crate::cluster::{Cluster, Shape, single, until};
+use crate::cluster::{Cluster, Shape, single, wait_until};
 use celerythread_model::request::Class;
 use celerythread_model::unit::{Revision, Span};
 use celerythread_standin::history::Told;
@@ -37,8 +37,8 @@
         assert!(matches!(done.asked.told, Told::Answer(200, _)), "{:?}", done.asked.told);
         asked.push(done.asked);
     }
-    cluster.apply(0, "c2", Revision(1), "n2").await.unwrap();
-    until("in force there too", async || cluster.config_number(1).await == 2).await;
+    cluster.apply_config(0, "c2", Revision(1), "n2").await.unwrap();
+    wait_until("in force there too", async || cluster.config_number(1).await == 2).await;
     assert_eq!(cluster.breaches(&asked), []);
     cluster.entries[1].switch.set_down(false);
     cluster.stop().await;
@@ -47,7 +47,7 @@
 /// An entry dies with slots lent to it.  They must come back, or the service shrinks with every
 /// death.
 #[async_std::test]
-async fn a_dead_borrower_gives_its_slots_back() {
+async fn slots_lent_to_a_dead_entry_are_reclaimed() {
     let shape = Shape {
         entries: 2,
         minions: vec![("alpha", 1)],
@@ -67,10 +67,10 @@
             celerythread_standin::load::send(entry, &one).await
         });
     }
-    until("all slots are lent", async || cluster.minions["alpha-0"].outstanding() == 4).await;
+    wait_until("all slots are lent", async || cluster.minions["alpha-0"].outstanding() == 4).await;
     cluster.entries[borrower].switch.set_down(true);
     cluster.kill(borrower);
-    until("the slots are free again", async || {
+    wait_until("the slots are free again", async || {
         let status = cluster.get(owner, "/v1/status").await.unwrap();
         let service = &status["services"][0];
         service["free"] == 4 && status["entries"].as_array().unwrap().len() == 1
@@ -82,7 +82,7 @@
 /// A busy peer gives up waiting for a slot just when it is granted: the exchange is over and the
 /// link is not.  The slot is never free again, and a drain of the minion never ends.
 #[async_std::test]
-async fn a_slot_granted_to_one_who_gave_up_comes_back() {
+async fn a_slot_granted_to_an_abandoned_request_is_released() {
     let shape = Shape { entries: 2, minions: vec![("alpha", 1)], floor: 0, ..Shape::default() };
     let cluster = Cluster::start(shape).await;
     let owner = cluster.owner_index("alpha-0").await;
@@ -92,7 +92,7 @@
         status["services"][0]["free"].as_u64()
     };
     // The row names the owner a moment before it hands slots out.
-    until("the owner hands out its slots", async || free().await == Some(4)).await;
+    wait_until("the owner hands out its slots", async || free().await == Some(4)).await;
     let endpoint = cluster.peer_endpoint();
     let address = cluster.entries[owner].daemon.as_ref().unwrap().peer_address();
     let link = endpoint.dial(address).await.unwrap();
@@ -111,7 +111,7 @@
     assert!(matches!(answer, Ok(Frame::Grant(_))), "{answer:?}");
     assert_eq!(free().await, Some(3));
     drop(channel);
-    until("the slot is free again", async || free().await == Some(4)).await;
+    wait_until("the slot is free again", async || free().await == Some(4)).await;
     assert!(!link.is_closed());
     cluster.stop().await;
 }
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -1,6 +1,6 @@
 //! What only real processes can show: kill, stop and continue, SIGTERM, idle cost.
 
-use crate::cluster::{single, until};
+use crate::cluster::{single, wait_until};
 use async_std::task;
 use celerythread_platform::message::Role;
 use celerythread_standin::fault::Fault;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Everything faster than in production, in the same proportions.
-async fn start(name: &str, entries: usize, minions: usize) -> Fleet {
+async fn start_fleet(name: &str, entries: usize, minions: usize) -> Fleet {
     let shape = Shape {
         daemon: env!("CARGO_BIN_EXE_celerythreadd").into(),
         name: name.into(),
@@ -32,14 +32,14 @@
     Fleet::start(shape).await.unwrap()
 }
 
-fn signal(fleet: &Fleet, index: usize, signal: &str) {
+fn send_signal(fleet: &Fleet, index: usize, signal: &str) {
     let id = fleet.daemons[index].child.id().to_string();
     let done = Command::new("kill").args([signal, &id]).status().unwrap();
     assert!(done.success());
 }
 
 /// Sends one after the other until told to stop, each to the next living entry.
-async fn send_some(fleet: &Fleet, prefix: &str, count: usize, alive: &[usize]) -> Vec<Asked> {
+async fn send_requests(fleet: &Fleet, prefix: &str, count: usize, alive: &[usize]) -> Vec<Asked> {
     let mut asked = Vec::new();
     for n in 0..count {
         let mut one = single(&format!("{prefix}-{n}"), "alpha");
@@ -54,20 +54,20 @@
 /// get new owners, and nothing that must run at most once runs twice.
 #[async_std::test]
 async fn a_killed_entry_is_replaced() {
-    let mut fleet = start("kill", 3, 3).await;
-    let mut asked = send_some(&fleet, "before", 30, &[0, 1, 2]).await;
-    signal(&fleet, 0, "-KILL");
+    let mut fleet = start_fleet("kill", 3, 3).await;
+    let mut asked = send_requests(&fleet, "before", 30, &[0, 1, 2]).await;
+    send_signal(&fleet, 0, "-KILL");
     let dead = fleet.daemons.remove(0);
     fleet.platform.memory.roster.remove(&dead.name);
-    asked.extend(send_some(&fleet, "during", 60, &[0, 1]).await);
+    asked.extend(send_requests(&fleet, "during", 60, &[0, 1]).await);
     fleet.all_owned().await.unwrap();
-    asked.extend(send_some(&fleet, "after", 60, &[0, 1]).await);
+    asked.extend(send_requests(&fleet, "after", 60, &[0, 1]).await);
     let after: Vec<&Asked> = asked.iter().filter(|one| one.id.starts_with("after")).collect();
     for one in after {
         assert!(matches!(one.told, Told::Answer(200, _)), "{}: {:?}", one.id, one.told);
     }
     assert_eq!(history::check(&asked, &fleet.runs()), []);
-    until("the dead one leaves the registry", async || {
+    wait_until("the dead one leaves the registry", async || {
         let status = get(fleet.daemons[0].operators, "/v1/status").await.unwrap();
         status["entries"].as_array().unwrap().len() == 2
     })
@@ -78,11 +78,11 @@
 /// an old lease nor hand out slots that were taken over, nor go back to an old configuration.
 #[async_std::test]
 async fn a_paused_entry_that_wakes_up_does_no_harm() {
-    let fleet = start("pause", 3, 3).await;
-    let mut asked = send_some(&fleet, "before", 30, &[0, 1, 2]).await;
-    signal(&fleet, 0, "-STOP");
+    let fleet = start_fleet("pause", 3, 3).await;
+    let mut asked = send_requests(&fleet, "before", 30, &[0, 1, 2]).await;
+    send_signal(&fleet, 0, "-STOP");
     let paused = fleet.daemons[0].entry.clone();
-    until("what it owned is taken over", async || {
+    wait_until("what it owned is taken over", async || {
         let mut taken = true;
         for name in fleet.minions.keys() {
             let row = fleet.ownership(name).await.unwrap();
@@ -91,14 +91,14 @@
         taken
     })
     .await;
-    asked.extend(send_some(&fleet, "during", 30, &[1, 2]).await);
+    asked.extend(send_requests(&fleet, "during", 30, &[1, 2]).await);
     let body = json!({ "wave": "w", "author": "test" });
     let operators = fleet.daemons[1].operators;
     post(operators, "/v1/maintenance", &body).await.unwrap();
     task::sleep(Duration::from_secs(1)).await;
-    signal(&fleet, 0, "-CONT");
-    asked.extend(send_some(&fleet, "woken", 60, &[0, 1, 2]).await);
-    until("the wave is done", async || {
+    send_signal(&fleet, 0, "-CONT");
+    asked.extend(send_requests(&fleet, "woken", 60, &[0, 1, 2]).await);
+    wait_until("the wave is done", async || {
         let waves = get(operators, "/v1/maintenance").await.unwrap_or_default();
         waves[0]["progress"] == "done"
     })
@@ -120,7 +120,7 @@
 /// SIGTERM under load: exit 0, and not a request cut off.
 #[async_std::test]
 async fn sigterm_under_load_cuts_off_nothing() {
-    let mut fleet = start("term", 2, 2).await;
+    let mut fleet = start_fleet("term", 2, 2).await;
     let entry = fleet.daemons[0].callers;
     let sending: Vec<_> = (0..6)
         .map(|n| {
@@ -131,8 +131,8 @@
             })
         })
         .collect();
-    until("some are on a minion", async || !fleet.runs().is_empty()).await;
-    signal(&fleet, 0, "-TERM");
+    wait_until("some are on a minion", async || !fleet.runs().is_empty()).await;
+    send_signal(&fleet, 0, "-TERM");
     let mut asked = Vec::new();
     for one in sending {
         asked.push(one.await);
@@ -145,7 +145,7 @@
     for one in &asked {
         assert!(matches!(one.told, Told::Answer(200, _)), "{}: {:?}", one.id, one.told);
     }
-    asked.extend(send_some(&fleet, "after", 10, &[0]).await);
+    asked.extend(send_requests(&fleet, "after", 10, &[0]).await);
     assert_eq!(history::check(&asked, &fleet.runs()), []);
     let status = get(fleet.daemons[0].operators, "/v1/status").await.unwrap();
     assert_eq!(status["entries"].as_array().unwrap().len(), 1);
@@ -153,22 +153,22 @@
 
 /// The platform is down for a while: every entry goes on serving, and is well afterwards.
 #[async_std::test]
-async fn an_outage_of_the_platform_is_survived() {
-    let fleet = start("outage", 2, 2).await;
+async fn entries_serve_through_a_platform_outage() {
+    let fleet = start_fleet("outage", 2, 2).await;
     fleet.platform.set_fault(Fault::Hang);
-    let mut asked = send_some(&fleet, "during", 60, &[0, 1]).await;
+    let mut asked = send_requests(&fleet, "during", 60, &[0, 1]).await;
     for one in &asked {
         assert!(matches!(one.told, Told::Answer(200, _)), "{}: {:?}", one.id, one.told);
     }
     fleet.platform.set_fault(Fault::None);
-    asked.extend(send_some(&fleet, "after", 20, &[0, 1]).await);
+    asked.extend(send_requests(&fleet, "after", 20, &[0, 1]).await);
     assert_eq!(history::check(&asked, &fleet.runs()), []);
 }
 
 /// Resident memory of an idle daemon, in bytes; the bound of 40 MB is the product's promise.
 #[async_std::test]
-async fn an_idle_daemon_is_small() {
-    let fleet = start("idle", 2, 2).await;
+async fn an_idle_daemon_stays_below_40_mb() {
+    let fleet = start_fleet("idle", 2, 2).await;
     task::sleep(Duration::from_secs(1)).await;
     let statm = format!("/proc/{}/statm", fleet.daemons[0].child.id());
     let pages: u64 = fs::read_to_string(statm).unwrap().split(' ').nth(1).unwrap().parse().unwrap();
--- a/tests/all/programs.rs
+++ b/tests/all/programs.rs
@@ -19,11 +19,11 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-fn doc(name: &str) -> String {
+fn read_doc(name: &str) -> String {
     fs::read_to_string(format!("{}/docs/{name}", env!("CARGO_MANIFEST_DIR"))).unwrap()
 }
 
-fn file(name: &str, content: &str) -> String {
+fn write_temp_file(name: &str, content: &str) -> String {
     let name = format!("celerythread-{}-{name}", std::process::id());
     let path = std::env::temp_dir().join(name);
     fs::write(&path, content).unwrap();
@@ -34,7 +34,7 @@
 /// number.
 #[test]
 fn check_prints_all_ten_mistakes() {
-    let path = file(
+    let path = write_temp_file(
         "ten.ini",
         "[instance]\nname = NOT AN ID\nzone = z\ncolour = blue\n\
          [caller]\nlisten = everywhere\nbody_limit = 9GiB\nhead_timeout = soon\n\
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_example_settings_are_right() {
+fn the_example_settings_are_valid() {
     let path = format!("{}/examples/entry.ini", env!("CARGO_MANIFEST_DIR"));
     let output = run(env!("CARGO_BIN_EXE_celerythreadd"), &["--settings", &path, "--check"]);
     assert!(output.status.success(), "{}", text(&output.stderr));
@@ -120,9 +120,9 @@
 }
 
 #[test]
-fn the_result_codes_page_is_the_programs_table() {
+fn the_result_codes_page_matches_the_program() {
     let printed = text(&ctl(&["codes"]).stdout);
-    let page = doc("RESULT-CODES.md");
+    let page = read_doc("RESULT-CODES.md");
     assert!(page.contains(printed.trim()), "print it anew with: celerythread codes");
     for code in Code::VARIANTS {
         assert!(page.contains(&format!("| {} | {code} |", code.number())));
@@ -132,7 +132,7 @@
 /// Every key of the settings reader stands in docs/SETTINGS.md, and no other.
 #[test]
 fn the_settings_page_has_exactly_the_keys() {
-    let page = doc("SETTINGS.md");
+    let page = read_doc("SETTINGS.md");
     let mut documented = Vec::new();
     for line in page.lines().filter(|line| line.starts_with("| `")) {
         let mut cells = line.split('|').map(|cell| cell.trim().trim_matches('`'));
@@ -157,14 +157,14 @@
         .collect();
     assert!(unknown.is_empty(), "documented, but not a key: {unknown:?}");
     let source = include_str!("../../crates/entry/src/settings.rs");
-    for (section, key) in keys_in(source) {
+    for (section, key) in keys_in_source(source) {
         let known = documented.contains(&(section.clone(), key.clone()));
         assert!(known, "[{section}] {key} is not in docs/SETTINGS.md");
     }
 }
 
 /// The pairs of string literals that the reader is asked for, from its source.
-fn keys_in(source: &str) -> Vec<(String, String)> {
+fn keys_in_source(source: &str) -> Vec<(String, String)> {
     let flat: String = source.split_whitespace().collect::<Vec<_>>().join(" ");
     let mut keys = Vec::new();
     for part in flat.split("reader").skip(1) {
@@ -183,7 +183,7 @@
 
 #[test]
 fn every_counter_is_explained() {
-    let page = doc("operations/alarms.md");
+    let page = read_doc("operations/alarms.md");
     for counter in Counter::VARIANTS {
         assert!(page.contains(&format!("`{counter}`")), "{counter} is not explained");
     }
@@ -215,20 +215,20 @@
 /// The fault page is printed from the list of proofs, and every proof it names is a test.
 #[test]
 fn the_faults_page_is_current() {
-    let printed = crate::faults::page();
+    let printed = crate::faults::render_page();
     if std::env::var_os("PRINT_FAULTS").is_some() {
         let path = format!("{}/docs/FAULTS.md", env!("CARGO_MANIFEST_DIR"));
         fs::write(path, &printed).unwrap();
         return;
     }
     assert!(
-        doc("FAULTS.md") == printed,
+        read_doc("FAULTS.md") == printed,
         "print it anew: PRINT_FAULTS=1 cargo test the_faults_page"
     );
 }
 
 #[test]
-fn every_proof_named_is_a_test() {
+fn every_test_named_on_the_faults_page_exists() {
     let mut sources = String::new();
     let root = env!("CARGO_MANIFEST_DIR");
     let mut folders = ["tests", "platform/tests"].map(|name| Path::new(root).join(name)).to_vec();
--- a/tests/all/requests.rs
+++ b/tests/all/requests.rs
@@ -1,6 +1,6 @@
 //! Whole answers to the right caller, and "not run" only where it is true.
 
-use crate::cluster::{Cluster, Shape, loopback, single, until};
+use crate::cluster::{Cluster, Shape, loopback, single, wait_until};
 use assert_matches::assert_matches;
 use celerythread_model::code::Code;
 use celerythread_model::request::{Class, Outcome};
@@ -16,12 +16,12 @@
     Shape { entries: 1, minions: vec![("alpha", 1)], floor: 0, ..Shape::default() }
 }
 
-fn once(id: &str) -> Single {
+fn non_idempotent(id: &str) -> Single {
     Single { idempotent: false, ..single(id, "alpha") }
 }
 
 #[async_std::test]
-async fn mixed_load_through_every_entry_keeps_the_promises() {
+async fn mixed_load_through_every_entry_is_all_answered() {
     // Queues and deadlines that hold everything: all must be answered, however slow the machine
     // that runs the test is.
     let shape = Shape { entries: 3, zones: 3, extra: "queue_per_slot = 1000", ..Shape::default() };
@@ -45,10 +45,10 @@
 /// caller must not get a 200.  An idempotent request may be asked again elsewhere, a
 /// non-idempotent one must be told that it ran.
 #[async_std::test]
-async fn a_broken_answer_never_looks_whole() {
+async fn a_truncated_answer_is_never_passed_on_as_complete() {
     let cluster = Cluster::start(one_minion()).await;
     cluster.minions["alpha-0"].set_mode(Mode::Truncate);
-    let done = cluster.send(0, &once("a")).await;
+    let done = cluster.send(0, &non_idempotent("a")).await;
     assert_matches!(done.asked.told, Told::Refused(1020, Some(Outcome::Run)));
     let again = cluster.send(0, &single("b", "alpha")).await;
     assert_matches!(again.asked.told, Told::Refused(_, Some(Outcome::Run)));
@@ -81,7 +81,7 @@
     assert_matches!(&whole.asked.told, Told::Answer(200, body) if body.len() > 6 << 20);
     assert_eq!(cluster.breaches(&[whole.asked]), []);
     minion.set_mode(Mode::Truncate);
-    let broken = cluster.send(0, &once("broken")).await;
+    let broken = cluster.send(0, &non_idempotent("broken")).await;
     assert_matches!(broken.asked.told, Told::Broken);
     cluster.stop().await;
 }
@@ -92,7 +92,7 @@
 async fn a_refused_connection_is_not_run() {
     let mut cluster = Cluster::start(one_minion()).await;
     cluster.minions.clear();
-    let done = cluster.send(0, &once("a")).await;
+    let done = cluster.send(0, &non_idempotent("a")).await;
     assert_matches!(done.asked.told, Told::Refused(1014, Some(Outcome::NotRun)));
     cluster.stop().await;
 }
@@ -104,10 +104,10 @@
     let shape = Shape { extra: "progress = 200ms", ..one_minion() };
     let cluster = Cluster::start(shape).await;
     cluster.minions["alpha-0"].set_mode(Mode::Hang);
-    let began = Instant::now();
-    let done = cluster.send(0, &once("a")).await;
+    let started_at = Instant::now();
+    let done = cluster.send(0, &non_idempotent("a")).await;
     assert_matches!(done.asked.told, Told::Refused(1021, Some(Outcome::Unknown)));
-    assert!(began.elapsed() < Duration::from_secs(4), "held back until near the deadline");
+    assert!(started_at.elapsed() < Duration::from_secs(4), "held back until near the deadline");
     assert_eq!(cluster.runs().len(), 1);
     cluster.stop().await;
 }
@@ -116,7 +116,7 @@
 /// track of them.  Idempotent requests on kept connections must be sent again on new ones, and
 /// non-idempotent ones never go onto a kept one at all.
 #[async_std::test]
-async fn forgotten_connections_lose_no_request() {
+async fn silently_dropped_connections_lose_no_request() {
     let shape = Shape {
         entries: 1,
         minions: vec![("alpha", 0)],
@@ -124,7 +124,7 @@
         extra: "progress = 200ms",
         ..Shape::default()
     };
-    let mut cluster = Cluster::bare(shape).await;
+    let mut cluster = Cluster::without_entries(shape).await;
     let minion = Minion::start(loopback(), Duration::from_millis(5)).await.unwrap();
     let link = Link::tcp(loopback(), minion.server.address()).await.unwrap();
     let listed = Instance {
@@ -136,7 +136,7 @@
     cluster.minions.insert("alpha-0".into(), minion);
     cluster.start_entry(0).await;
     cluster.configure().await;
-    cluster.settled().await;
+    cluster.wait_until_owned().await;
     let mut asked = Vec::new();
     for round in 0..3 {
         for n in 0..4 {
@@ -144,7 +144,7 @@
             asked.push(warm.asked);
         }
         link.forget();
-        let unique = cluster.send(0, &once(&format!("once{round}"))).await;
+        let unique = cluster.send(0, &non_idempotent(&format!("once{round}"))).await;
         assert_matches!(unique.asked.told, Told::Answer(200, _));
         asked.push(unique.asked);
     }
@@ -154,7 +154,7 @@
     assert_eq!(cluster.breaches(&asked), []);
     // Everything goes silent, new connections too: still told, and still true.
     link.set(LinkMode::Silent);
-    let lost = cluster.send(0, &once("lost")).await;
+    let lost = cluster.send(0, &non_idempotent("lost")).await;
     assert_matches!(lost.asked.told, Told::Refused(1021, Some(Outcome::Unknown)));
     link.set(LinkMode::Pass);
     cluster.stop().await;
@@ -171,11 +171,11 @@
     let cluster = Cluster::start(shape).await;
     let minion = &cluster.minions["alpha-0"];
     minion.set_duration(Duration::from_millis(400));
-    let hasty = Single { deadline: Span::millis(150), ..single("hasty", "alpha") };
-    let given_up = cluster.send(0, &hasty).await;
-    assert_matches!(given_up.asked.told, Told::Refused(_, Some(Outcome::Unknown)));
+    let short_deadline = Single { deadline: Span::millis(150), ..single("hasty", "alpha") };
+    let abandoned = cluster.send(0, &short_deadline).await;
+    assert_matches!(abandoned.asked.told, Told::Refused(_, Some(Outcome::Unknown)));
     minion.set_duration(Duration::from_millis(5));
-    let mut asked = vec![given_up.asked];
+    let mut asked = vec![abandoned.asked];
     for n in 0..20 {
         asked.push(cluster.send(0, &single(&format!("r{n}"), "alpha")).await.asked);
     }
@@ -184,7 +184,7 @@
 }
 
 #[async_std::test]
-async fn what_a_caller_says_wrong_gets_its_number() {
+async fn invalid_request_headers_get_their_result_codes() {
     use celerythread_http::client;
     let cluster = Cluster::start(one_minion()).await;
     let address = cluster.entries[0].callers;
@@ -213,7 +213,7 @@
 
 /// A minion that fails everything at once is free again at once, and would draw all the work.
 #[async_std::test]
-async fn a_fast_failing_minion_draws_no_more_than_its_share() {
+async fn a_fast_failing_minion_gets_no_more_than_its_share() {
     let shape = Shape {
         entries: 1,
         minions: vec![("alpha", 4)],
@@ -245,7 +245,7 @@
 /// A saturated service: what cannot be started by its deadline is refused at once, as not run,
 /// with a time to come back.
 #[async_std::test]
-async fn overload_is_refused_at_once_with_a_time_to_come_back() {
+async fn overload_is_refused_at_once_with_retry_after() {
     let shape = Shape { duration: Duration::from_millis(200), slots: 1, ..one_minion() };
     let cluster = Cluster::start(shape).await;
     let plan = Plan {
@@ -287,8 +287,8 @@
     let report = load::run(&plan).await;
     assert_eq!(cluster.breaches(&report.asked()), []);
     for (name, minion) in &cluster.minions {
-        let most = minion.record().most_outstanding;
-        assert!(most <= 4, "{name} had {most} at one moment");
+        let max_outstanding = minion.record().most_outstanding;
+        assert!(max_outstanding <= 4, "{name} had {max_outstanding} at one moment");
     }
     cluster.stop().await;
 }
@@ -315,6 +315,6 @@
     }
     statuses.sort_unstable();
     assert_eq!(statuses, [200, 200, 429, 429, 429]);
-    until("the quota is given back", async || ask().await == 200).await;
+    wait_until("the quota is given back", async || ask().await == 200).await;
     cluster.stop().await;
 }
--- a/tests/all/stop.rs
+++ b/tests/all/stop.rs
@@ -1,6 +1,6 @@
 //! A planned stop cuts off no request.
 
-use crate::cluster::{Cluster, Shape, single, until};
+use crate::cluster::{Cluster, Shape, single, wait_until};
 use celerythread_standin::history::Told;
 use celerythread_standin::load;
 use std::sync::Arc;
@@ -13,21 +13,21 @@
 async fn a_stop_under_load_cuts_off_nothing() {
     let shape = Shape { entries: 3, duration: Duration::from_millis(60), ..Shape::default() };
     let mut cluster = Cluster::start(shape).await;
-    let balanced: Vec<Arc<AtomicBool>> =
+    let in_rotation: Vec<Arc<AtomicBool>> =
         cluster.entries.iter().map(|_| Arc::new(AtomicBool::new(true))).collect();
-    let over = Arc::new(AtomicBool::new(false));
+    let stopped = Arc::new(AtomicBool::new(false));
     let mut callers = Vec::new();
     for worker in 0..6 {
         let entries: Vec<_> = cluster.entries.iter().map(|entry| entry.callers).collect();
-        let (balanced, over) = (balanced.clone(), over.clone());
+        let (in_rotation, stopped) = (in_rotation.clone(), stopped.clone());
         callers.push(async_std::task::spawn(async move {
             let mut done = Vec::new();
             let mut n = 0;
-            while !over.load(Ordering::SeqCst) {
+            while !stopped.load(Ordering::SeqCst) {
                 // The balancer sends to entries that are ready.
                 let index = (0..entries.len())
                     .map(|i| (i + n + worker) % entries.len())
-                    .find(|i| balanced[*i].load(Ordering::SeqCst));
+                    .find(|i| in_rotation[*i].load(Ordering::SeqCst));
                 let mut one = single(&format!("{worker}-{n}"), "alpha");
                 one.idempotent = n % 2 == 0;
                 done.push(load::send(entries[index.unwrap()], &one).await);
@@ -39,7 +39,7 @@
     async_std::task::sleep(Duration::from_millis(400)).await;
     // The balancer looks at readiness now and then, so it learns of the stop only later.
     let daemon = cluster.entries[0].daemon.take().unwrap();
-    let unready = balanced[0].clone();
+    let unready = in_rotation[0].clone();
     let looking = async_std::task::spawn(async move {
         async_std::task::sleep(Duration::from_millis(20)).await;
         unready.store(false, Ordering::SeqCst);
@@ -48,7 +48,7 @@
     looking.await;
     assert_eq!((report.unanswered, report.unsettled, report.left), (0, 0, true));
     async_std::task::sleep(Duration::from_millis(400)).await;
-    over.store(true, Ordering::SeqCst);
+    stopped.store(true, Ordering::SeqCst);
     let mut asked = Vec::new();
     for caller in callers {
         for done in caller.await {
@@ -60,7 +60,7 @@
     assert!(asked.len() > 50);
     assert_eq!(cluster.breaches(&asked), []);
     // What it owned was handed back, with nobody to be waited for.
-    until("its minions are owned anew", async || {
+    wait_until("its minions are owned anew", async || {
         let mut owned = true;
         for name in cluster.minions.keys() {
             let row = cluster.ownership(name).await.unwrap();
--- a/tests/all/timeline.rs
+++ b/tests/all/timeline.rs
@@ -1,6 +1,6 @@
 //! The time line over all processes, and the command line's way to the entries.
 
-use crate::cluster::{Cluster, Shape, until};
+use crate::cluster::{Cluster, Shape, wait_until};
 use celerythread::client::Client;
 use celerythread::plot;
 use celerythread_model::event::{self, Event, Kind};
@@ -9,7 +9,7 @@
 use std::fs;
 use std::process::{Command, Stdio};
 
-async fn merged(cluster: &Cluster) -> Vec<Event> {
+async fn merged_events(cluster: &Cluster) -> Vec<Event> {
     let mut events = Vec::new();
     for index in 0..cluster.entries.len() {
         let own = cluster.get(index, "/v1/timeline").await.unwrap();
@@ -21,19 +21,19 @@
 /// An operator reads that a configuration was in force before it was accepted, because one
 /// instance's clock is ahead.  The order must be that of cause and effect.
 #[async_std::test]
-async fn no_effect_stands_before_its_cause() {
+async fn the_merged_timeline_is_in_causal_order() {
     let cluster = Cluster::start(Shape { entries: 3, zones: 3, ..Shape::default() }).await;
     for number in 2..6 {
         let index = number as usize % 3;
         cluster
-            .apply(index, &format!("c{number}"), Revision(number - 1), &format!("n{number}"))
+            .apply_config(index, &format!("c{number}"), Revision(number - 1), &format!("n{number}"))
             .await
             .unwrap();
         for entry in 0..3 {
-            until("in force", async || cluster.config_number(entry).await >= number).await;
+            wait_until("in force", async || cluster.config_number(entry).await >= number).await;
         }
     }
-    let events = merged(&cluster).await;
+    let events = merged_events(&cluster).await;
     for number in 2..6 {
         let accepted = events.iter().position(
             |e| matches!(&e.kind, Kind::ConfigAccepted { number: n, .. } if n.0 == number),
@@ -67,7 +67,7 @@
 /// On call, there are only log files.  What entries did and believed must come out in the order of
 /// time over all files, without the thousands of lines about single jobs.
 #[test]
-fn a_time_line_is_made_of_log_files() {
+fn a_timeline_is_built_from_log_files() {
     let line = |second: u32, message: &str, fields: &str| {
         format!(
             "{{\"timestamp\":\"2026-03-01T00:00:{second:02}Z\",\"message\":\"{message}\",\"kvs\":{{{fields}}}}}\n"
@@ -102,7 +102,7 @@
 
 /// `celerythread timeline night.log | head` ended with a backtrace: the reader had gone.
 #[test]
-fn a_reader_that_has_had_enough_is_no_failure() {
+fn a_closed_output_pipe_is_not_a_failure() {
     let path = std::env::temp_dir().join(format!("ct-long-{}.log", std::process::id()));
     let line = "{\"timestamp\":\"2026-03-01T00:00:00Z\",\"message\":\"store_lost\",\"kvs\":{}}\n";
     // More than a pipe holds.
