--- a/tests/all/claims.rs
+++ b/tests/all/claims.rs
@@ -1,4 +1,4 @@
-//! Keyed requests: at most one run, whatever the platform does.
+//! Keyed requests run at most once, whatever faults the platform has.
 
 use crate::cluster::{Cluster, FAULTS, Shape, single, spawn_thread, wait_until};
 use assert_matches::assert_matches;
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 fn keyed(id: &str, key: &str) -> Single {
-    // The body belongs to the key: a repeat is the same request.
+    // The body is the key, so that every repeat under the key is the same request.
     Single {
         key: Some(key.into()),
         idempotent: false,
@@ -20,15 +20,15 @@
     }
 }
 
-/// A chain pays twice: its client repeats a scoring run at another entry because the first
-/// answer was late.  The repeat gets the first run's answer.
+/// Guards against a second run when a client repeats a request at another entry because the first
+/// answer was late: the repeat must get the first run's answer.
 #[async_std::test]
 async fn a_repeat_at_another_entry_gets_the_stored_answer() {
     let cluster = Cluster::start(Shape::default()).await;
     let first = cluster.send(0, &keyed("a", "k")).await;
     assert_matches!(&first.asked.told, Told::Answer(200, _));
     let mut last = None;
-    wait_until("the answer is kept", async || {
+    wait_until("the answer is stored", async || {
         last = Some(cluster.send(1, &keyed("b", "k")).await);
         matches!(last.as_ref().unwrap().asked.told, Told::Answer(200, _))
     })
@@ -47,9 +47,9 @@
     }
     let first = cluster.send(0, &keyed("a", "k")).await;
     let Told::Answer(200, body) = &first.asked.told else { panic!("{:?}", first.asked.told) };
-    wait_until("the answer is kept", async || {
+    wait_until("the answer is stored", async || {
         let again = cluster.send(1, &keyed("b", "k")).await;
-        matches!(&again.asked.told, Told::Answer(200, kept) if kept == body)
+        matches!(&again.asked.told, Told::Answer(200, stored) if stored == body)
     })
     .await;
     assert_eq!(cluster.runs().len(), 1);
@@ -64,7 +64,7 @@
     let first = async_std::task::spawn(async move {
         celerythread_standin::load::send(entry, &keyed("a", "k")).await
     });
-    wait_until("the first runs", async || !cluster.runs().is_empty()).await;
+    wait_until("the first request runs", async || !cluster.runs().is_empty()).await;
     let repeat = cluster.send(1, &keyed("b", "k")).await;
     assert_matches!(repeat.asked.told, Told::Refused(1017, Some(Outcome::Unknown)));
     assert!(repeat.retry_after_ms.is_some());
@@ -83,8 +83,9 @@
     cluster.stop().await;
 }
 
-/// A write-down is booked twice: the entry dies while it runs, and the shop asks another entry
-/// under the same key.  Nobody can tell whether it ran, and that is what it must be told.
+/// Guards against a write-down that is booked twice: the entry dies while the request runs, and the
+/// caller repeats it at another entry under the same key.  Whether it ran can't be known, so the
+/// repeat must be refused with the outcome unknown.
 #[async_std::test]
 async fn a_dead_entrys_claim_is_never_run_again() {
     let mut cluster =
@@ -93,11 +94,11 @@
     async_std::task::spawn(async move {
         celerythread_standin::load::send(entry, &keyed("a", "k")).await
     });
-    wait_until("the first runs", async || !cluster.runs().is_empty()).await;
+    wait_until("the first request runs", async || !cluster.runs().is_empty()).await;
     let dead = cluster.entries[0].daemon.as_ref().unwrap().id().to_string();
     cluster.entries[0].switch.set_down(true);
     cluster.kill(0);
-    wait_until("the dead entry is cleared from the registry", async || {
+    wait_until("the dead entry is removed from the registry", async || {
         let status = cluster.get(1, "/v1/status").await.unwrap();
         !status["entries"].to_string().contains(&dead)
     })
@@ -108,8 +109,8 @@
     cluster.stop().await;
 }
 
-/// During a platform outage a claim cannot be recorded: refused as not run, at once, with a
-/// time to come back; requests without a key go on being served.
+/// During a platform outage claims can't be recorded: a keyed request is refused as not run, at
+/// once and with a Retry-After; requests without a key are still served.
 #[async_std::test]
 async fn an_outage_refuses_keyed_requests_and_serves_the_others() {
     let cluster = Cluster::start(Shape::default()).await;
@@ -138,7 +139,7 @@
     cluster.stop().await;
 }
 
-/// A request refused before it was sent leaves its key free for the next try.
+/// A request refused before it was sent releases its key, so that a retry can run.
 #[async_std::test]
 async fn a_request_that_was_not_run_releases_its_key() {
     let cluster = Cluster::start(Shape { entries: 1, ..Shape::default() }).await;
@@ -146,7 +147,7 @@
         Single { deadline: celerythread_model::unit::Span::millis(1), ..keyed("a", "k") };
     let refused = cluster.send(0, &short_deadline).await;
     if let Told::Refused(_, Some(Outcome::NotRun)) = refused.asked.told {
-        wait_until("the key is free", async || {
+        wait_until("the key is released", async || {
             let again = cluster.send(0, &keyed("b", "k")).await;
             matches!(again.asked.told, Told::Answer(200, _))
         })
@@ -156,8 +157,8 @@
     cluster.stop().await;
 }
 
-/// Every fault at every call of a keyed request, then repeats under the same key at both
-/// entries until one is answered or known to be unknown.
+/// Injects every fault at every commit of a keyed request, then repeats it under the same key at
+/// both entries until one is answered or refused with the outcome unknown.
 #[async_std::test]
 async fn every_fault_at_every_call_of_a_claim() {
     let mut outcomes = Vec::new();
@@ -175,8 +176,8 @@
 async fn run_claim_with_fault(fault: Fault, at: u64) -> Vec<String> {
     let mut cluster = Cluster::start(Shape::default()).await;
     let switch = cluster.entries[0].switch.clone();
-    // Only claims are on their way now and then lease renewals: both are struck, so that the
-    // claim meets the fault wherever it stands in the order.
+    // The only commits are claims and occasional lease renewals; the fault hits two in a row, so
+    // that the claim is hit in whichever order they come.
     let from = switch.count(Call::Commit) + at;
     switch.plan(Plan { call: Call::Commit, from, count: 2, fault });
     let mut asked = vec![cluster.send_with_timeout(0, &keyed("first", "k")).await];
@@ -196,12 +197,12 @@
     let mut breaches: Vec<String> = cluster
         .breaches(&asked)
         .iter()
-        // A killed entry tells its caller nothing; that is not the promise under test.
+        // A killed entry can't answer its caller; this test doesn't check for that.
         .filter(|breach| !matches!(breach, celerythread_standin::history::Breach::Untold(_)))
         .map(ToString::to_string)
         .collect();
     if !resolved {
-        breaches.push("never answered or known to be unknown".into());
+        breaches.push("neither answered nor refused with the outcome unknown".into());
     }
     cluster.reap();
     cluster.stop().await;
@@ -209,7 +210,8 @@
 }
 
 impl Cluster {
-    /// Sends a request to an entry that may die over it.
+    /// Sends a request to an entry that may die while it handles it; without an answer within 8 s
+    /// it counts as broken.
     pub(crate) async fn send_with_timeout(
         &mut self,
         index: usize,
@@ -230,8 +232,7 @@
     }
 }
 
-/// Claims are kept for as long as the configuration says and then cleared; those that are young
-/// stay.
+/// Claims are stored for as long as the configuration says, then deleted; recent ones remain.
 #[async_std::test]
 async fn expired_claims_are_deleted_and_recent_ones_remain() {
     use celerythread_model::table::Space;
@@ -255,7 +256,7 @@
     cluster.memory.table.commit(transaction).await.unwrap();
     let mut cluster = cluster;
     cluster.start_entry(0).await;
-    wait_until("old claims are cleared", async || {
+    wait_until("expired claims are deleted", async || {
         let rows = cluster.memory.table.changes(Space::Claim, Revision(0)).await.unwrap().rows;
         let left: Vec<&str> =
             rows.iter().filter(|row| row.value.is_some()).map(|row| row.key.as_str()).collect();
@@ -265,7 +266,7 @@
     cluster.stop().await;
 }
 
-/// An unkeyed non-idempotent request goes out once, whatever its answer.
+/// A non-idempotent request without a key is sent once, whatever the answer.
 #[async_std::test]
 async fn an_unkeyed_request_is_sent_once() {
     let cluster = Cluster::start(Shape { extra: "progress = 200ms", ..Shape::default() }).await;
--- a/tests/all/config.rs
+++ b/tests/all/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: in force everywhere, and never an older one again.
+//! Configuration: an accepted one comes into force at every entry and is never reverted.
 
 use crate::cluster::{Cluster, Shape, has_code, spawn_thread, wait_until};
 use celerythread_model::code::Code;
@@ -6,7 +6,7 @@
 use celerythread_standin::fault::Fault;
 use celerythread_standin::faulty::{Call, Plan};
 
-/// Reads each entry's number over and over; fails when one goes back.
+/// Polls the number of the configuration in force at each entry; fails if one decreases.
 struct ConfigWatch {
     highest: Vec<u64>,
 }
@@ -22,7 +22,10 @@
                 continue;
             }
             let number = cluster.config_number(index).await;
-            assert!(number >= self.highest[index], "entry {index} went back to {number}");
+            assert!(
+                number >= self.highest[index],
+                "entry {index} reverted to configuration {number}"
+            );
             self.highest[index] = number;
         }
     }
@@ -53,14 +56,14 @@
     cluster.stop().await;
 }
 
-/// Two operators change the same configuration at once; one's change is silently lost.  The
-/// second must be refused with what the first has changed.
+/// Guards against a lost update: of several operators who change the same configuration
+/// concurrently, all but the first must be refused with a diff of what the first has changed.
 #[async_std::test]
 async fn only_one_of_several_concurrent_changes_is_accepted() {
     let cluster = Cluster::start(Shape { entries: 3, ..Shape::default() }).await;
     let results = apply_concurrently(&cluster).await;
-    let won = results.iter().filter(|answer| answer.is_ok()).count();
-    assert_eq!(won, 1, "{results:?}");
+    let accepted = results.iter().filter(|answer| answer.is_ok()).count();
+    assert_eq!(accepted, 1, "{results:?}");
     for answer in &results {
         if let Err(error) = answer {
             assert!(has_code(error, Code::StaleBase), "{error:?}");
@@ -84,8 +87,9 @@
     vec![a, b, c]
 }
 
-/// An operator's change is made twice, the second time over another's: the first answer was
-/// lost and the operator repeated it.  The same change id is the same change, for good.
+/// Guards against a change that is applied twice, the second time over another operator's change:
+/// the first answer was lost and the operator repeated the change.  A change id stands for the same
+/// change forever.
 #[async_std::test]
 async fn a_repeated_change_is_applied_once() {
     let cluster = Cluster::start(Shape::default()).await;
@@ -104,8 +108,8 @@
     cluster.stop().await;
 }
 
-/// A zone is cut off from the platform and its entries go on with an old configuration although
-/// their peers have the new one.  They must get it from the peers.
+/// Entries of a zone that is cut off from the platform must get a new configuration from their
+/// peers instead of staying with the old one.
 #[async_std::test]
 async fn an_entry_cut_off_from_the_platform_gets_the_configuration_from_its_peers() {
     let cluster = Cluster::start(Shape { entries: 3, zones: 3, ..Shape::default() }).await;
@@ -119,14 +123,15 @@
     cluster.stop().await;
 }
 
-/// A new instance serves with no configuration, or an old one, because it starts during an
-/// outage.  It must wait instead.
+/// An entry that starts during an outage must not become ready, since it would serve without a
+/// configuration or with an old one.
 #[async_std::test]
 async fn an_entry_that_starts_in_an_outage_is_not_ready() {
     let mut cluster = Cluster::start(Shape::default()).await;
     cluster.start_entry(2).await;
     cluster.entries[2].switch.set_down(true);
-    // It may have read the table before the switch fell; another one starts fallen.
+    // This entry may have read the table before the switch was set; the second one is cut off
+    // right after its start and has no configuration to read.
     let ready = cluster.get(2, "/ready").await;
     let settings = celerythread_entry::Settings { name: "late".into(), ..cluster.settings(3) };
     let mut late = Cluster::without_entries(Shape { minions: vec![], ..Shape::default() }).await;
@@ -139,7 +144,8 @@
     cluster.stop().await;
 }
 
-/// Every fault at every commit of an apply: the outcome told is the outcome had.
+/// Injects every fault at commits, reads and changes of an apply: the reported outcome is the
+/// actual one.
 #[async_std::test]
 async fn every_fault_at_every_call_of_an_apply() {
     let mut threads = Vec::new();
@@ -168,10 +174,10 @@
     switch.plan(Plan { call, from, count: 2, fault });
     let first = cluster.apply_config(0, "mine", Revision(1), "mine").await;
     watch.poll(&cluster).await;
-    // Whatever was told, the same change again through the other entry settles it.
-    let settled = cluster.apply_config(1, "mine", Revision(1), "mine").await;
-    let settled = settled.unwrap_or_else(|error| panic!("{fault} at {call}: {error:?}"));
-    assert_eq!(settled["number"], 2, "{fault} at {call}");
+    // Whatever the first answer was, the same change sent again through the other entry succeeds.
+    let repeated = cluster.apply_config(1, "mine", Revision(1), "mine").await;
+    let repeated = repeated.unwrap_or_else(|error| panic!("{fault} at {call}: {error:?}"));
+    assert_eq!(repeated["number"], 2, "{fault} at {call}");
     if let Ok(first) = first {
         assert_eq!(first["number"], 2, "{fault} at {call}");
     }
--- a/tests/all/jobs.rs
+++ b/tests/all/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs on workers.
+//! Jobs on workers: submission, placement, preemption, cancellation and recovery from faults.
 
 use crate::cluster::{Cluster, FAULTS, Shape, has_code, spawn_thread, wait_until};
 use celerythread_model::code::Code;
@@ -87,7 +87,8 @@
     cluster.stop().await;
 }
 
-/// The first answer was lost and the operator submits again; the job runs twice.
+/// Guards against a job that runs twice: the first answer was lost, and the operator submits it
+/// again.
 #[async_std::test]
 async fn a_repeated_submission_is_one_job() {
     let cluster = Cluster::start(workers_only(1)).await;
@@ -113,8 +114,8 @@
     cluster.stop().await;
 }
 
-/// A shop's revaluation waits behind a year-end audit that fills the fleet.  Patient work is put
-/// aside for it, and finishes afterwards.
+/// Guards against urgent work that waits behind a batch of patient jobs filling the fleet: patient
+/// jobs are preempted for it, and finish afterwards.
 #[async_std::test]
 async fn urgent_jobs_preempt_patient_jobs_which_finish_later() {
     let cluster = Cluster::start(workers_only(1)).await;
@@ -139,7 +140,7 @@
     cluster.stop().await;
 }
 
-/// A worker fails everything it starts, is free again at once, and draws all the jobs.
+/// Guards against a worker that attracts all jobs because it fails each at once and is free again.
 #[async_std::test]
 async fn a_worker_that_fails_every_job_is_ejected() {
     let cluster = Cluster::start(workers_only(3)).await;
@@ -154,12 +155,12 @@
     .await;
     let starts = cluster.memory.workers.starts();
     let on_failing = starts.iter().filter(|(worker, _, _)| worker.as_str() == "w0").count();
-    assert!(on_failing <= 16, "{on_failing} of {} starts went to the sick worker", starts.len());
+    assert!(on_failing <= 16, "{on_failing} of {} starts went to the failing worker", starts.len());
     cluster.stop().await;
 }
 
-/// A worker is gone with a write-down on it; nobody can tell whether it ran.  It is shown to the
-/// operator and not run again; an idempotent job goes elsewhere.
+/// A worker is lost while it runs a non-idempotent job, and whether the job ran can't be known: the
+/// job is shown to the operator as unknown and not run again; an idempotent job is queued again.
 #[async_std::test]
 async fn a_lost_worker_leaves_a_non_idempotent_job_unknown() {
     let cluster = Cluster::start(workers_only(1)).await;
@@ -175,8 +176,9 @@
     cluster.stop().await;
 }
 
-/// A worker restarts with a write-down on it and has forgotten that it ran.  The list still
-/// shows its old boot; the placer finds no task and orders the attempt again, and it runs twice.
+/// Guards against a non-idempotent job that runs twice: its worker restarts and no longer knows
+/// that it ran the job.  The platform's list still shows the old boot, so the placer finds no task
+/// and would order the same attempt again.
 #[async_std::test]
 async fn a_restarted_worker_never_runs_a_non_idempotent_job_twice() {
     let cluster = Cluster::start(workers_only(1)).await;
@@ -189,7 +191,7 @@
     cluster.stop().await;
 }
 
-/// A wave of cancellations: two hundred jobs at once are a few writes, and their tasks stop.
+/// Cancelling 200 jobs at once takes at most 20 writes, and their tasks stop.
 #[async_std::test]
 async fn a_batch_of_cancellations_takes_few_writes() {
     let cluster = Cluster::start(workers_only(2)).await;
@@ -218,8 +220,8 @@
     cluster.stop().await;
 }
 
-/// A long outage: running jobs go on, none is started, and what was in flight is settled
-/// afterwards without double work.
+/// During a long outage running jobs continue and none is started; afterwards every job is
+/// finished without running twice.
 #[async_std::test]
 async fn an_outage_starts_no_job_and_loses_none() {
     let cluster = Cluster::start(workers_only(1)).await;
@@ -247,8 +249,8 @@
     cluster.stop().await;
 }
 
-/// Every fault at every call that the placer makes over a non-idempotent job: it starts at most
-/// once, and ends done.
+/// Injects every fault at every call that the placer makes for a non-idempotent job: the job starts
+/// exactly once and ends as done.
 #[async_std::test]
 async fn every_fault_at_every_call_of_a_job() {
     let calls = [(Call::Commit, 3), (Call::Order, 1), (Call::Tasks, 2), (Call::Inspect, 1)];
@@ -284,7 +286,7 @@
     while stage(&cluster, "j").await != Some(Stage::Done) {
         cluster.reap();
         if started_at.elapsed() > Duration::from_secs(25) {
-            failures.push(format!("it is {:?}", stage(&cluster, "j").await));
+            failures.push(format!("still in stage {:?} after 25 s", stage(&cluster, "j").await));
             break;
         }
         async_std::task::sleep(Duration::from_millis(20)).await;
--- a/tests/all/maintenance.rs
+++ b/tests/all/maintenance.rs
@@ -1,4 +1,4 @@
-//! Maintenance waves.
+//! Maintenance waves: floors of services, conflicts, windows, cancellation, and faults within a wave.
 
 use crate::cluster::{Cluster, Shape, has_code, instance, wait_until};
 use celerythread_model::code::Code;
@@ -25,7 +25,7 @@
     found.map_or_else(String::new, |w| w["progress"].as_str().unwrap_or_default().into())
 }
 
-/// Fails when more are out than the floor leaves.
+/// Fails if more minions are out of service than the floor allows.
 async fn assert_within_floor(cluster: &Cluster) {
     let out = cluster.minion_rows().await.iter().filter(|m| m.state != State::Active).count();
     assert!(out <= 2, "{out} of 6 are out at a floor of 4");
@@ -48,12 +48,12 @@
     cluster.stop().await;
 }
 
-/// A rack burns within a wave and the wave goes on taking instances out: the service falls below
-/// its floor.  It must wait, and go on by itself.
+/// Guards against a service that falls below its floor because a wave takes out instances although
+/// others fail (a rack is lost): the wave must pause, and continue by itself once they are back.
 #[async_std::test]
 async fn a_failure_within_a_wave_pauses_it() {
     let cluster = Cluster::start(six_minions()).await;
-    // Two fail just before: nothing is left to spare.
+    // Two fail before the wave, so that the floor allows no more to be taken out.
     let gone: Vec<Instance> = cluster
         .memory
         .roster
@@ -64,14 +64,14 @@
     for instance in &gone {
         cluster.memory.roster.put(Instance { leaving: true, ..instance.clone() });
     }
-    wait_until("seen as failed", async || {
+    wait_until("both are seen as failed", async || {
         let rows = cluster.minion_rows().await;
         rows.iter().filter(|row| row.state == State::Draining).count() == 2
     })
     .await;
     let refused = declare_wave(&cluster, 0, "w").await;
     assert!(has_code(refused.as_ref().unwrap_err(), Code::WaveTooLate), "{refused:?}");
-    // They come back, the wave is declared, and one fails again within it.
+    // They come back, the wave is declared, and both fail again within it.
     for instance in &gone {
         cluster.memory.roster.remove(&instance.name);
     }
@@ -95,14 +95,15 @@
     for instance in &gone {
         cluster.memory.roster.put(instance.clone());
     }
-    wait_until("it goes on by itself and ends", async || {
+    wait_until("the wave continues by itself and ends", async || {
         wave_progress(&cluster, 0, "w").await == "done"
     })
     .await;
     cluster.stop().await;
 }
 
-/// Two operators declare waves over the same instances; together they break the floor.
+/// Guards against waves of two operators over the same instances, which together would violate the
+/// floor: only one is accepted.
 #[async_std::test]
 async fn racing_waves_are_refused() {
     let cluster = Cluster::start(six_minions()).await;
@@ -110,7 +111,7 @@
     assert_eq!([&a, &b].iter().filter(|answer| answer.is_ok()).count(), 1, "{a:?} {b:?}");
     let refused = a.err().or(b.err()).unwrap();
     assert!(has_code(&refused, Code::WaveConflict), "{refused:?}");
-    wait_until("no more than the floor leaves", async || {
+    wait_until("the accepted wave is done", async || {
         assert_within_floor(&cluster).await;
         wave_progress(&cluster, 0, "a").await == "done"
             || wave_progress(&cluster, 0, "b").await == "done"
@@ -134,30 +135,33 @@
 async fn cancelling_a_wave_leaves_every_minion_active() {
     let cluster = Cluster::start(six_minions()).await;
     declare_wave(&cluster, 0, "w").await.unwrap();
-    wait_until("something is out", async || {
+    wait_until("a minion is out of service", async || {
         cluster.minion_rows().await.iter().any(|m| m.state != State::Active)
     })
     .await;
     cluster.post(1, "/v1/maintenance/cancel", &json!({ "wave": "w" })).await.unwrap();
-    wait_until("all settled", async || {
+    wait_until("all minions are active", async || {
         cluster.minion_rows().await.iter().all(|m| m.state == State::Active)
     })
     .await;
     async_std::task::sleep(Duration::from_millis(600)).await;
     let maintained = cluster.minion_rows().await.iter().filter(|m| m.epoch.0 == 2).count();
-    assert!(maintained <= 4, "{maintained} were maintained after all");
+    assert!(maintained <= 4, "{maintained} were maintained despite the cancellation");
     assert!(cluster.disruption("alpha").await.out.is_empty());
     cluster.stop().await;
 }
 
-/// "Before the office opens" and not before it closes: a wave with a later start takes nothing
-/// out until then, and one whose window is closed waits and says so.
+/// A wave with a later start is shown as paused and takes nothing out until then; one that names an
+/// unknown window is refused.
 #[async_std::test]
 async fn a_wave_waits_for_its_start_and_its_window() {
     let cluster = Cluster::start(six_minions()).await;
     let body = json!({ "wave": "w", "author": "test", "after": "1500ms" });
     cluster.post(0, "/v1/maintenance", &body).await.unwrap();
-    wait_until("it waits", async || wave_progress(&cluster, 0, "w").await == "paused").await;
+    wait_until("the wave waits for its start", async || {
+        wave_progress(&cluster, 0, "w").await == "paused"
+    })
+    .await;
     assert!(cluster.minion_rows().await.iter().all(|row| row.state == State::Active));
     wait_until("done", async || wave_progress(&cluster, 0, "w").await == "done").await;
     let body = json!({ "wave": "x", "author": "test", "window": "nowhen" });
@@ -166,14 +170,14 @@
     cluster.stop().await;
 }
 
-/// The entry that runs a wave dies; another goes on where it stopped.
+/// The entry that runs a wave dies; the next holder of its lease continues where it stopped.
 #[async_std::test]
 async fn a_new_lease_holder_continues_the_wave() {
     let mut cluster = Cluster::start(Shape { entries: 3, ..six_minions() }).await;
     let holder = cluster.holder("fleet").await;
     let other = (holder + 1) % 3;
     declare_wave(&cluster, other, "w").await.unwrap();
-    wait_until("begun", async || {
+    wait_until("the wave has begun", async || {
         cluster.minion_rows().await.iter().any(|m| m.state != State::Active)
     })
     .await;
@@ -190,12 +194,12 @@
     cluster.stop().await;
 }
 
-/// A long outage in the middle of a wave: nothing more is taken out, and it ends afterwards.
+/// During a long outage a wave takes nothing more out; it finishes afterwards.
 #[async_std::test]
 async fn no_disruption_begins_during_an_outage() {
     let cluster = Cluster::start(six_minions()).await;
     declare_wave(&cluster, 0, "w").await.unwrap();
-    wait_until("begun", async || {
+    wait_until("the wave has begun", async || {
         cluster.minion_rows().await.iter().any(|m| m.state != State::Active)
     })
     .await;
--- a/tests/all/moves.rs
+++ b/tests/all/moves.rs
@@ -1,4 +1,4 @@
-//! An instance belongs to exactly one pool, and a move cuts off nothing.
+//! Moves between pools: a minion belongs to exactly one pool, and no request in flight is cut off.
 
 use crate::cluster::{Cluster, FAULTS, Shape, has_code, single, spawn_thread, wait_until};
 use celerythread_model::code::Code;
@@ -25,8 +25,8 @@
     row.state == State::Active && row.pool.as_str() == "beta"
 }
 
-/// Requests to both services go on all the while; each minion is told by their path which pool
-/// the sender took it for.
+/// Sends requests to both services until the flag is set; the id of each names its service, so
+/// that a minion's record shows for which pool it was used.
 fn start_traffic(
     cluster: &Cluster,
 ) -> (Arc<AtomicBool>, async_std::task::JoinHandle<Vec<load::Done>>) {
@@ -62,7 +62,7 @@
     order_move(&cluster, 0).await.unwrap();
     wait_until("moved", async || is_moved(&cluster).await).await;
     let at = cluster.minions["alpha-0"].record().runs.len();
-    wait_until("serves its new pool", async || {
+    wait_until("the minion serves its new pool", async || {
         cluster.minions["alpha-0"].record().runs.len() > at + 3
     })
     .await;
@@ -78,17 +78,20 @@
     }
     let asked: Vec<_> = done.into_iter().map(|one| one.asked).collect();
     assert_eq!(cluster.breaches(&asked), []);
-    // First alpha's work only, and from the first of beta's on beta's only.
+    // Only requests of alpha at first, and only those of beta from the first of beta on.
     let runs = cluster.minions["alpha-0"].record().runs;
     let first = runs.iter().position(|run| run.id.starts_with("beta")).unwrap_or(runs.len());
     let (before, after) = runs.split_at(first);
-    assert!(before.iter().all(|run| run.id.starts_with("alpha")), "beta's work before the move");
-    assert!(after.iter().all(|run| run.id.starts_with("beta")), "alpha's work after the move");
+    assert!(
+        before.iter().all(|run| run.id.starts_with("alpha")),
+        "request of beta before the move"
+    );
+    assert!(after.iter().all(|run| run.id.starts_with("beta")), "request of alpha after the move");
     assert_eq!(cluster.disruption("alpha").await.out.len(), 0);
     cluster.stop().await;
 }
 
-/// Two operators take the last two minions of a service at once, and its shops are refused.
+/// Guards against a service without minions: two operators move its last two at the same time.
 #[async_std::test]
 async fn racing_moves_never_break_the_floor() {
     let cluster = Cluster::start(Shape::default()).await;
@@ -116,16 +119,16 @@
     cluster.stop().await;
 }
 
-/// An entry is paused with a request in flight to a minion; its peers take the minion over and
-/// the move goes on; the entry wakes up and its request runs on a minion of another pool.  The
-/// move must wait for the paused entry.
+/// Guards against a request that runs on a minion of another pool: an entry is paused with a
+/// request in flight, its peers take over the minion and move it, and the entry resumes and sends
+/// the request.  The move must wait for the paused entry.
 #[async_std::test]
 async fn a_move_waits_for_a_former_owner_that_may_be_paused() {
     let mut cluster = Cluster::start(Shape::default()).await;
     let owner = cluster.owner_index("alpha-0").await;
     let other = 1 - owner;
-    // The owner's process dies without a sign, but its instance stays on the list: nobody can
-    // tell it from a paused one.
+    // The owner's process is gone but its instance stays on the list, so that the peers can't
+    // distinguish it from a paused one.
     let entry = &mut cluster.entries[owner];
     entry.switch.set_down(true);
     drop(entry.daemon.take());
@@ -137,20 +140,20 @@
     order_move(&cluster, other).await.unwrap();
     async_std::task::sleep(Duration::from_millis(1500)).await;
     assert_eq!(cluster.minion_row("alpha-0").await.state, State::Draining);
-    // The list shows it gone for longer than it lags: now it is certain.
+    // Once the list has omitted it for longer than the list can lag, it has terminated for certain.
     let name = cluster.entries[owner].name.clone();
     cluster.memory.roster.remove(&name);
     wait_until("moved", async || is_moved(&cluster).await).await;
     cluster.stop().await;
 }
 
-/// A minion in flight is rebooted under its request: the drain is confirmed although work is
-/// still on it.
+/// Guards against a minion that is rebooted while a request runs on it because its drain was
+/// confirmed too early.
 #[async_std::test]
 async fn a_drain_waits_for_work_in_flight() {
     let cluster =
         Cluster::start(Shape { duration: Duration::from_millis(1500), ..Shape::default() }).await;
-    // As many as alpha has slots, so that alpha-0 has some.
+    // As many requests as alpha has slots, so that alpha-0 gets some.
     let entry = cluster.entries[0].callers;
     let sent: Vec<_> = (0..8)
         .map(|n| {
@@ -158,12 +161,18 @@
             async_std::task::spawn(async move { load::send(entry, &one).await })
         })
         .collect();
-    wait_until("work on it", async || cluster.minions["alpha-0"].outstanding() > 0).await;
+    wait_until("alpha-0 has requests in flight", async || {
+        cluster.minions["alpha-0"].outstanding() > 0
+    })
+    .await;
     order_move(&cluster, 1).await.unwrap();
     wait_until("idle", async || {
         let state = cluster.minion_row("alpha-0").await.state;
         let outstanding = cluster.minions["alpha-0"].outstanding();
-        assert!(state != State::Rebooting || outstanding == 0, "rebooted under {outstanding}");
+        assert!(
+            state != State::Rebooting || outstanding == 0,
+            "rebooted with {outstanding} requests in flight"
+        );
         state == State::Rebooting || is_moved(&cluster).await
     })
     .await;
@@ -173,8 +182,8 @@
     cluster.stop().await;
 }
 
-/// Every fault at every call that the fleet's holder makes during a move.  The move must end in
-/// exactly one pool, with the disruption's count right, and never reboot twice.
+/// Injects every fault at every call that the holder of the fleet lease makes during a move.  The
+/// minion must end in exactly one pool, be rebooted once, and no longer count as disrupted.
 #[async_std::test]
 async fn every_fault_at_every_call_of_a_move() {
     let calls = count_calls().await;
@@ -186,7 +195,7 @@
             }
         }
     }
-    // A few at a time: each is a deployment of its own.
+    // A batch at a time, since each case starts a deployment of its own.
     for batch in cases.chunks(12) {
         let running: Vec<_> = batch
             .iter()
@@ -200,8 +209,8 @@
     }
 }
 
-/// Calls of each kind that the holder makes during a move without faults; of those that only
-/// repeat, the first few stand for all.
+/// Counts the calls of each kind that the holder makes during a move without faults, up to a
+/// maximum per kind: further calls only repeat the first ones.
 async fn count_calls() -> Vec<(Call, u64)> {
     let cluster = Cluster::start(Shape::default()).await;
     let holder = cluster.holder("fleet").await;
@@ -248,7 +257,7 @@
     for service in ["alpha", "beta"] {
         let out = cluster.disruption(service).await.out;
         if !out.is_empty() {
-            failures.push(format!("{service} still counts {out:?} out"));
+            failures.push(format!("{service} still counts {out:?} as out"));
         }
     }
     cluster.reap();
--- a/tests/all/peers.rs
+++ b/tests/all/peers.rs
@@ -1,4 +1,4 @@
-//! Links between entries that are cut, silent, or strange.
+//! Links between entries: borrowed slots, and entries that die, are cut off or abandon an exchange.
 
 use crate::cluster::{Cluster, Shape, single, wait_until};
 use celerythread_model::request::Class;
@@ -9,7 +9,7 @@
 use celerythread_wire::frame;
 use std::time::Duration;
 
-/// The service's minions are all owned by one entry; the others serve through it.
+/// All minions of the service are owned by one entry; the others serve with slots lent by it.
 #[async_std::test]
 async fn an_entry_without_minions_borrows_slots() {
     let shape = Shape { entries: 3, minions: vec![("alpha", 1)], floor: 0, ..Shape::default() };
@@ -25,8 +25,8 @@
     cluster.stop().await;
 }
 
-/// An availability zone is cut off from the platform: its entries go on serving their own
-/// minions and those of the others, and hear of changes through their peers.
+/// The entries of an availability zone that is cut off from the platform continue to serve with
+/// their own minions and those of other entries, and learn of changes from their peers.
 #[async_std::test]
 async fn a_zone_cut_off_from_the_platform_goes_on_serving() {
     let cluster = Cluster::start(Shape { entries: 3, zones: 3, ..Shape::default() }).await;
@@ -38,21 +38,24 @@
         asked.push(done.asked);
     }
     cluster.apply_config(0, "c2", Revision(1), "n2").await.unwrap();
-    wait_until("in force there too", async || cluster.config_number(1).await == 2).await;
+    wait_until("the configuration is in force in the cut-off zone", async || {
+        cluster.config_number(1).await == 2
+    })
+    .await;
     assert_eq!(cluster.breaches(&asked), []);
     cluster.entries[1].switch.set_down(false);
     cluster.stop().await;
 }
 
-/// An entry dies with slots lent to it.  They must come back, or the service shrinks with every
-/// death.
+/// Slots lent to an entry that dies must be reclaimed; otherwise the service loses capacity with
+/// each such death.
 #[async_std::test]
 async fn slots_lent_to_a_dead_entry_are_reclaimed() {
     let shape = Shape {
         entries: 2,
         minions: vec![("alpha", 1)],
         floor: 0,
-        // Longer than the test: the slots must be free because their borrower is gone.
+        // Longer than the test, so that the slots can't become free because requests end.
         duration: Duration::from_secs(60),
         ..Shape::default()
     };
@@ -79,8 +82,9 @@
     cluster.stop().await;
 }
 
-/// A busy peer gives up waiting for a slot just when it is granted: the exchange is over and the
-/// link is not.  The slot is never free again, and a drain of the minion never ends.
+/// Guards against a leaked slot: a peer stops waiting for a slot just as it is granted, which ends
+/// the exchange and not the link.  The slot would never be free again, and a drain of the minion
+/// would never end.
 #[async_std::test]
 async fn a_slot_granted_to_an_abandoned_request_is_released() {
     let shape = Shape { entries: 2, minions: vec![("alpha", 1)], floor: 0, ..Shape::default() };
@@ -91,13 +95,13 @@
         let status = cluster.get(owner, "/v1/status").await.ok()?;
         status["services"][0]["free"].as_u64()
     };
-    // The row names the owner a moment before it hands slots out.
-    wait_until("the owner hands out its slots", async || free().await == Some(4)).await;
+    // The row names the owner shortly before the owner starts to grant slots.
+    wait_until("the owner grants its slots", async || free().await == Some(4)).await;
     let endpoint = cluster.peer_endpoint();
     let address = cluster.entries[owner].daemon.as_ref().unwrap().peer_address();
     let link = endpoint.dial(address).await.unwrap();
     let mut channel = link.open().await.unwrap();
-    // The real peer's beats, which go on meanwhile, do not list this grant.
+    // The heartbeats of the real peer continue meanwhile and don't list this grant.
     let ask = frame::Ask {
         entry: id_of(1 - owner),
         service: "alpha".parse().unwrap(),
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -1,4 +1,4 @@
-//! What only real processes can show: kill, stop and continue, SIGTERM, idle cost.
+//! Tests that need real processes: SIGKILL, SIGSTOP and SIGCONT, SIGTERM, memory of an idle daemon.
 
 use crate::cluster::{single, wait_until};
 use async_std::task;
@@ -13,7 +13,7 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// Everything faster than in production, in the same proportions.
+/// Starts a fleet whose intervals are shorter than in production, in the same proportions.
 async fn start_fleet(name: &str, entries: usize, minions: usize) -> Fleet {
     let shape = Shape {
         daemon: env!("CARGO_BIN_EXE_celerythreadd").into(),
@@ -38,7 +38,7 @@
     assert!(done.success());
 }
 
-/// Sends one after the other until told to stop, each to the next living entry.
+/// Sends `count` requests one after the other, to the entries `alive` in turn.
 async fn send_requests(fleet: &Fleet, prefix: &str, count: usize, alive: &[usize]) -> Vec<Asked> {
     let mut asked = Vec::new();
     for n in 0..count {
@@ -50,8 +50,8 @@
     asked
 }
 
-/// An instance burns.  Its callers in flight hear nothing; everybody else is served, its minions
-/// get new owners, and nothing that must run at most once runs twice.
+/// An instance is lost.  Its requests in flight get no answer; all others are served, its minions
+/// get new owners, and no non-idempotent request runs twice.
 #[async_std::test]
 async fn a_killed_entry_is_replaced() {
     let mut fleet = start_fleet("kill", 3, 3).await;
@@ -67,15 +67,16 @@
         assert!(matches!(one.told, Told::Answer(200, _)), "{}: {:?}", one.id, one.told);
     }
     assert_eq!(history::check(&asked, &fleet.runs()), []);
-    wait_until("the dead one leaves the registry", async || {
+    wait_until("the dead entry is removed from the registry", async || {
         let status = get(fleet.daemons[0].operators, "/v1/status").await.unwrap();
         status["entries"].as_array().unwrap().len() == 2
     })
     .await;
 }
 
-/// An instance stands still past every lease and wakes up: it must neither drive the fleet with
-/// an old lease nor hand out slots that were taken over, nor go back to an old configuration.
+/// An entry is paused until all its leases have expired, then resumes: it must not control the
+/// fleet under an old lease, grant slots of minions that were taken over, or revert to an old
+/// configuration.
 #[async_std::test]
 async fn a_paused_entry_that_wakes_up_does_no_harm() {
     let fleet = start_fleet("pause", 3, 3).await;
@@ -107,7 +108,8 @@
         assert!(matches!(one.told, Told::Answer(200, _)), "{}: {:?}", one.id, one.told);
     }
     assert_eq!(history::check(&asked, &fleet.runs()), []);
-    // Its peers were silent for it only because it stood still itself.
+    // The resumed entry saw its peers as silent only because it was paused itself: it must not
+    // have taken over their minions.
     let events = get(fleet.daemons[0].operators, "/v1/timeline").await.unwrap();
     let taken_over = events.as_array().unwrap().iter().filter(|event| event["takeover"] == true);
     assert_eq!(taken_over.count(), 0, "{events}");
@@ -117,7 +119,7 @@
     }
 }
 
-/// SIGTERM under load: exit 0, and not a request cut off.
+/// After SIGTERM under load the daemon exits with status 0 and cuts off no request.
 #[async_std::test]
 async fn sigterm_under_load_cuts_off_nothing() {
     let mut fleet = start_fleet("term", 2, 2).await;
@@ -131,7 +133,7 @@
             })
         })
         .collect();
-    wait_until("some are on a minion", async || !fleet.runs().is_empty()).await;
+    wait_until("a minion has received a request", async || !fleet.runs().is_empty()).await;
     send_signal(&fleet, 0, "-TERM");
     let mut asked = Vec::new();
     for one in sending {
@@ -151,7 +153,7 @@
     assert_eq!(status["entries"].as_array().unwrap().len(), 1);
 }
 
-/// The platform is down for a while: every entry goes on serving, and is well afterwards.
+/// Every entry continues to serve during a platform outage and after it.
 #[async_std::test]
 async fn entries_serve_through_a_platform_outage() {
     let fleet = start_fleet("outage", 2, 2).await;
@@ -165,7 +167,7 @@
     assert_eq!(history::check(&asked, &fleet.runs()), []);
 }
 
-/// Resident memory of an idle daemon, in bytes; the bound of 40 MB is the product's promise.
+/// The resident memory of an idle daemon stays below 40 MB, a limit that the product guarantees.
 #[async_std::test]
 async fn an_idle_daemon_stays_below_40_mb() {
     let fleet = start_fleet("idle", 2, 2).await;
--- a/tests/all/programs.rs
+++ b/tests/all/programs.rs
@@ -1,4 +1,4 @@
-//! The two programs' own words: settings, help, exit codes, and the docs that repeat them.
+//! The two programs' settings, help, exit codes and keys, and the pages that document them.
 
 use celerythread_entry::metrics::Counter;
 use celerythread_model::code::Code;
@@ -30,8 +30,7 @@
     path.display().to_string()
 }
 
-/// A settings file wrong in ten places prints all ten, each with its section, key, line and
-/// number.
+/// All mistakes of a settings file are printed at once, with section, key, line and result code.
 #[test]
 fn check_prints_all_ten_mistakes() {
     let path = write_temp_file(
@@ -88,7 +87,7 @@
 fn exit_codes_follow_the_table() {
     assert_eq!(ctl(&["nonsense"]).status.code(), Some(2));
     assert_eq!(ctl(&["status"]).status.code(), Some(2), "no entry is named");
-    // Nobody listens at port 1.
+    // Nothing listens on port 1.
     assert_eq!(ctl(&["status", "--entry", "127.0.0.1:1"]).status.code(), Some(5));
     let missing = ctl(&["config", "check", "no-such-file", "no-such-file"]);
     assert_eq!(missing.status.code(), Some(3));
@@ -123,13 +122,13 @@
 fn the_result_codes_page_matches_the_program() {
     let printed = text(&ctl(&["codes"]).stdout);
     let page = read_doc("RESULT-CODES.md");
-    assert!(page.contains(printed.trim()), "print it anew with: celerythread codes");
+    assert!(page.contains(printed.trim()), "update it with the output of: celerythread codes");
     for code in Code::VARIANTS {
         assert!(page.contains(&format!("| {} | {code} |", code.number())));
     }
 }
 
-/// Every key of the settings reader stands in docs/SETTINGS.md, and no other.
+/// docs/SETTINGS.md lists exactly the keys of the settings reader.
 #[test]
 fn the_settings_page_has_exactly_the_keys() {
     let page = read_doc("SETTINGS.md");
@@ -139,7 +138,7 @@
         cells.next();
         documented.push((cells.next().unwrap().to_owned(), cells.next().unwrap().to_owned()));
     }
-    // A file with every documented key set to nonsense: each must be known to the reader.
+    // The reader must know every documented key, whatever its value.
     let mut sections: Vec<String> = documented.iter().map(|(section, _)| section.clone()).collect();
     sections.dedup();
     let mut nonsense = String::new();
@@ -163,7 +162,7 @@
     }
 }
 
-/// The pairs of string literals that the reader is asked for, from its source.
+/// Section and key of each setting that the source of `Settings::read` asks the reader for.
 fn keys_in_source(source: &str) -> Vec<(String, String)> {
     let flat: String = source.split_whitespace().collect::<Vec<_>>().join(" ");
     let mut keys = Vec::new();
@@ -189,7 +188,7 @@
     }
 }
 
-/// Each command line in the operators' pages is one that the program takes.
+/// The program knows every command and flag in the command lines of the operators' pages.
 #[test]
 fn commands_in_the_docs_exist() {
     let root = format!("{}/docs/operations", env!("CARGO_MANIFEST_DIR"));
@@ -212,7 +211,7 @@
     assert!(seen > 10);
 }
 
-/// The fault page is printed from the list of proofs, and every proof it names is a test.
+/// docs/FAULTS.md is what `faults::render_page` prints.
 #[test]
 fn the_faults_page_is_current() {
     let printed = crate::faults::render_page();
@@ -223,7 +222,7 @@
     }
     assert!(
         read_doc("FAULTS.md") == printed,
-        "print it anew: PRINT_FAULTS=1 cargo test the_faults_page"
+        "update it with: PRINT_FAULTS=1 cargo test the_faults_page"
     );
 }
 
--- a/tests/all/requests.rs
+++ b/tests/all/requests.rs
@@ -1,4 +1,4 @@
-//! Whole answers to the right caller, and "not run" only where it is true.
+//! Callers get complete answers to their own requests, and "not run" only if nothing was run.
 
 use crate::cluster::{Cluster, Shape, loopback, single, wait_until};
 use assert_matches::assert_matches;
@@ -22,8 +22,8 @@
 
 #[async_std::test]
 async fn mixed_load_through_every_entry_is_all_answered() {
-    // Queues and deadlines that hold everything: all must be answered, however slow the machine
-    // that runs the test is.
+    // Queues and deadlines large enough for all requests: each must be answered, even if the
+    // machine that runs the test is slow.
     let shape = Shape { entries: 3, zones: 3, extra: "queue_per_slot = 1000", ..Shape::default() };
     let cluster = Cluster::start(shape).await;
     let plan = Plan {
@@ -41,9 +41,9 @@
     cluster.stop().await;
 }
 
-/// A chain pays on a report whose end is missing.  The minion breaks off within its answer; the
-/// caller must not get a 200.  An idempotent request may be asked again elsewhere, a
-/// non-idempotent one must be told that it ran.
+/// Guards against a report whose end is missing being passed on as complete.  The minion closes its
+/// connection within the answer; the caller must not get a 200.  An idempotent request may be sent
+/// to another minion, a non-idempotent one must be refused with the outcome run.
 #[async_std::test]
 async fn a_truncated_answer_is_never_passed_on_as_complete() {
     let cluster = Cluster::start(one_minion()).await;
@@ -69,9 +69,9 @@
     cluster.stop().await;
 }
 
-/// A bank's pull gets a shorter report than the minion made: an answer too long to hold in
-/// memory is passed on while it comes, the minion breaks off, and the end is made to look
-/// whole.  It must break the caller's connection instead.
+/// Guards against a truncated answer that looks complete: an answer too large to buffer is streamed
+/// to the caller, and the minion closes its connection before the end.  The entry must break the
+/// caller's connection instead of ending the answer properly.
 #[async_std::test]
 async fn a_long_answer_that_breaks_off_breaks_the_callers_connection() {
     let cluster = Cluster::start(one_minion()).await;
@@ -86,8 +86,8 @@
     cluster.stop().await;
 }
 
-/// A shopper's visit is uploaded again and the shopper recognized: the entry could not connect,
-/// nothing was sent, and the shop must be told "not run".
+/// If the entry can't connect to the minion, nothing was sent and the caller must be told "not
+/// run", so that it can safely send the request again.
 #[async_std::test]
 async fn a_refused_connection_is_not_run() {
     let mut cluster = Cluster::start(one_minion()).await;
@@ -97,8 +97,9 @@
     cluster.stop().await;
 }
 
-/// A write-down is booked twice: the minion read it and then nothing more was heard.  The caller
-/// must be told "unknown" as soon as the silence is found out, and nothing sent again.
+/// Guards against a write-down that is booked twice: the minion reads the request and never
+/// answers.  The caller must be told "unknown" as soon as the progress timeout passes, and nothing
+/// may be sent again.
 #[async_std::test]
 async fn a_silent_minion_leaves_the_outcome_unknown_at_once() {
     let shape = Shape { extra: "progress = 200ms", ..one_minion() };
@@ -107,14 +108,14 @@
     let started_at = Instant::now();
     let done = cluster.send(0, &non_idempotent("a")).await;
     assert_matches!(done.asked.told, Told::Refused(1021, Some(Outcome::Unknown)));
-    assert!(started_at.elapsed() < Duration::from_secs(4), "held back until near the deadline");
+    assert!(started_at.elapsed() < Duration::from_secs(4), "answered only near the deadline");
     assert_eq!(cluster.runs().len(), 1);
     cluster.stop().await;
 }
 
-/// Open connections to a minion go silent for good while new ones work: a firewall has lost
-/// track of them.  Idempotent requests on kept connections must be sent again on new ones, and
-/// non-idempotent ones never go onto a kept one at all.
+/// A firewall loses the state of open connections to a minion: they drop everything silently, while
+/// new ones work.  Idempotent requests on pooled connections must be sent again on new ones;
+/// non-idempotent ones must never use a pooled connection.
 #[async_std::test]
 async fn silently_dropped_connections_lose_no_request() {
     let shape = Shape {
@@ -152,7 +153,7 @@
         assert_matches!(one.told, Told::Answer(200, _), "{}", one.id);
     }
     assert_eq!(cluster.breaches(&asked), []);
-    // Everything goes silent, new connections too: still told, and still true.
+    // With new connections silent too the caller is still answered, with the outcome unknown.
     link.set(LinkMode::Silent);
     let lost = cluster.send(0, &non_idempotent("lost")).await;
     assert_matches!(lost.asked.told, Told::Refused(1021, Some(Outcome::Unknown)));
@@ -164,7 +165,7 @@
     crate::cluster::instance("alpha-0", Role::Minion, "z0")
 }
 
-/// The caller gives up and its answer comes late: it must not reach the next caller.
+/// A request reaches its deadline and its answer arrives afterwards: no other caller may get it.
 #[async_std::test]
 async fn a_late_answer_never_reaches_another_caller() {
     let shape = Shape { extra: "progress = 5s", ..one_minion() };
@@ -211,7 +212,8 @@
     cluster.stop().await;
 }
 
-/// A minion that fails everything at once is free again at once, and would draw all the work.
+/// Guards against a minion that attracts all requests because it fails each at once and is free
+/// again.
 #[async_std::test]
 async fn a_fast_failing_minion_gets_no_more_than_its_share() {
     let shape = Shape {
@@ -231,19 +233,19 @@
         seed,
         ..Plan::default()
     };
-    // The siblings' times must be known before the comparison means anything.
+    // The comparison with its siblings needs their typical durations first.
     load::run(&plan(1)).await;
     cluster.minions["alpha-0"].set_mode(Mode::Truncate);
     cluster.minions["alpha-0"].set_duration(Duration::ZERO);
     let before = cluster.minions["alpha-0"].record().runs.len();
     load::run(&plan(2)).await;
-    let drawn = cluster.minions["alpha-0"].record().runs.len() - before;
-    assert!(drawn <= 63, "drew {drawn} of 250, its share is 62");
+    let received = cluster.minions["alpha-0"].record().runs.len() - before;
+    assert!(received <= 63, "received {received} of 250, its share is 62");
     cluster.stop().await;
 }
 
-/// A saturated service: what cannot be started by its deadline is refused at once, as not run,
-/// with a time to come back.
+/// When a service is saturated, a request that can't start before its deadline is refused at once,
+/// as not run and with a Retry-After.
 #[async_std::test]
 async fn overload_is_refused_at_once_with_retry_after() {
     let shape = Shape { duration: Duration::from_millis(200), slots: 1, ..one_minion() };
@@ -266,13 +268,13 @@
     assert!(refused.len() > 100, "{}", report.table());
     for done in &refused {
         assert!(done.retry_after_ms.is_some_and(|ms| ms > 0));
-        // At once: not held back until near the deadline of 2 s.
+        // At once, not only near the deadline of 2 s.
         assert!(done.took < Duration::from_millis(1000), "{:?}", done.took);
     }
     cluster.stop().await;
 }
 
-/// All entries together: a minion's slots bound what it has at one moment.
+/// A minion's slots bound its requests in flight from all entries together.
 #[async_std::test]
 async fn no_minion_has_more_than_its_slots_from_all_entries() {
     let shape = Shape { entries: 3, duration: Duration::from_millis(30), ..Shape::default() };
@@ -288,7 +290,7 @@
     assert_eq!(cluster.breaches(&report.asked()), []);
     for (name, minion) in &cluster.minions {
         let max_outstanding = minion.record().most_outstanding;
-        assert!(max_outstanding <= 4, "{name} had {max_outstanding} at one moment");
+        assert!(max_outstanding <= 4, "{name} had {max_outstanding} requests in flight");
     }
     cluster.stop().await;
 }
@@ -315,6 +317,6 @@
     }
     statuses.sort_unstable();
     assert_eq!(statuses, [200, 200, 429, 429, 429]);
-    wait_until("the quota is given back", async || ask().await == 200).await;
+    wait_until("the quota is released", async || ask().await == 200).await;
     cluster.stop().await;
 }
