--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -1,4 +1,4 @@
-//! A small deployment in one process.
+//! A small deployment in one process: daemons and minions over an in-memory platform.
 
 use async_std::task;
 use celerythread::client;
@@ -29,7 +29,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Every fault of a call and of the process that makes it.
+/// Every fault that can be injected into a call or the process that makes it.
 pub(crate) const FAULTS: [Fault; 8] = [
     Fault::FailBefore,
     Fault::LoseAnswer,
@@ -41,10 +41,10 @@
     Fault::KillAfter,
 ];
 
-/// Longest wait for something that must come.
+/// Longest wait for a condition that must become true.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a deployment is made of.
+/// Size and settings of a deployment.
 #[derive(Clone, Debug)]
 pub(crate) struct Shape {
     /// Entries, spread over the availability zones.
@@ -61,7 +61,7 @@
     pub(crate) duration: Duration,
     /// Workers, of 4 cores and 8 GiB each.
     pub(crate) workers: usize,
-    /// More lines for each service's section.
+    /// More lines for each service's section of the configuration.
     pub(crate) extra: &'static str,
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// An entry, or what is left of it.
+/// An entry; its daemon is `None` once it was stopped or killed.
 pub(crate) struct Entry {
     pub(crate) daemon: Option<Daemon>,
     pub(crate) switch: Arc<Switch>,
@@ -102,11 +102,11 @@
     format!("z{}", index % zones)
 }
 
-/// Waits until a condition holds, and fails with its name when it never does.
+/// Waits until a condition holds; panics with its name if it doesn't within `WAIT_TIMEOUT`.
 pub(crate) async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     while !holds().await {
-        assert!(began.elapsed() < WAIT_TIMEOUT, "never: {what}");
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "timed out waiting until: {what}");
         task::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -119,7 +119,7 @@
 }
 
 impl Cluster {
-    /// Starts a deployment, with its configuration in force and every minion owned.
+    /// Starts a deployment and waits until its configuration is in force and every minion owned.
     pub(crate) async fn start(shape: Shape) -> Self {
         let mut cluster = Self::without_entries(shape).await;
         for index in 0..cluster.shape.entries {
@@ -130,7 +130,7 @@
         cluster
     }
 
-    /// The platform and the minions, without entries.
+    /// Creates the platform and the minions, without entries.
     pub(crate) async fn without_entries(shape: Shape) -> Self {
         let memory = Memory::default();
         let mut minions = BTreeMap::new();
@@ -156,7 +156,7 @@
         Self { memory, entries: Vec::new(), minions, shape, authority }
     }
 
-    /// Settings that do everything faster than in production, in the same proportions.
+    /// Settings with shorter intervals than in production, in the same proportions.
     pub(crate) fn settings(&self, index: usize) -> Settings {
         Settings {
             name: format!("e{index}"),
@@ -172,13 +172,13 @@
         }
     }
 
-    /// Starts one more entry behind a switchboard of its own.
+    /// Starts one more entry, with a fault switch of its own before the platform.
     pub(crate) async fn start_entry(&mut self, index: usize) {
         let settings = self.settings(index);
         self.start_with(index, settings).await;
     }
 
-    /// Starts one more entry with settings of the test.
+    /// Starts one more entry with the given settings.
     pub(crate) async fn start_with(&mut self, index: usize, settings: Settings) {
         let name = settings.name.clone();
         self.memory.roster.put(instance(&name, Role::Entry, &zone(index, self.shape.zones)));
@@ -197,7 +197,7 @@
         });
     }
 
-    /// A socket with keys of this deployment, to speak to entries as a peer does.
+    /// An endpoint with keys of this deployment, to connect to entries as a peer.
     pub(crate) fn peer_endpoint(&self) -> Endpoint {
         let pair = issue(&self.authority, "test").unwrap();
         let (a, c, k) = (&self.authority.certificate, &pair.certificate, &pair.key);
@@ -205,7 +205,7 @@
         Endpoint::bind(loopback(), &identity, &endpoint::Settings::default()).unwrap()
     }
 
-    /// The template and parameters of this shape.
+    /// The configuration's template and parameters for this shape, with the workspace's name.
     pub(crate) fn config_files(&self, workspace: &str) -> (String, String) {
         let mut template =
             String::from("[workspace]\nname = ${name}\nreboot = 1s\nrollout_weight = 1\n");
@@ -221,7 +221,7 @@
         (template, format!("[parameters]\nname = {workspace}\n"))
     }
 
-    /// Applies the first configuration and waits until every entry acts by it.
+    /// Applies the first configuration and waits until it is in force at every entry.
     pub(crate) async fn configure(&self) {
         let answer = self.apply_config(0, "first", Revision(0), "first").await;
         assert!(answer.is_ok(), "{answer:?}");
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Applies a configuration through one entry.
+    /// Applies a configuration through one entry, with the given change id and base revision.
     pub(crate) async fn apply_config(
         &self,
         index: usize,
@@ -252,7 +252,7 @@
         status.ok().and_then(|status| status["config"].as_u64()).unwrap_or(0)
     }
 
-    /// Waits until every minion has a row and an owner that lives.
+    /// Waits until every minion has a row and a live owner.
     pub(crate) async fn wait_until_owned(&self) {
         wait_until("every minion owned", async || {
             let rows = self.minion_rows().await;
@@ -287,7 +287,7 @@
         client::ask_one(self.entries[index].operators, Method::Post, path, body).await
     }
 
-    /// The minions' rows as the table has them.
+    /// The minions' rows in the table.
     pub(crate) async fn minion_rows(&self) -> Vec<MinionRow> {
         let keys: Vec<String> = self.minions.keys().map(fleet::key::<MinionRow>).collect();
         let rows = self.memory.table.read(Space::Fleet, &keys).await.unwrap();
@@ -321,7 +321,7 @@
         self.entries.iter().position(is_owner).unwrap()
     }
 
-    /// The index of the entry that holds a duty.
+    /// The index of the entry that holds the lease of a duty.
     pub(crate) async fn holder(&self, duty: &str) -> usize {
         let keys = [format!("lease/{duty}")];
         let rows = self.memory.table.read(Space::Lease, &keys).await.unwrap();
@@ -329,15 +329,15 @@
         self.index_of(&lease.holder.unwrap())
     }
 
-    /// Ends an entry at once, as a kill does: it neither hands anything back nor answers, and
-    /// its instance leaves the platform's list.
+    /// Ends an entry at once, as a kill does: it releases nothing and answers nothing, and its
+    /// instance is removed from the platform's list.
     pub(crate) fn kill(&mut self, index: usize) {
         let entry = &mut self.entries[index];
         drop(entry.daemon.take());
         self.memory.roster.remove(&entry.name);
     }
 
-    /// Kills the entries whose plan says so.
+    /// Kills the entries whose fault plan has killed them; returns whether there were any.
     pub(crate) fn reap(&mut self) -> bool {
         let dead: Vec<usize> = (0..self.entries.len())
             .filter(|i| self.entries[*i].daemon.is_some() && self.entries[*i].switch.is_dead())
@@ -353,12 +353,12 @@
         load::send(self.entries[index].callers, single).await
     }
 
-    /// All that the minions ran.
+    /// All runs recorded by the minions.
     pub(crate) fn runs(&self) -> Vec<Run> {
         self.minions.values().flat_map(|minion| minion.record().runs).collect()
     }
 
-    /// The breaches of the promises to callers.
+    /// The guarantees to callers that the requests and the minions' runs violate.
     pub(crate) fn breaches(&self, asked: &[Asked]) -> Vec<Breach> {
         history::check(asked, &self.runs())
     }
--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -1,5 +1,5 @@
-//! The system as a whole: daemons in this process over an in-memory platform, with real sockets
-//! between callers, entries, minions and peers, and a few tests with real processes.
+//! Tests of the system as a whole: daemons in this process over an in-memory platform, with real
+//! sockets between callers, entries, minions and peers, and a few tests with real processes.
 
 mod claims;
 mod cluster;
--- a/tests/all/pages.rs
+++ b/tests/all/pages.rs
@@ -1,4 +1,4 @@
-//! What the pages say of the daemon on the users' platform is what it does.
+//! The pages on the daemon for the users' platform match its settings, metrics and tests.
 
 use celerythread_model::code::Code;
 use celerythread_model::ini::Mistake;
@@ -49,10 +49,10 @@
     let asked = flat.matches("reader.required(").count()
         + flat.matches("reader.value(").count()
         + flat.matches("reader.optional(").count();
-    assert_eq!(asked, keys.len(), "a key is asked for and not documented");
+    assert_eq!(asked, keys.len(), "a key is read and not documented");
 }
 
-/// The template's keys are known, and with values of the platform's kinds the file is right.
+/// The deploy template, filled with values as the platform gives them, is a valid settings file.
 #[test]
 fn the_deploy_template_gives_valid_settings() {
     let mut text = read_page("deploy/entry.ini");
@@ -123,7 +123,7 @@
     }
 }
 
-/// Each test that a page on an incident names exists.
+/// Every test named on a page of docs/incidents exists.
 #[test]
 fn the_tests_that_incidents_name_exist() {
     let root = env!("CARGO_MANIFEST_DIR");
@@ -151,7 +151,7 @@
     }
 }
 
-/// The metrics address serves every counter as text.
+/// The metrics address serves every counter in text form.
 #[async_std::test]
 async fn the_metrics_address_serves_all_figures() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/tests/all/stop.rs
+++ b/tests/all/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off no request.
+//! A planned stop of an entry cuts off no request.
 
 use crate::cluster::{Cluster, Shape, single, wait_until};
 use celerythread_standin::history::Told;
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// A roll-out of the daemon in the morning cuts off the banks' pulls: the process ends while
-/// answers are on their way.
+/// Guards against a roll-out of the daemon that cuts off requests because a process ends while
+/// answers are in flight.
 #[async_std::test]
 async fn a_stop_under_load_cuts_off_nothing() {
     let shape = Shape { entries: 3, duration: Duration::from_millis(60), ..Shape::default() };
@@ -24,7 +24,7 @@
             let mut done = Vec::new();
             let mut n = 0;
             while !stopped.load(Ordering::SeqCst) {
-                // The balancer sends to entries that are ready.
+                // As a load balancer does, sends only to entries that are ready.
                 let index = (0..entries.len())
                     .map(|i| (i + n + worker) % entries.len())
                     .find(|i| in_rotation[*i].load(Ordering::SeqCst));
@@ -37,15 +37,15 @@
         }));
     }
     async_std::task::sleep(Duration::from_millis(400)).await;
-    // The balancer looks at readiness now and then, so it learns of the stop only later.
+    // The load balancer polls readiness, so it learns of the stop only after a delay.
     let daemon = cluster.entries[0].daemon.take().unwrap();
     let unready = in_rotation[0].clone();
-    let looking = async_std::task::spawn(async move {
+    let readiness_poll = async_std::task::spawn(async move {
         async_std::task::sleep(Duration::from_millis(20)).await;
         unready.store(false, Ordering::SeqCst);
     });
     let report = daemon.stop().await;
-    looking.await;
+    readiness_poll.await;
     assert_eq!((report.unanswered, report.unsettled, report.left), (0, 0, true));
     async_std::task::sleep(Duration::from_millis(400)).await;
     stopped.store(true, Ordering::SeqCst);
@@ -59,8 +59,8 @@
     }
     assert!(asked.len() > 50);
     assert_eq!(cluster.breaches(&asked), []);
-    // What it owned was handed back, with nobody to be waited for.
-    wait_until("its minions are owned anew", async || {
+    // The stopped entry released its minions, so that their new owners need not wait for it.
+    wait_until("its minions have new owners", async || {
         let mut owned = true;
         for name in cluster.minions.keys() {
             let row = cluster.ownership(name).await.unwrap();
--- a/tests/all/timeline.rs
+++ b/tests/all/timeline.rs
@@ -1,4 +1,4 @@
-//! The time line over all processes, and the command line's way to the entries.
+//! The timeline merged over all processes, and how the command line reaches the entries.
 
 use crate::cluster::{Cluster, Shape, wait_until};
 use celerythread::client::Client;
@@ -18,8 +18,8 @@
     event::merge(events)
 }
 
-/// An operator reads that a configuration was in force before it was accepted, because one
-/// instance's clock is ahead.  The order must be that of cause and effect.
+/// Guards against a timeline that shows a configuration in force before it was accepted, as it
+/// would in order of wall clocks if one instance's clock is ahead.  The order must be causal.
 #[async_std::test]
 async fn the_merged_timeline_is_in_causal_order() {
     let cluster = Cluster::start(Shape { entries: 3, zones: 3, ..Shape::default() }).await;
@@ -53,7 +53,7 @@
     cluster.stop().await;
 }
 
-/// One entry is gone, and the operator's command must not be.
+/// An operator's command must succeed although one of the entries it was given can't be reached.
 #[async_std::test]
 async fn a_call_that_cannot_reach_one_entry_tries_the_next() {
     let cluster = Cluster::start(Shape::default()).await;
@@ -64,8 +64,8 @@
     cluster.stop().await;
 }
 
-/// On call, there are only log files.  What entries did and believed must come out in the order of
-/// time over all files, without the thousands of lines about single jobs.
+/// On call, only log files are available.  The timeline must show the entries' events in order
+/// of time over all files, without the thousands of lines about single jobs.
 #[test]
 fn a_timeline_is_built_from_log_files() {
     let line = |second: u32, message: &str, fields: &str| {
@@ -100,12 +100,13 @@
     fs::remove_dir_all(&folder).unwrap();
 }
 
-/// `celerythread timeline night.log | head` ended with a backtrace: the reader had gone.
+/// Guards against a panic of `celerythread timeline night.log | head` when the reader closes the
+/// pipe.
 #[test]
 fn a_closed_output_pipe_is_not_a_failure() {
     let path = std::env::temp_dir().join(format!("ct-long-{}.log", std::process::id()));
     let line = "{\"timestamp\":\"2026-03-01T00:00:00Z\",\"message\":\"store_lost\",\"kvs\":{}}\n";
-    // More than a pipe holds.
+    // More than a pipe buffers.
     fs::write(&path, line.repeat(5000)).unwrap();
     let mut child = Command::new(env!("CARGO_BIN_EXE_celerythread"))
         .arg("timeline")
