--- a/tests/all/faults.rs
+++ b/tests/all/faults.rs
@@ -1,16 +1,16 @@
-//! The list of proofs, from which `docs/FAULTS.md` is printed.
+//! The list of faults and the tests that cover them, from which `docs/FAULTS.md` is printed.
 
 mod platform;
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
-/// One promise of the brief.
+/// A guarantee that the system gives.
 struct Promise {
     name: &'static str,
-    /// Fault, and the tests that prove the promise under it; none where it is not proved.
+    /// Fault, and the tests that prove the guarantee under it; none where it is not proved.
     cells: &'static [(&'static str, &'static [&'static str])],
-    /// The guard, where it stands, and a test that fails without it.
+    /// Guard (code that prevents a violation), its path, and a test that fails without it.
     guards: &'static [(&'static str, &'static str, &'static str)],
 }
 
@@ -22,11 +22,17 @@
         cells: &[
             ("failure within a wave", &["a_failure_within_a_wave_pauses_it"]),
             ("any order of failures", &["no_order_of_failures_makes_a_wave_break_the_floor"]),
-            ("operator race", &["racing_waves_are_refused", "racing_moves_never_break_the_floor"]),
-            ("driver killed", &["a_new_lease_holder_continues_the_wave"]),
-            ("driver paused past its lease", &["a_paused_entry_that_wakes_up_does_no_harm"]),
+            (
+                "concurrent operators",
+                &["racing_waves_are_refused", "racing_moves_never_break_the_floor"],
+            ),
+            ("holder of the fleet lease killed", &["a_new_lease_holder_continues_the_wave"]),
+            (
+                "holder of the fleet lease paused until it expires",
+                &["a_paused_entry_that_wakes_up_does_no_harm"],
+            ),
             ("platform outage", &["no_disruption_begins_during_an_outage"]),
-            ("a whole availability zone lost within a wave", NOT),
+            ("a whole availability zone lost during a wave", NOT),
         ],
         guards: &[
             (
@@ -35,7 +41,7 @@
                 "racing_moves_never_break_the_floor",
             ),
             (
-                "what is leaving without an errand counts as failed",
+                "a minion that is leaving without an errand counts as failed",
                 "policy::availability::Standing::count",
                 "failures_use_the_budget_and_leaving_minions_never_return",
             ),
@@ -54,7 +60,7 @@
                 &["a_move_waits_for_a_former_owner_that_may_be_paused"],
             ),
             ("work in flight", &["a_drain_waits_for_work_in_flight"]),
-            ("operator race", &["racing_moves_never_break_the_floor"]),
+            ("concurrent operators", &["racing_moves_never_break_the_floor"]),
             ("pairs of faults", NOT),
         ],
         guards: &[
@@ -79,7 +85,7 @@
         name: "A caller receives the whole answer to its own request",
         cells: &[
             (
-                "answer cut",
+                "answer truncated",
                 &[
                     "a_truncated_answer_is_an_error",
                     "a_truncated_answer_is_never_passed_on_as_complete",
@@ -90,7 +96,7 @@
             ("answer late", &["a_late_answer_never_reaches_another_caller"]),
             ("interim answer", &["an_interim_answer_is_skipped"]),
             ("requests pipelined", &["pipelined_requests_are_all_answered"]),
-            ("connections forgotten", &["silently_dropped_connections_lose_no_request"]),
+            ("connections dropped silently", &["silently_dropped_connections_lose_no_request"]),
             ("conflicting lengths", &["conflicting_lengths_of_an_answer_are_an_error"]),
             ("answer of a wrong length within its framing", NOT),
         ],
@@ -119,13 +125,13 @@
             ("connection refused", &["a_refused_connection_is_not_run"]),
             ("overload", &["overload_is_refused_at_once_with_retry_after"]),
             ("platform outage", &["an_outage_refuses_keyed_requests_and_serves_the_others"]),
-            ("silence", &["a_silent_minion_leaves_the_outcome_unknown_at_once"]),
-            ("bad requests", &["invalid_request_headers_get_their_result_codes"]),
-            ("half a request", &["half_a_request_is_never_handled"]),
+            ("silent minion", &["a_silent_minion_leaves_the_outcome_unknown_at_once"]),
+            ("invalid requests", &["invalid_request_headers_get_their_result_codes"]),
+            ("incomplete request", &["half_a_request_is_never_handled"]),
         ],
         guards: &[
             (
-                "not run is said only before the first byte",
+                "\"not run\" is reported only before the first byte is sent",
                 "policy::phase::judge",
                 "the_table_by_phase_and_idempotence",
             ),
@@ -146,7 +152,7 @@
             ("repeat at another entry", &["a_repeat_at_another_entry_gets_the_stored_answer"]),
             ("entry dies while it runs", &["a_dead_entrys_claim_is_never_run_again"]),
             ("unkeyed, whatever the minion does", &["an_unkeyed_request_is_sent_once"]),
-            ("connections forgotten", &["silently_dropped_connections_lose_no_request"]),
+            ("connections dropped silently", &["silently_dropped_connections_lose_no_request"]),
             ("an entry killed", &["a_killed_entry_is_replaced"]),
             ("jobs: every fault at every call", &["every_fault_at_every_call_of_a_job"]),
             (
@@ -170,12 +176,12 @@
                 "every_fault_at_every_call_of_a_claim",
             ),
             (
-                "an order to a worker is for one boot of it",
+                "an order to a worker names one boot of it",
                 "entry::drive::jobs::settle::order_again",
                 "a_restarted_worker_never_runs_a_non_idempotent_job_twice",
             ),
             (
-                "non-idempotent requests go onto new connections only",
+                "non-idempotent requests are sent on new connections only",
                 "entry::dispatch::attempt",
                 "silently_dropped_connections_lose_no_request",
             ),
@@ -184,7 +190,10 @@
     Promise {
         name: "A leaving upstream receives no new work after a few seconds",
         cells: &[
-            ("told by the list", &["a_leaving_minion_gets_no_new_work_within_two_seconds"]),
+            (
+                "marked as leaving in the platform's list",
+                &["a_leaving_minion_gets_no_new_work_within_two_seconds"],
+            ),
             ("drained by a move or wave", &["a_move_under_load_loses_and_misroutes_no_request"]),
             ("its owner cut off from platform and peers", NOT),
         ],
@@ -204,7 +213,7 @@
         ],
         guards: &[
             (
-                "answers say that the connection closes before it does",
+                "answers announce that the connection closes before it does",
                 "http::server::serve_one",
                 "a_closing_server_says_so_on_its_answers",
             ),
@@ -219,7 +228,7 @@
         name: "An accepted configuration is in force everywhere within seconds and never reverts",
         cells: &[
             ("no fault", &["an_accepted_configuration_is_in_force_everywhere"]),
-            ("operator race", &["only_one_of_several_concurrent_changes_is_accepted"]),
+            ("concurrent operators", &["only_one_of_several_concurrent_changes_is_accepted"]),
             ("lost answer", &["a_repeated_change_is_applied_once"]),
             (
                 "fail before effect, lost answer, hang, slow, late effect, pause: at commit, read, changes",
@@ -230,17 +239,17 @@
                 &["an_entry_cut_off_from_the_platform_gets_the_configuration_from_its_peers"],
             ),
             ("new entry in an outage", &["an_entry_that_starts_in_an_outage_is_not_ready"]),
-            ("rows late, doubled, in any order", &["rows_in_any_order_end_alike"]),
+            ("rows late, duplicated, in any order", &["rows_in_any_order_end_alike"]),
             ("entry cut off from platform and peers", NOT),
         ],
         guards: &[
             (
-                "a row with a revision not above the held one is ignored",
+                "a row whose revision isn't above that of the row in memory is ignored",
                 "policy::view::View::apply",
                 "rows_in_any_order_end_alike",
             ),
             (
-                "a change's id is written against there being none",
+                "a change's id is written on condition that it doesn't exist yet",
                 "entry::operator::config::transaction",
                 "a_repeated_change_is_applied_once",
             ),
@@ -253,7 +262,10 @@
             ("all entries together", &["no_minion_has_more_than_its_slots_from_all_entries"]),
             ("any order of steps", &["grants_never_exceed_the_slots"]),
             ("borrower dies", &["slots_lent_to_a_dead_entry_are_reclaimed"]),
-            ("borrower gives up", &["a_slot_granted_to_an_abandoned_request_is_released"]),
+            (
+                "borrower abandons its request",
+                &["a_slot_granted_to_an_abandoned_request_is_released"],
+            ),
             ("fast failing minion", &["a_fast_failing_minion_gets_no_more_than_its_share"]),
             ("everything fails", &["ejection_never_empties_a_service"]),
             ("jobs", &["urgent_jobs_preempt_patient_jobs_which_finish_later"]),
@@ -266,17 +278,17 @@
                 "a_fast_failure_occupies_its_slot_like_a_success",
             ),
             (
-                "one of several minions is never the last to be set aside",
+                "the last of several minions is never ejected",
                 "policy::slots::Ledger::compare",
                 "ejection_never_empties_a_service",
             ),
             (
-                "a grant whose exchange broke is taken back once its borrower's beats do not list it",
+                "a grant whose exchange broke is reclaimed once its borrower's heartbeats don't list it",
                 "entry::peers::Peers::note_broken",
                 "a_slot_granted_to_an_abandoned_request_is_released",
             ),
             (
-                "slots lent to an entry that left the registry are taken back",
+                "slots lent to an entry that left the registry are reclaimed",
                 "entry::peers::settle_unregistered",
                 "slots_lent_to_a_dead_entry_are_reclaimed",
             ),
@@ -284,44 +296,48 @@
     },
 ];
 
-/// What the brief asks and nothing here proves, or not in full.
+/// What is required and no test proves, or only in part.
 const NOT_PROVED: &[&str] = &[
-    "Pairs of faults: the matrices strike one call at a time.",
-    "On the platform there is no matrix of every fault at every call; days of trouble over real \
-     processes take its place, outside of CI.  The guards listed there were each switched off in \
-     a scratch copy, or the code from before them was, and the test named beside each failed; but \
-     for what idles before its turn, what was never started (the matrix of the engine stays green \
-     without it: its draws don't reach that case), and one answer that ends an outage (not tried).",
-    "Of the guards for fleets of hundreds of machines only that of turns which are due was switched off (its test failed); dials that outlive their question, owners that are waited for beside the moves and machines whose rows are being dropped have no test of their own.",
-    "Guards were switched off one at a time in a scratch copy for only eight of this page's: six \
-     tests failed, one of them by its time limit, and two stayed green.  The fast failing minion's \
-     is held by suspicion too; its guard now has a test of its own, not tried with the guard off.  \
-     The move over real sockets is held up by the slots kept free for a former owner too; the \
-     policy's own test is named instead, not tried with the guard off either.  The other guards \
-     were not switched off.",
+    "Pairs of faults: the matrices inject a fault into one call at a time.",
+    "On the platform there is no matrix of every fault at every call; instead days with injected \
+     faults are run over real processes, outside of CI.  Each guard listed there was switched off in a \
+     scratch copy, or the code from before it was used, and the test named beside it failed.  \
+     Exceptions: idle machines that move to the next pool before its turn; what was never started \
+     (the engine's matrix passes without this guard because its random cases don't reach it); and \
+     one answer that ends an outage (not tried).",
+    "Of the guards for fleets of hundreds of machines only the one for turns that are due was \
+     switched off (its test failed).  Connection attempts that outlive their query, waiting for \
+     owners concurrently with the moves, and machines whose rows are being deleted have no test of \
+     their own.",
+    "Only eight of this page's guards were switched off, one at a time in a scratch copy: six tests \
+     failed, one of them by its timeout, and two passed.  The fast failing minion is also limited \
+     by the count of its recent failures; its guard now has a test of its own, not tried with the \
+     guard off.  The move over real sockets is also delayed by the slots reserved for a former \
+     owner; the policy's own test is named instead, not tried with the guard off either.  The other \
+     guards were not switched off.",
     "Slots: an owner that is cut off from its peers and from the platform, and still reaches its \
-     minions, goes on handing out; when its peers reach the platform they take its minions over \
-     after `takeover_after`, and until the cut ends a minion can get up to twice its slots. \
-     Pools are safe all the same: a move waits for the former owner.",
+     minions, continues to grant their slots; when its peers reach the platform they take over its \
+     minions after `takeover_after`, and until the partition ends a minion can get up to twice as \
+     many requests as it has slots.  Pools stay correct: a move waits for the former owner.",
     "Leaving upstreams: an owner cut off from the platform and from every peer learns of a \
-     leaving minion only from the minion's own signs (503, refused connections).",
-    "A minion that answers 503 is taken at its word only for idempotent requests; whether it ran \
-     the request is not known, so nothing is said to be not run.",
-    "In a platform outage minions of an entry that dies stay without an owner until the platform \
+     leaving minion only from the minion itself (503, refused connections).",
+    "A minion's 503 is trusted only for idempotent requests: whether it ran the request isn't \
+     known, so the request isn't reported as not run.",
+    "If an entry dies during a platform outage, its minions have no owner until the platform \
      answers again.",
-    "The bodies of long kept answers stay in the object store when their claims are cleared.",
-    "A request given up on at its deadline may still run on its minion beyond its slot.",
-    "Whether the platform's own list, reboot and worker calls keep the contracts written at the \
-     traits; the stand-in keeps them.",
-    "The figures at the letter's size: docs/CAPACITY.md works them out from slopes.",
+    "The bodies of large stored answers stay in the object store when their claims are deleted.",
+    "A request abandoned at its deadline may still run on its minion after its slot is released.",
+    "Whether the platform's own list, reboot and worker calls fulfil the contracts documented at \
+     the traits; the stand-in fulfils them.",
+    "The figures at the required fleet size: docs/CAPACITY.md extrapolates them from slopes.",
 ];
 
-/// Those of the product's own interface, then those on the users' platform.
+/// The guarantees of the product's own interface, then those on the users' platform.
 fn promises() -> impl Iterator<Item = &'static Promise> {
     PROMISES.iter().chain(platform::PROMISES)
 }
 
-/// The tests that the list names.
+/// The names of all tests in the list.
 pub(crate) fn proofs() -> BTreeSet<&'static str> {
     let cells = promises().flat_map(|p| p.cells.iter().flat_map(|(_, tests)| *tests)).copied();
     let guards = promises().flat_map(|p| p.guards.iter().map(|(_, _, test)| *test));
