--- a/tests/all/faults.rs
+++ b/tests/all/faults.rs
@@ -6,20 +6,20 @@
 use std::fmt::Write;
 
 /// A guarantee that the system gives.
-struct Promise {
+struct Guarantee {
     name: &'static str,
     /// Fault, and the tests that prove the guarantee under it; none where it is not proved.
-    cells: &'static [(&'static str, &'static [&'static str])],
+    faults: &'static [(&'static str, &'static [&'static str])],
     /// Guard (code that prevents a violation), its path, and a test that fails without it.
     guards: &'static [(&'static str, &'static str, &'static str)],
 }
 
-const NOT: &[&str] = &[];
+const UNPROVED: &[&str] = &[];
 
-const PROMISES: &[Promise] = &[
-    Promise {
+const GUARANTEES: &[Guarantee] = &[
+    Guarantee {
         name: "Each service's availability budget holds, through failures and waves alike",
-        cells: &[
+        faults: &[
             ("failure within a wave", &["a_failure_within_a_wave_pauses_it"]),
             ("any order of failures", &["no_order_of_failures_makes_a_wave_break_the_floor"]),
             (
@@ -32,7 +32,7 @@
                 &["a_paused_entry_that_wakes_up_does_no_harm"],
             ),
             ("platform outage", &["no_disruption_begins_during_an_outage"]),
-            ("a whole availability zone lost during a wave", NOT),
+            ("a whole availability zone lost during a wave", UNPROVED),
         ],
         guards: &[
             (
@@ -47,9 +47,9 @@
             ),
         ],
     },
-    Promise {
+    Guarantee {
         name: "At any moment, an instance belongs to exactly one pool",
-        cells: &[
+        faults: &[
             (
                 "fail before effect, lost answer, hang, slow, late effect, pause, kill: at every call",
                 &["every_fault_at_every_call_of_a_move"],
@@ -61,7 +61,7 @@
             ),
             ("work in flight", &["a_drain_waits_for_work_in_flight"]),
             ("concurrent operators", &["racing_moves_never_break_the_floor"]),
-            ("pairs of faults", NOT),
+            ("pairs of faults", UNPROVED),
         ],
         guards: &[
             (
@@ -81,9 +81,9 @@
             ),
         ],
     },
-    Promise {
+    Guarantee {
         name: "A caller receives the whole answer to its own request",
-        cells: &[
+        faults: &[
             (
                 "answer truncated",
                 &[
@@ -98,7 +98,7 @@
             ("requests pipelined", &["pipelined_requests_are_all_answered"]),
             ("connections dropped silently", &["silently_dropped_connections_lose_no_request"]),
             ("conflicting lengths", &["conflicting_lengths_of_an_answer_are_an_error"]),
-            ("answer of a wrong length within its framing", NOT),
+            ("answer of a wrong length within its framing", UNPROVED),
         ],
         guards: &[
             (
@@ -118,9 +118,9 @@
             ),
         ],
     },
-    Promise {
+    Guarantee {
         name: "When a request is refused as not run, it was not run",
-        cells: &[
+        faults: &[
             ("by phase and idempotence", &["the_table_by_phase_and_idempotence"]),
             ("connection refused", &["a_refused_connection_is_not_run"]),
             ("overload", &["overload_is_refused_at_once_with_retry_after"]),
@@ -142,9 +142,9 @@
             ),
         ],
     },
-    Promise {
+    Guarantee {
         name: "A non-idempotent request runs at most once",
-        cells: &[
+        faults: &[
             (
                 "fail before effect, lost answer, hang, slow, late effect, pause, kill: at every commit",
                 &["every_fault_at_every_call_of_a_claim"],
@@ -162,7 +162,7 @@
                     "a_restarted_worker_never_runs_a_non_idempotent_job_twice",
                 ],
             ),
-            ("pairs of faults", NOT),
+            ("pairs of faults", UNPROVED),
         ],
         guards: &[
             (
@@ -187,15 +187,15 @@
             ),
         ],
     },
-    Promise {
+    Guarantee {
         name: "A leaving upstream receives no new work after a few seconds",
-        cells: &[
+        faults: &[
             (
                 "marked as leaving in the platform's list",
                 &["a_leaving_minion_gets_no_new_work_within_two_seconds"],
             ),
             ("drained by a move or wave", &["a_move_under_load_loses_and_misroutes_no_request"]),
-            ("its owner cut off from platform and peers", NOT),
+            ("its owner cut off from platform and peers", UNPROVED),
         ],
         guards: &[(
             "a minion that is not active has no free slots",
@@ -203,13 +203,13 @@
             "a_draining_minion_gets_nothing_and_is_idle_once_its_grants_end",
         )],
     },
-    Promise {
+    Guarantee {
         name: "Every planned stop is graceful",
-        cells: &[
+        faults: &[
             ("entry stopped under load", &["a_stop_under_load_cuts_off_nothing"]),
             ("SIGTERM under load", &["sigterm_under_load_cuts_off_nothing"]),
             ("minion drained under work", &["a_drain_waits_for_work_in_flight"]),
-            ("stop during a platform outage", NOT),
+            ("stop during a platform outage", UNPROVED),
         ],
         guards: &[
             (
@@ -224,9 +224,9 @@
             ),
         ],
     },
-    Promise {
+    Guarantee {
         name: "An accepted configuration is in force everywhere within seconds and never reverts",
-        cells: &[
+        faults: &[
             ("no fault", &["an_accepted_configuration_is_in_force_everywhere"]),
             ("concurrent operators", &["only_one_of_several_concurrent_changes_is_accepted"]),
             ("lost answer", &["a_repeated_change_is_applied_once"]),
@@ -240,7 +240,7 @@
             ),
             ("new entry in an outage", &["an_entry_that_starts_in_an_outage_is_not_ready"]),
             ("rows late, duplicated, in any order", &["rows_in_any_order_end_alike"]),
-            ("entry cut off from platform and peers", NOT),
+            ("entry cut off from platform and peers", UNPROVED),
         ],
         guards: &[
             (
@@ -255,9 +255,9 @@
             ),
         ],
     },
-    Promise {
+    Guarantee {
         name: "Urgent before patient, patient never starved, slots never exceeded",
-        cells: &[
+        faults: &[
             ("saturation", &["urgent_goes_first_and_patient_still_moves"]),
             ("all entries together", &["no_minion_has_more_than_its_slots_from_all_entries"]),
             ("any order of steps", &["grants_never_exceed_the_slots"]),
@@ -269,7 +269,7 @@
             ("fast failing minion", &["a_fast_failing_minion_gets_no_more_than_its_share"]),
             ("everything fails", &["ejection_never_empties_a_service"]),
             ("jobs", &["urgent_jobs_preempt_patient_jobs_which_finish_later"]),
-            ("owner cut off from its peers while they take its minions over", NOT),
+            ("owner cut off from its peers while they take its minions over", UNPROVED),
         ],
         guards: &[
             (
@@ -333,15 +333,15 @@
 ];
 
 /// The guarantees of the product's own interface, then those on the users' platform.
-fn promises() -> impl Iterator<Item = &'static Promise> {
-    PROMISES.iter().chain(platform::PROMISES)
+fn guarantees() -> impl Iterator<Item = &'static Guarantee> {
+    GUARANTEES.iter().chain(platform::GUARANTEES)
 }
 
 /// The names of all tests in the list.
 pub(crate) fn proofs() -> BTreeSet<&'static str> {
-    let cells = promises().flat_map(|p| p.cells.iter().flat_map(|(_, tests)| *tests)).copied();
-    let guards = promises().flat_map(|p| p.guards.iter().map(|(_, _, test)| *test));
-    cells.chain(guards).collect()
+    let faults = guarantees().flat_map(|g| g.faults.iter().flat_map(|(_, tests)| *tests)).copied();
+    let guards = guarantees().flat_map(|g| g.guards.iter().map(|(_, _, test)| *test));
+    faults.chain(guards).collect()
 }
 
 /// The text of `docs/FAULTS.md`.
@@ -350,9 +350,9 @@
         "# Faults\n\nPrinted by `PRINT_FAULTS=1 cargo test --test all the_faults_page`; CI checks \
          that it is current and that every test it names exists.\n",
     );
-    for promise in promises() {
-        let _ = write!(text, "\n## {}\n\n| fault | proved by |\n|---|---|\n", promise.name);
-        for (fault, tests) in promise.cells {
+    for guarantee in guarantees() {
+        let _ = write!(text, "\n## {}\n\n| fault | proved by |\n|---|---|\n", guarantee.name);
+        for (fault, tests) in guarantee.faults {
             let proof = if tests.is_empty() {
                 "**not proved**".to_owned()
             } else {
@@ -361,7 +361,7 @@
             let _ = writeln!(text, "| {fault} | {proof} |");
         }
         let _ = write!(text, "\n| guard | where | fails without it |\n|---|---|---|\n");
-        for (guard, place, test) in promise.guards {
+        for (guard, place, test) in guarantee.guards {
             let _ = writeln!(text, "| {guard} | `{place}` | `{test}` |");
         }
     }
--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -1,11 +1,11 @@
 //! The promises of the daemon on the users' platform.
 
-use super::{NOT, Promise};
+use super::{Guarantee, UNPROVED};
 
-pub(super) const PROMISES: &[Promise] = &[
-    Promise {
+pub(super) const GUARANTEES: &[Guarantee] = &[
+    Guarantee {
         name: "On the platform: no task runs twice, and none after it is done",
-        cells: &[
+        faults: &[
             ("owner killed", &["a_killed_owner_is_replaced_and_nothing_runs_twice"]),
             ("owner paused past its silence", &["a_paused_owner_that_wakes_runs_nothing_twice"]),
             ("owner stopped", &["a_stopping_owner_hands_over_and_ends"]),
@@ -37,10 +37,10 @@
             ),
             (
                 "a minion restarts under the same id, receives a start and is cut off within one look",
-                NOT,
+                UNPROVED,
             ),
-            ("a start is carried out late on the next incarnation of its minion", NOT),
-            ("every fault at every call of accept, cancel, move, maintenance", NOT),
+            ("a start is carried out late on the next incarnation of its minion", UNPROVED),
+            ("every fault at every call of accept, cancel, move, maintenance", UNPROVED),
         ],
         guards: &[
             (
@@ -110,9 +110,9 @@
             ),
         ],
     },
-    Promise {
+    Guarantee {
         name: "On the platform: a task that crashes its minions costs few of them, and no other task is blamed",
-        cells: &[
+        faults: &[
             ("it runs alone", &["a_task_that_crashes_its_minions_is_given_up"]),
             ("others run beside it", &["tasks_beside_a_crashing_one_are_not_given_up"]),
             ("all tasks of a job", &["a_job_of_crashing_tasks_is_given_up_with_the_first"]),
@@ -140,7 +140,7 @@
             ("minions are cut off", &["tasks_of_minions_that_are_cut_off_start_again_together"]),
             ("minions are emptied or drain", &["planned_ends_count_against_no_task"]),
             ("its job is cancelled", &["a_cancelled_job_stays_cancelled"]),
-            ("it crashes them only after it was at work for five seconds", NOT),
+            ("it crashes them only after it was at work for five seconds", UNPROVED),
             ("a minion's room shrinks", &["nothing_is_started_beyond_a_room_that_has_shrunk"]),
             (
                 "minions restart under the same id",
@@ -195,9 +195,9 @@
             ),
         ],
     },
-    Promise {
+    Guarantee {
         name: "On the platform: what is accepted is done, what is refused as not run never runs",
-        cells: &[
+        faults: &[
             ("the same job again", &["a_job_that_arrives_again_stays_one_job"]),
             ("bad requests", &["what_is_not_a_job_is_refused_with_its_reason"]),
             ("a cancelled job", &["a_cancelled_job_ends_and_stays_so"]),
@@ -215,7 +215,7 @@
                 "entries of another writer",
                 &["entries_of_another_writer_name_no_minions", "decoders_take_any_bytes"],
             ),
-            ("the store turns one entry away", NOT),
+            ("the store turns one entry away", UNPROVED),
         ],
         guards: &[
             (
@@ -316,9 +316,9 @@
             ),
         ],
     },
-    Promise {
+    Guarantee {
         name: "On the platform: keys and limits of workspaces hold",
-        cells: &[
+        faults: &[
             ("no key, unknown, malformed, doubled", &["a_call_without_a_valid_key_is_refused"]),
             ("another workspace's job", &["a_job_is_its_workspaces_alone"]),
             (
@@ -343,7 +343,7 @@
                 "limit lowered",
                 &["a_lowered_limit_stops_nothing_and_starts_nothing_until_there_is_room"],
             ),
-            ("a limit where there was none before, with an owner cut off", NOT),
+            ("a limit where there was none before, with an owner cut off", UNPROVED),
         ],
         guards: &[
             (
@@ -378,12 +378,12 @@
             ),
         ],
     },
-    Promise {
+    Guarantee {
         name: "On the platform: budgets hold through waves, moves and shared minions",
-        cells: &[
+        faults: &[
             ("a wave under load", &["a_wave_is_completed_without_ending_what_runs"]),
             ("the carrier of a wave killed", &["a_wave_survives_its_carrier"]),
-            ("a wave while the store or the interface is away", NOT),
+            ("a wave while the store or the interface is away", UNPROVED),
         ],
         guards: &[
             (
@@ -449,9 +449,9 @@
             ),
         ],
     },
-    Promise {
+    Guarantee {
         name: "On the platform: one owner a cell",
-        cells: &[
+        faults: &[
             ("any order of candidates", &["only_the_first_candidate_takes_a_vacant_cell"]),
             ("a planned stop", &["a_cell_is_handed_to_a_living_entry_that_stays"]),
             (
@@ -459,7 +459,7 @@
                 &["an_outage_of_the_store_is_nobodys_silence"],
             ),
             ("the store is a hundred times slower", &["a_slow_store_keeps_its_owners_at_work"]),
-            ("a holder that renews at the last moment, over the store", NOT),
+            ("a holder that renews at the last moment, over the store", UNPROVED),
         ],
         guards: &[
             (
@@ -499,17 +499,17 @@
             ),
         ],
     },
-    Promise {
+    Guarantee {
         name: "On the platform: a fleet of hundreds of machines",
-        cells: &[
+        faults: &[
             (
                 "the holder of the fleet's duty is killed within a wave",
                 &["a_wave_survives_its_carrier"],
             ),
             ("the store away within a wave", &["a_wave_that_falls_behind_catches_up"]),
-            ("the holder lost, or an answer of its lost, at each other of its calls", NOT),
-            ("all entries dial a new owner at once", NOT),
-            ("a machine that is off, and its order's holder lost", NOT),
+            ("the holder lost, or an answer of its lost, at each other of its calls", UNPROVED),
+            ("all entries dial a new owner at once", UNPROVED),
+            ("a machine that is off, and its order's holder lost", UNPROVED),
         ],
         guards: &[
             (
