--- a/tests/all/claims.rs
+++ b/tests/all/claims.rs
@@ -269,7 +269,8 @@
 /// A non-idempotent request without a key is sent once, whatever the answer.
 #[async_std::test]
 async fn an_unkeyed_request_is_sent_once() {
-    let cluster = Cluster::start(Shape { extra: "progress = 200ms", ..Shape::default() }).await;
+    let cluster =
+        Cluster::start(Shape { service_settings: "progress = 200ms", ..Shape::default() }).await;
     let mut asked = Vec::new();
     for mode in [Mode::Hang, Mode::Truncate, Mode::FailFast, Mode::Unavailable] {
         for minion in cluster.minions.values() {
--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -61,8 +61,8 @@
     pub(crate) duration: Duration,
     /// Workers, of 4 cores and 8 GiB each.
     pub(crate) workers: usize,
-    /// More lines for each service's section of the configuration.
-    pub(crate) extra: &'static str,
+    /// More lines of settings for the section of each service in the configuration.
+    pub(crate) service_settings: &'static str,
 }
 
 impl Default for Shape {
@@ -75,7 +75,7 @@
             slots: 4,
             duration: Duration::from_millis(10),
             workers: 0,
-            extra: "",
+            service_settings: "",
         }
     }
 }
@@ -212,7 +212,7 @@
         for (service, count) in &self.shape.minions {
             template.push_str(&format!(
                 "[service {service}]\nminions = {count}\nfloor = {}\nslots = {}\n{}\n",
-                self.shape.floor, self.shape.slots, self.shape.extra
+                self.shape.floor, self.shape.slots, self.shape.service_settings
             ));
         }
         template.push_str(
@@ -313,20 +313,20 @@
     /// The index of the entry that owns a minion.
     pub(crate) async fn owner_index(&self, name: &str) -> usize {
         let owner = self.ownership(name).await.unwrap().owner.unwrap();
-        self.index_of(&owner)
+        self.entry_index(&owner)
     }
 
-    pub(crate) fn index_of(&self, entry: &id::Entry) -> usize {
+    pub(crate) fn entry_index(&self, entry: &id::Entry) -> usize {
         let is_owner = |one: &Entry| one.daemon.as_ref().is_some_and(|daemon| daemon.id() == entry);
         self.entries.iter().position(is_owner).unwrap()
     }
 
     /// The index of the entry that holds the lease of a duty.
-    pub(crate) async fn holder(&self, duty: &str) -> usize {
+    pub(crate) async fn lease_holder(&self, duty: &str) -> usize {
         let keys = [format!("lease/{duty}")];
         let rows = self.memory.table.read(Space::Lease, &keys).await.unwrap();
         let lease: fleet::Lease = rows[0].decode().unwrap();
-        self.index_of(&lease.holder.unwrap())
+        self.entry_index(&lease.holder.unwrap())
     }
 
     /// Ends an entry at once, as a kill does: it releases nothing and answers nothing, and its
--- a/tests/all/jobs.rs
+++ b/tests/all/jobs.rs
@@ -275,7 +275,7 @@
 
 async fn run_job_with_fault((call, at, fault): (Call, u64, Fault)) -> Vec<String> {
     let mut cluster = Cluster::start(workers_only(1)).await;
-    let holder = cluster.holder("jobs").await;
+    let holder = cluster.lease_holder("jobs").await;
     let switch = cluster.entries[holder].switch.clone();
     submit(&cluster, 1 - holder, Submission { non_idempotent: true, ..submission("j") })
         .await
--- a/tests/all/maintenance.rs
+++ b/tests/all/maintenance.rs
@@ -174,7 +174,7 @@
 #[async_std::test]
 async fn a_new_lease_holder_continues_the_wave() {
     let mut cluster = Cluster::start(Shape { entries: 3, ..six_minions() }).await;
-    let holder = cluster.holder("fleet").await;
+    let holder = cluster.lease_holder("fleet").await;
     let other = (holder + 1) % 3;
     declare_wave(&cluster, other, "w").await.unwrap();
     wait_until("the wave has begun", async || {
--- a/tests/all/moves.rs
+++ b/tests/all/moves.rs
@@ -213,7 +213,7 @@
 /// maximum per kind: further calls only repeat the first ones.
 async fn count_calls() -> Vec<(Call, u64)> {
     let cluster = Cluster::start(Shape::default()).await;
-    let holder = cluster.holder("fleet").await;
+    let holder = cluster.lease_holder("fleet").await;
     let switch = cluster.entries[holder].switch.clone();
     let kinds = [(Call::Commit, 6), (Call::List, 2), (Call::Reboot, 1), (Call::Changes, 2)];
     let before: Vec<u64> = kinds.iter().map(|(call, _)| switch.count(*call)).collect();
@@ -230,7 +230,7 @@
 
 async fn run_move_with_fault((call, at, fault): (Call, u64, Fault)) -> Vec<String> {
     let mut cluster = Cluster::start(Shape::default()).await;
-    let holder = cluster.holder("fleet").await;
+    let holder = cluster.lease_holder("fleet").await;
     let other = 1 - holder;
     let switch = cluster.entries[holder].switch.clone();
     order_move(&cluster, other).await.unwrap();
--- a/tests/all/programs.rs
+++ b/tests/all/programs.rs
@@ -43,7 +43,7 @@
          [platform]\npoll = 5s\n[lease]\nterm = 2s\n[log]\nformat = pretty\n[nonsense]\n",
     );
     let output = run(env!("CARGO_BIN_EXE_celerythreadd"), &["--settings", &path, "--check"]);
-    let told = text(&output.stderr);
+    let printed = text(&output.stderr);
     for expected in [
         "[instance] name (line 2)",
         "3003 unknown-key: [instance] colour (line 4)",
@@ -57,9 +57,9 @@
         "[log] format (line 22)",
         "3002 unknown-section: [nonsense] (line 23)",
     ] {
-        assert!(told.contains(expected), "{expected:?} is missing in:\n{told}");
+        assert!(printed.contains(expected), "{expected:?} is missing in:\n{printed}");
     }
-    assert!(told.lines().count() >= 10);
+    assert!(printed.lines().count() >= 10);
     assert_eq!(output.status.code(), Some(3));
     let _ = fs::remove_file(path);
 }
--- a/tests/all/requests.rs
+++ b/tests/all/requests.rs
@@ -24,7 +24,12 @@
 async fn mixed_load_through_every_entry_is_all_answered() {
     // Queues and deadlines large enough for all requests: each must be answered, even if the
     // machine that runs the test is slow.
-    let shape = Shape { entries: 3, zones: 3, extra: "queue_per_slot = 1000", ..Shape::default() };
+    let shape = Shape {
+        entries: 3,
+        zones: 3,
+        service_settings: "queue_per_slot = 1000",
+        ..Shape::default()
+    };
     let cluster = Cluster::start(shape).await;
     let plan = Plan {
         entries: cluster.entries.iter().map(|entry| entry.callers).collect(),
@@ -102,7 +107,7 @@
 /// may be sent again.
 #[async_std::test]
 async fn a_silent_minion_leaves_the_outcome_unknown_at_once() {
-    let shape = Shape { extra: "progress = 200ms", ..one_minion() };
+    let shape = Shape { service_settings: "progress = 200ms", ..one_minion() };
     let cluster = Cluster::start(shape).await;
     cluster.minions["alpha-0"].set_mode(Mode::Hang);
     let started_at = Instant::now();
@@ -122,7 +127,7 @@
         entries: 1,
         minions: vec![("alpha", 0)],
         floor: 0,
-        extra: "progress = 200ms",
+        service_settings: "progress = 200ms",
         ..Shape::default()
     };
     let mut cluster = Cluster::without_entries(shape).await;
@@ -168,7 +173,7 @@
 /// A request reaches its deadline and its answer arrives afterwards: no other caller may get it.
 #[async_std::test]
 async fn a_late_answer_never_reaches_another_caller() {
-    let shape = Shape { extra: "progress = 5s", ..one_minion() };
+    let shape = Shape { service_settings: "progress = 5s", ..one_minion() };
     let cluster = Cluster::start(shape).await;
     let minion = &cluster.minions["alpha-0"];
     minion.set_duration(Duration::from_millis(400));
