--- a/tests/all/faults.rs
+++ b/tests/all/faults.rs
@@ -278,7 +278,7 @@
                 "a_fast_failure_occupies_its_slot_like_a_success",
             ),
             (
-                "the last of several minions is never ejected",
+                "the last healthy one of several minions is never ejected",
                 "policy::slots::Ledger::compare",
                 "ejection_never_empties_a_service",
             ),
