--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -1,4 +1,4 @@
-//! A small deployment in one process.
+//! A small deployment in one process: daemons and minions over an in-memory platform.
 
 use async_std::task;
 use celerythread::client;
@@ -29,7 +29,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Every fault of a call and of the process that makes it.
+/// Every fault that can be injected into a call or the process that makes it.
 pub(crate) const FAULTS: [Fault; 8] = [
     Fault::FailBefore,
     Fault::LoseAnswer,
@@ -41,10 +41,10 @@
     Fault::KillAfter,
 ];
 
-/// Longest wait for something that must come.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Longest wait for a condition that must become true.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a deployment is made of.
+/// Size and settings of a deployment.
 #[derive(Clone, Debug)]
 pub(crate) struct Shape {
     /// Entries, spread over the availability zones.
@@ -61,8 +61,8 @@
     pub(crate) duration: Duration,
     /// Workers, of 4 cores and 8 GiB each.
     pub(crate) workers: usize,
-    /// More lines for each service's section.
-    pub(crate) extra: &'static str,
+    /// More lines of settings for the section of each service in the configuration.
+    pub(crate) service_settings: &'static str,
 }
 
 impl Default for Shape {
@@ -75,12 +75,12 @@
             slots: 4,
             duration: Duration::from_millis(10),
             workers: 0,
-            extra: "",
+            service_settings: "",
         }
     }
 }
 
-/// An entry, or what is left of it.
+/// An entry; its daemon is `None` once it was stopped or killed.
 pub(crate) struct Entry {
     pub(crate) daemon: Option<Daemon>,
     pub(crate) switch: Arc<FaultInjector>,
@@ -102,36 +102,36 @@
     format!("z{}", index % zones)
 }
 
-/// Waits until a condition holds, and fails with its name when it never does.
-pub(crate) async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let began = Instant::now();
+/// Waits until a condition holds; panics with its name if it doesn't within `WAIT_TIMEOUT`.
+pub(crate) async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+    let started_at = Instant::now();
     while !holds().await {
-        assert!(began.elapsed() < PATIENCE, "never: {what}");
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "timed out waiting until: {what}");
         task::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Runs one cell of a matrix on a thread of its own.
-pub(crate) fn apart<T: Send + 'static, F: Future<Output = T>>(
-    cell: impl FnOnce() -> F + Send + 'static,
+/// Runs one case of a matrix on a thread of its own.
+pub(crate) fn spawn_thread<T: Send + 'static, F: Future<Output = T>>(
+    case: impl FnOnce() -> F + Send + 'static,
 ) -> JoinHandle<T> {
-    std::thread::spawn(move || task::block_on(cell()))
+    std::thread::spawn(move || task::block_on(case()))
 }
 
 impl Cluster {
-    /// Starts a deployment, with its configuration in force and every minion owned.
+    /// Starts a deployment and waits until its configuration is in force and every minion owned.
     pub(crate) async fn start(shape: Shape) -> Self {
-        let mut cluster = Self::bare(shape).await;
+        let mut cluster = Self::without_entries(shape).await;
         for index in 0..cluster.shape.entries {
             cluster.start_entry(index).await;
         }
         cluster.configure().await;
-        cluster.settled().await;
+        cluster.wait_until_owned().await;
         cluster
     }
 
-    /// The platform and the minions, without entries.
-    pub(crate) async fn bare(shape: Shape) -> Self {
+    /// Creates the platform and the minions, without entries.
+    pub(crate) async fn without_entries(shape: Shape) -> Self {
         let memory = Memory::default();
         let mut minions = BTreeMap::new();
         for (service, count) in &shape.minions {
@@ -156,7 +156,7 @@
         Self { memory, entries: Vec::new(), minions, shape, authority }
     }
 
-    /// Settings that do everything faster than in production, in the same proportions.
+    /// Settings with shorter intervals than in production, in the same proportions.
     pub(crate) fn settings(&self, index: usize) -> Settings {
         Settings {
             name: format!("e{index}"),
@@ -172,13 +172,13 @@
         }
     }
 
-    /// Starts one more entry behind a switchboard of its own.
+    /// Starts one more entry, with a fault switch of its own before the platform.
     pub(crate) async fn start_entry(&mut self, index: usize) {
         let settings = self.settings(index);
         self.start_with(index, settings).await;
     }
 
-    /// Starts one more entry with settings of the test.
+    /// Starts one more entry with the given settings.
     pub(crate) async fn start_with(&mut self, index: usize, settings: Settings) {
         let name = settings.name.clone();
         self.memory.roster.put(instance(&name, Role::Entry, &zone(index, self.shape.zones)));
@@ -197,7 +197,7 @@
         });
     }
 
-    /// A socket with keys of this deployment, to speak to entries as a peer does.
+    /// An endpoint with keys of this deployment, to connect to entries as a peer.
     pub(crate) fn peer_endpoint(&self) -> Endpoint {
         let pair = issue(&self.authority, "test").unwrap();
         let (a, c, k) = (&self.authority.certificate, &pair.certificate, &pair.key);
@@ -205,40 +205,41 @@
         Endpoint::bind(loopback(), &identity, &endpoint::Settings::default()).unwrap()
     }
 
-    /// The template and parameters of this shape.
-    pub(crate) fn files(&self, note: &str) -> (String, String) {
+    /// The configuration's template and parameters for this shape, with the workspace's name.
+    pub(crate) fn config_files(&self, workspace: &str) -> (String, String) {
         let mut template =
             String::from("[workspace]\nname = ${name}\nreboot = 1s\nrollout_weight = 1\n");
         for (service, count) in &self.shape.minions {
             template.push_str(&format!(
                 "[service {service}]\nminions = {count}\nfloor = {}\nslots = {}\n{}\n",
-                self.shape.floor, self.shape.slots, self.shape.extra
+                self.shape.floor, self.shape.slots, self.shape.service_settings
             ));
         }
         template.push_str(
             "[team t]\ncpu = 100000\nrequests = 1000\n[team small]\ncpu = 1000\nrequests = 2\n",
         );
-        (template, format!("[parameters]\nname = {note}\n"))
+        (template, format!("[parameters]\nname = {workspace}\n"))
     }
 
-    /// Applies the first configuration and waits until every entry acts by it.
+    /// Applies the first configuration and waits until it is in force at every entry.
     pub(crate) async fn configure(&self) {
-        let answer = self.apply(0, "first", Revision(0), "first").await;
+        let answer = self.apply_config(0, "first", Revision(0), "first").await;
         assert!(answer.is_ok(), "{answer:?}");
         for index in 0..self.entries.len() {
-            until("configuration in force", async || self.config_number(index).await >= 1).await;
+            wait_until("configuration in force", async || self.config_number(index).await >= 1)
+                .await;
         }
     }
 
-    /// Applies a configuration through one entry.
-    pub(crate) async fn apply(
+    /// Applies a configuration through one entry, with the given change id and base revision.
+    pub(crate) async fn apply_config(
         &self,
         index: usize,
         change: &str,
         base: Revision,
-        note: &str,
+        workspace: &str,
     ) -> Result<Value, celerythread::Error> {
-        let (template, parameters) = self.files(note);
+        let (template, parameters) = self.config_files(workspace);
         let body = json!({
             "change": change, "author": "test", "base": base,
             "template": template, "parameters": parameters,
@@ -251,21 +252,21 @@
         status.ok().and_then(|status| status["config"].as_u64()).unwrap_or(0)
     }
 
-    /// Waits until every minion has a row and an owner that lives.
-    pub(crate) async fn settled(&self) {
-        until("every minion owned", async || {
+    /// Waits until every minion has a row and a live owner.
+    pub(crate) async fn wait_until_owned(&self) {
+        wait_until("every minion owned", async || {
             let rows = self.minion_rows().await;
-            let owned = self.owned().await;
+            let owned = self.owned_minions().await;
             rows.len() == self.minions.len() && owned == self.minions.len()
         })
         .await;
     }
 
-    async fn owned(&self) -> usize {
+    async fn owned_minions(&self) -> usize {
         for entry in self.entries.iter().filter(|entry| entry.daemon.is_some()) {
-            let rooms =
+            let minions =
                 client::ask_one::<Value>(entry.operators, Method::Get, "/v1/minions", vec![]);
-            if let Ok(Value::Array(list)) = rooms.await {
+            if let Ok(Value::Array(list)) = minions.await {
                 return list.iter().filter(|minion| !minion["owner"].is_null()).count();
             }
         }
@@ -286,7 +287,7 @@
         client::ask_one(self.entries[index].operators, Method::Post, path, body).await
     }
 
-    /// The minions' rows as the table has them.
+    /// The minions' rows in the table.
     pub(crate) async fn minion_rows(&self) -> Vec<MinionRow> {
         let keys: Vec<String> = self.minions.keys().map(fleet::key::<MinionRow>).collect();
         let rows = self.memory.table.read(Space::Fleet, &keys).await.unwrap();
@@ -312,31 +313,31 @@
     /// The index of the entry that owns a minion.
     pub(crate) async fn owner_index(&self, name: &str) -> usize {
         let owner = self.ownership(name).await.unwrap().owner.unwrap();
-        self.index_of(&owner)
+        self.entry_index(&owner)
     }
 
-    pub(crate) fn index_of(&self, entry: &id::Entry) -> usize {
-        let is = |one: &Entry| one.daemon.as_ref().is_some_and(|daemon| daemon.id() == entry);
-        self.entries.iter().position(is).unwrap()
+    pub(crate) fn entry_index(&self, entry: &id::Entry) -> usize {
+        let is_owner = |one: &Entry| one.daemon.as_ref().is_some_and(|daemon| daemon.id() == entry);
+        self.entries.iter().position(is_owner).unwrap()
     }
 
-    /// The index of the entry that holds a duty.
-    pub(crate) async fn holder(&self, duty: &str) -> usize {
+    /// The index of the entry that holds the lease of a duty.
+    pub(crate) async fn lease_holder(&self, duty: &str) -> usize {
         let keys = [format!("lease/{duty}")];
         let rows = self.memory.table.read(Space::Lease, &keys).await.unwrap();
         let lease: fleet::Lease = rows[0].decode().unwrap();
-        self.index_of(&lease.holder.unwrap())
+        self.entry_index(&lease.holder.unwrap())
     }
 
-    /// Ends an entry at once, as a kill does: it neither hands anything back nor answers, and
-    /// its instance leaves the platform's list.
+    /// Ends an entry at once, as a kill does: it releases nothing and answers nothing, and its
+    /// instance is removed from the platform's list.
     pub(crate) fn kill(&mut self, index: usize) {
         let entry = &mut self.entries[index];
         drop(entry.daemon.take());
         self.memory.roster.remove(&entry.name);
     }
 
-    /// Kills the entries whose plan says so.
+    /// Kills the entries whose fault plan has killed them; returns whether there were any.
     pub(crate) fn reap(&mut self) -> bool {
         let dead: Vec<usize> = (0..self.entries.len())
             .filter(|i| self.entries[*i].daemon.is_some() && self.entries[*i].switch.is_dead())
@@ -352,12 +353,12 @@
         load::send(self.entries[index].callers, single).await
     }
 
-    /// All that the minions ran.
+    /// All runs recorded by the minions.
     pub(crate) fn runs(&self) -> Vec<Run> {
         self.minions.values().flat_map(|minion| minion.record().runs).collect()
     }
 
-    /// The breaches of the promises to callers.
+    /// The guarantees to callers that the requests and the minions' runs violate.
     pub(crate) fn breaches(&self, asked: &[Asked]) -> Vec<Breach> {
         history::check(asked, &self.runs())
     }
@@ -384,14 +385,14 @@
     }
 }
 
-/// The number of a refusal, or nought.
-pub(crate) fn refusal(error: &celerythread::Error) -> u16 {
+/// The result code of a refusal, or 0 for any other error.
+pub(crate) fn refusal_code(error: &celerythread::Error) -> u16 {
     match error {
         celerythread::Error::Refused { number, .. } => *number,
         _ => 0,
     }
 }
 
-pub(crate) fn is(error: &celerythread::Error, code: Code) -> bool {
-    refusal(error) == code.number()
+pub(crate) fn has_code(error: &celerythread::Error, code: Code) -> bool {
+    refusal_code(error) == code.number()
 }
--- a/tests/all/peers.rs
+++ b/tests/all/peers.rs
@@ -1,6 +1,6 @@
-//! Links between entries that are cut, silent, or strange.
+//! Links between entries: borrowed slots, and entries that die, are cut off or abandon an exchange.
 
-use crate::cluster::{Cluster, Shape, single, until};
+use crate::cluster::{Cluster, Shape, single, wait_until};
 use celerythread_model::request::Class;
 use celerythread_model::unit::{Revision, Span};
 use celerythread_standin::history::Told;
@@ -9,7 +9,7 @@
 use celerythread_wire::frame;
 use std::time::Duration;
 
-/// The service's minions are all owned by one entry; the others serve through it.
+/// All minions of the service are owned by one entry; the others serve with slots lent by it.
 #[async_std::test]
 async fn an_entry_without_minions_borrows_slots() {
     let shape = Shape { entries: 3, minions: vec![("alpha", 1)], floor: 0, ..Shape::default() };
@@ -25,8 +25,8 @@
     cluster.stop().await;
 }
 
-/// An availability zone is cut off from the platform: its entries go on serving their own
-/// minions and those of the others, and hear of changes through their peers.
+/// The entries of an availability zone that is cut off from the platform continue to serve with
+/// their own minions and those of other entries, and learn of changes from their peers.
 #[async_std::test]
 async fn a_zone_cut_off_from_the_platform_goes_on_serving() {
     let cluster = Cluster::start(Shape { entries: 3, zones: 3, ..Shape::default() }).await;
@@ -37,22 +37,25 @@
         assert!(matches!(done.asked.told, Told::Answer(200, _)), "{:?}", done.asked.told);
         asked.push(done.asked);
     }
-    cluster.apply(0, "c2", Revision(1), "n2").await.unwrap();
-    until("in force there too", async || cluster.config_number(1).await == 2).await;
+    cluster.apply_config(0, "c2", Revision(1), "n2").await.unwrap();
+    wait_until("the configuration is in force in the cut-off zone", async || {
+        cluster.config_number(1).await == 2
+    })
+    .await;
     assert_eq!(cluster.breaches(&asked), []);
     cluster.entries[1].switch.set_down(false);
     cluster.stop().await;
 }
 
-/// An entry dies with slots lent to it.  They must come back, or the service shrinks with every
-/// death.
+/// Slots lent to an entry that dies must be reclaimed; otherwise the service loses capacity with
+/// each such death.
 #[async_std::test]
-async fn a_dead_borrower_gives_its_slots_back() {
+async fn slots_lent_to_a_dead_entry_are_reclaimed() {
     let shape = Shape {
         entries: 2,
         minions: vec![("alpha", 1)],
         floor: 0,
-        // Longer than the test: the slots must be free because their borrower is gone.
+        // Longer than the test, so that the slots can't become free because requests end.
         duration: Duration::from_secs(60),
         ..Shape::default()
     };
@@ -67,10 +70,10 @@
             celerythread_standin::load::send(entry, &one).await
         });
     }
-    until("all slots are lent", async || cluster.minions["alpha-0"].outstanding() == 4).await;
+    wait_until("all slots are lent", async || cluster.minions["alpha-0"].outstanding() == 4).await;
     cluster.entries[borrower].switch.set_down(true);
     cluster.kill(borrower);
-    until("the slots are free again", async || {
+    wait_until("the slots are free again", async || {
         let status = cluster.get(owner, "/v1/status").await.unwrap();
         let service = &status["services"][0];
         service["free"] == 4 && status["entries"].as_array().unwrap().len() == 1
@@ -79,10 +82,11 @@
     cluster.stop().await;
 }
 
-/// A busy peer gives up waiting for a slot just when it is granted: the exchange is over and the
-/// link is not.  The slot is never free again, and a drain of the minion never ends.
+/// Guards against a leaked slot: a peer stops waiting for a slot just as it is granted, which ends
+/// the exchange and not the link.  The slot would never be free again, and a drain of the minion
+/// would never end.
 #[async_std::test]
-async fn a_slot_granted_to_one_who_gave_up_comes_back() {
+async fn a_slot_granted_to_an_abandoned_request_is_released() {
     let shape = Shape { entries: 2, minions: vec![("alpha", 1)], floor: 0, ..Shape::default() };
     let cluster = Cluster::start(shape).await;
     let owner = cluster.owner_index("alpha-0").await;
@@ -91,13 +95,13 @@
         let status = cluster.get(owner, "/v1/status").await.ok()?;
         status["services"][0]["free"].as_u64()
     };
-    // The row names the owner a moment before it hands slots out.
-    until("the owner hands out its slots", async || free().await == Some(4)).await;
+    // The row names the owner shortly before the owner starts to grant slots.
+    wait_until("the owner grants its slots", async || free().await == Some(4)).await;
     let endpoint = cluster.peer_endpoint();
     let address = cluster.entries[owner].daemon.as_ref().unwrap().peer_address();
     let link = endpoint.dial(address).await.unwrap();
     let mut channel = link.open().await.unwrap();
-    // The real peer's beats, which go on meanwhile, do not list this grant.
+    // The heartbeats of the real peer continue meanwhile and don't list this grant.
     let ask = frame::Ask {
         entry: id_of(1 - owner),
         service: "alpha".parse().unwrap(),
@@ -111,7 +115,7 @@
     assert!(matches!(answer, Ok(Frame::Grant(_))), "{answer:?}");
     assert_eq!(free().await, Some(3));
     drop(channel);
-    until("the slot is free again", async || free().await == Some(4)).await;
+    wait_until("the slot is free again", async || free().await == Some(4)).await;
     assert!(!link.is_closed());
     cluster.stop().await;
 }
--- a/tests/all/programs.rs
+++ b/tests/all/programs.rs
@@ -1,4 +1,4 @@
-//! The two programs' own words: settings, help, exit codes, and the docs that repeat them.
+//! The two programs' settings, help, exit codes and keys, and the pages that document them.
 
 use celerythread_entry::metrics::Counter;
 use celerythread_model::code::Code;
@@ -19,22 +19,21 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-fn doc(name: &str) -> String {
+fn read_doc(name: &str) -> String {
     fs::read_to_string(format!("{}/docs/{name}", env!("CARGO_MANIFEST_DIR"))).unwrap()
 }
 
-fn file(name: &str, content: &str) -> String {
+fn write_temp_file(name: &str, content: &str) -> String {
     let name = format!("celerythread-{}-{name}", std::process::id());
     let path = std::env::temp_dir().join(name);
     fs::write(&path, content).unwrap();
     path.display().to_string()
 }
 
-/// A settings file wrong in ten places prints all ten, each with its section, key, line and
-/// number.
+/// All mistakes of a settings file are printed at once, with section, key, line and result code.
 #[test]
 fn check_prints_all_ten_mistakes() {
-    let path = file(
+    let path = write_temp_file(
         "ten.ini",
         "[instance]\nname = NOT AN ID\nzone = z\ncolour = blue\n\
          [caller]\nlisten = everywhere\nbody_limit = 9GiB\nhead_timeout = soon\n\
@@ -44,7 +43,7 @@
          [platform]\npoll = 5s\n[lease]\nterm = 2s\n[log]\nformat = pretty\n[nonsense]\n",
     );
     let output = run(env!("CARGO_BIN_EXE_celerythreadd"), &["--settings", &path, "--check"]);
-    let told = text(&output.stderr);
+    let printed = text(&output.stderr);
     for expected in [
         "[instance] name (line 2)",
         "3003 unknown-key: [instance] colour (line 4)",
@@ -58,15 +57,15 @@
         "[log] format (line 22)",
         "3002 unknown-section: [nonsense] (line 23)",
     ] {
-        assert!(told.contains(expected), "{expected:?} is missing in:\n{told}");
+        assert!(printed.contains(expected), "{expected:?} is missing in:\n{printed}");
     }
-    assert!(told.lines().count() >= 10);
+    assert!(printed.lines().count() >= 10);
     assert_eq!(output.status.code(), Some(3));
     let _ = fs::remove_file(path);
 }
 
 #[test]
-fn the_example_settings_are_right() {
+fn the_example_settings_are_valid() {
     let path = format!("{}/examples/entry.ini", env!("CARGO_MANIFEST_DIR"));
     let output = run(env!("CARGO_BIN_EXE_celerythreadd"), &["--settings", &path, "--check"]);
     assert!(output.status.success(), "{}", text(&output.stderr));
@@ -88,7 +87,7 @@
 fn exit_codes_follow_the_table() {
     assert_eq!(ctl(&["nonsense"]).status.code(), Some(2));
     assert_eq!(ctl(&["status"]).status.code(), Some(2), "no entry is named");
-    // Nobody listens at port 1.
+    // Nothing listens on port 1.
     assert_eq!(ctl(&["status", "--entry", "127.0.0.1:1"]).status.code(), Some(5));
     let missing = ctl(&["config", "check", "no-such-file", "no-such-file"]);
     assert_eq!(missing.status.code(), Some(3));
@@ -120,26 +119,26 @@
 }
 
 #[test]
-fn the_result_codes_page_is_the_programs_table() {
+fn the_result_codes_page_matches_the_program() {
     let printed = text(&ctl(&["codes"]).stdout);
-    let page = doc("RESULT-CODES.md");
-    assert!(page.contains(printed.trim()), "print it anew with: celerythread codes");
+    let page = read_doc("RESULT-CODES.md");
+    assert!(page.contains(printed.trim()), "update it with the output of: celerythread codes");
     for code in Code::VARIANTS {
         assert!(page.contains(&format!("| {} | {code} |", code.number())));
     }
 }
 
-/// Every key of the settings reader stands in docs/SETTINGS.md, and no other.
+/// docs/SETTINGS.md lists exactly the keys of the settings reader.
 #[test]
 fn the_settings_page_has_exactly_the_keys() {
-    let page = doc("SETTINGS.md");
+    let page = read_doc("SETTINGS.md");
     let mut documented = Vec::new();
     for line in page.lines().filter(|line| line.starts_with("| `")) {
         let mut cells = line.split('|').map(|cell| cell.trim().trim_matches('`'));
         cells.next();
         documented.push((cells.next().unwrap().to_owned(), cells.next().unwrap().to_owned()));
     }
-    // A file with every documented key set to nonsense: each must be known to the reader.
+    // The reader must know every documented key, whatever its value.
     let mut sections: Vec<String> = documented.iter().map(|(section, _)| section.clone()).collect();
     sections.dedup();
     let mut nonsense = String::new();
@@ -157,14 +156,14 @@
         .collect();
     assert!(unknown.is_empty(), "documented, but not a key: {unknown:?}");
     let source = include_str!("../../crates/entry/src/settings.rs");
-    for (section, key) in keys_in(source) {
+    for (section, key) in keys_in_source(source) {
         let known = documented.contains(&(section.clone(), key.clone()));
         assert!(known, "[{section}] {key} is not in docs/SETTINGS.md");
     }
 }
 
-/// The pairs of string literals that the reader is asked for, from its source.
-fn keys_in(source: &str) -> Vec<(String, String)> {
+/// Section and key of each setting that the source of `Settings::read` asks the reader for.
+fn keys_in_source(source: &str) -> Vec<(String, String)> {
     let flat: String = source.split_whitespace().collect::<Vec<_>>().join(" ");
     let mut keys = Vec::new();
     for part in flat.split("reader").skip(1) {
@@ -183,13 +182,13 @@
 
 #[test]
 fn every_counter_is_explained() {
-    let page = doc("operations/alarms.md");
+    let page = read_doc("operations/alarms.md");
     for counter in Counter::VARIANTS {
         assert!(page.contains(&format!("`{counter}`")), "{counter} is not explained");
     }
 }
 
-/// Each command line in the operators' pages is one that the program takes.
+/// The program knows every command and flag in the command lines of the operators' pages.
 #[test]
 fn commands_in_the_docs_exist() {
     let root = format!("{}/docs/operations", env!("CARGO_MANIFEST_DIR"));
@@ -212,23 +211,23 @@
     assert!(seen > 10);
 }
 
-/// The fault page is printed from the list of proofs, and every proof it names is a test.
+/// docs/FAULTS.md is what `faults::render_page` prints.
 #[test]
 fn the_faults_page_is_current() {
-    let printed = crate::faults::page();
+    let printed = crate::faults::render_page();
     if std::env::var_os("PRINT_FAULTS").is_some() {
         let path = format!("{}/docs/FAULTS.md", env!("CARGO_MANIFEST_DIR"));
         fs::write(path, &printed).unwrap();
         return;
     }
     assert!(
-        doc("FAULTS.md") == printed,
-        "print it anew: PRINT_FAULTS=1 cargo test the_faults_page"
+        read_doc("FAULTS.md") == printed,
+        "update it with: PRINT_FAULTS=1 cargo test the_faults_page"
     );
 }
 
 #[test]
-fn every_proof_named_is_a_test() {
+fn every_test_named_on_the_faults_page_exists() {
     let mut sources = String::new();
     let root = env!("CARGO_MANIFEST_DIR");
     let mut folders = ["tests", "platform/tests"].map(|name| Path::new(root).join(name)).to_vec();
--- a/tests/all/requests.rs
+++ b/tests/all/requests.rs
@@ -1,6 +1,6 @@
-//! Whole answers to the right caller, and "not run" only where it is true.
+//! Callers get complete answers to their own requests, and "not run" only if nothing was run.
 
-use crate::cluster::{Cluster, Shape, loopback, single, until};
+use crate::cluster::{Cluster, Shape, loopback, single, wait_until};
 use assert_matches::assert_matches;
 use celerythread_model::code::Code;
 use celerythread_model::request::{Class, Outcome};
@@ -16,15 +16,20 @@
     Shape { entries: 1, minions: vec![("alpha", 1)], floor: 0, ..Shape::default() }
 }
 
-fn once(id: &str) -> RequestSpec {
+fn non_idempotent(id: &str) -> RequestSpec {
     RequestSpec { idempotent: false, ..single(id, "alpha") }
 }
 
 #[async_std::test]
-async fn mixed_load_through_every_entry_keeps_the_promises() {
-    // Queues and deadlines that hold everything: all must be answered, however slow the machine
-    // that runs the test is.
-    let shape = Shape { entries: 3, zones: 3, extra: "queue_per_slot = 1000", ..Shape::default() };
+async fn mixed_load_through_every_entry_is_all_answered() {
+    // Queues and deadlines large enough for all requests: each must be answered, even if the
+    // machine that runs the test is slow.
+    let shape = Shape {
+        entries: 3,
+        zones: 3,
+        service_settings: "queue_per_slot = 1000",
+        ..Shape::default()
+    };
     let cluster = Cluster::start(shape).await;
     let plan = Plan {
         entries: cluster.entries.iter().map(|entry| entry.callers).collect(),
@@ -41,14 +46,14 @@
     cluster.stop().await;
 }
 
-/// A chain pays on a report whose end is missing.  The minion breaks off within its answer; the
-/// caller must not get a 200.  An idempotent request may be asked again elsewhere, a
-/// non-idempotent one must be told that it ran.
+/// Guards against a report whose end is missing being passed on as complete.  The minion closes its
+/// connection within the answer; the caller must not get a 200.  An idempotent request may be sent
+/// to another minion, a non-idempotent one must be refused with the outcome run.
 #[async_std::test]
-async fn a_broken_answer_never_looks_whole() {
+async fn a_truncated_answer_is_never_passed_on_as_complete() {
     let cluster = Cluster::start(one_minion()).await;
     cluster.minions["alpha-0"].set_mode(Mode::Truncate);
-    let done = cluster.send(0, &once("a")).await;
+    let done = cluster.send(0, &non_idempotent("a")).await;
     assert_matches!(done.asked.told, Told::Refused(1020, Some(Outcome::Run)));
     let again = cluster.send(0, &single("b", "alpha")).await;
     assert_matches!(again.asked.told, Told::Refused(_, Some(Outcome::Run)));
@@ -69,9 +74,9 @@
     cluster.stop().await;
 }
 
-/// A bank's pull gets a shorter report than the minion made: an answer too long to hold in
-/// memory is passed on while it comes, the minion breaks off, and the end is made to look
-/// whole.  It must break the caller's connection instead.
+/// Guards against a truncated answer that looks complete: an answer too large to buffer is streamed
+/// to the caller, and the minion closes its connection before the end.  The entry must break the
+/// caller's connection instead of ending the answer properly.
 #[async_std::test]
 async fn a_long_answer_that_breaks_off_breaks_the_callers_connection() {
     let cluster = Cluster::start(one_minion()).await;
@@ -81,50 +86,51 @@
     assert_matches!(&whole.asked.told, Told::Answer(200, body) if body.len() > 6 << 20);
     assert_eq!(cluster.breaches(&[whole.asked]), []);
     minion.set_mode(Mode::Truncate);
-    let broken = cluster.send(0, &once("broken")).await;
+    let broken = cluster.send(0, &non_idempotent("broken")).await;
     assert_matches!(broken.asked.told, Told::Broken);
     cluster.stop().await;
 }
 
-/// A shopper's visit is uploaded again and the shopper recognized: the entry could not connect,
-/// nothing was sent, and the shop must be told "not run".
+/// If the entry can't connect to the minion, nothing was sent and the caller must be told "not
+/// run", so that it can safely send the request again.
 #[async_std::test]
 async fn a_refused_connection_is_not_run() {
     let mut cluster = Cluster::start(one_minion()).await;
     cluster.minions.clear();
-    let done = cluster.send(0, &once("a")).await;
+    let done = cluster.send(0, &non_idempotent("a")).await;
     assert_matches!(done.asked.told, Told::Refused(1014, Some(Outcome::NotRun)));
     cluster.stop().await;
 }
 
-/// A write-down is booked twice: the minion read it and then nothing more was heard.  The caller
-/// must be told "unknown" as soon as the silence is found out, and nothing sent again.
+/// Guards against a write-down that is booked twice: the minion reads the request and never
+/// answers.  The caller must be told "unknown" as soon as the progress timeout passes, and nothing
+/// may be sent again.
 #[async_std::test]
 async fn a_silent_minion_leaves_the_outcome_unknown_at_once() {
-    let shape = Shape { extra: "progress = 200ms", ..one_minion() };
+    let shape = Shape { service_settings: "progress = 200ms", ..one_minion() };
     let cluster = Cluster::start(shape).await;
     cluster.minions["alpha-0"].set_mode(Mode::Hang);
-    let began = Instant::now();
-    let done = cluster.send(0, &once("a")).await;
+    let started_at = Instant::now();
+    let done = cluster.send(0, &non_idempotent("a")).await;
     assert_matches!(done.asked.told, Told::Refused(1021, Some(Outcome::Unknown)));
-    assert!(began.elapsed() < Duration::from_secs(4), "held back until near the deadline");
+    assert!(started_at.elapsed() < Duration::from_secs(4), "answered only near the deadline");
     assert_eq!(cluster.runs().len(), 1);
     cluster.stop().await;
 }
 
-/// Open connections to a minion go silent for good while new ones work: a firewall has lost
-/// track of them.  Idempotent requests on kept connections must be sent again on new ones, and
-/// non-idempotent ones never go onto a kept one at all.
+/// A firewall loses the state of open connections to a minion: they drop everything silently, while
+/// new ones work.  Idempotent requests on pooled connections must be sent again on new ones;
+/// non-idempotent ones must never use a pooled connection.
 #[async_std::test]
-async fn forgotten_connections_lose_no_request() {
+async fn silently_dropped_connections_lose_no_request() {
     let shape = Shape {
         entries: 1,
         minions: vec![("alpha", 0)],
         floor: 0,
-        extra: "progress = 200ms",
+        service_settings: "progress = 200ms",
         ..Shape::default()
     };
-    let mut cluster = Cluster::bare(shape).await;
+    let mut cluster = Cluster::without_entries(shape).await;
     let minion = Minion::start(loopback(), Duration::from_millis(5)).await.unwrap();
     let link = Link::tcp(loopback(), minion.server.address()).await.unwrap();
     let listed = Instance {
@@ -136,7 +142,7 @@
     cluster.minions.insert("alpha-0".into(), minion);
     cluster.start_entry(0).await;
     cluster.configure().await;
-    cluster.settled().await;
+    cluster.wait_until_owned().await;
     let mut asked = Vec::new();
     for round in 0..3 {
         for n in 0..4 {
@@ -144,7 +150,7 @@
             asked.push(warm.asked);
         }
         link.forget_flows();
-        let unique = cluster.send(0, &once(&format!("once{round}"))).await;
+        let unique = cluster.send(0, &non_idempotent(&format!("once{round}"))).await;
         assert_matches!(unique.asked.told, Told::Answer(200, _));
         asked.push(unique.asked);
     }
@@ -152,9 +158,9 @@
         assert_matches!(one.told, Told::Answer(200, _), "{}", one.id);
     }
     assert_eq!(cluster.breaches(&asked), []);
-    // Everything goes silent, new connections too: still told, and still true.
+    // With new connections silent too the caller is still answered, with the outcome unknown.
     link.set(LinkMode::Silent);
-    let lost = cluster.send(0, &once("lost")).await;
+    let lost = cluster.send(0, &non_idempotent("lost")).await;
     assert_matches!(lost.asked.told, Told::Refused(1021, Some(Outcome::Unknown)));
     link.set(LinkMode::Pass);
     cluster.stop().await;
@@ -164,18 +170,18 @@
     crate::cluster::instance("alpha-0", Role::Minion, "z0")
 }
 
-/// The caller gives up and its answer comes late: it must not reach the next caller.
+/// A request reaches its deadline and its answer arrives afterwards: no other caller may get it.
 #[async_std::test]
 async fn a_late_answer_never_reaches_another_caller() {
-    let shape = Shape { extra: "progress = 5s", ..one_minion() };
+    let shape = Shape { service_settings: "progress = 5s", ..one_minion() };
     let cluster = Cluster::start(shape).await;
     let minion = &cluster.minions["alpha-0"];
     minion.set_duration(Duration::from_millis(400));
-    let hasty = RequestSpec { deadline: Span::millis(150), ..single("hasty", "alpha") };
-    let given_up = cluster.send(0, &hasty).await;
-    assert_matches!(given_up.asked.told, Told::Refused(_, Some(Outcome::Unknown)));
+    let short_deadline = RequestSpec { deadline: Span::millis(150), ..single("hasty", "alpha") };
+    let abandoned = cluster.send(0, &short_deadline).await;
+    assert_matches!(abandoned.asked.told, Told::Refused(_, Some(Outcome::Unknown)));
     minion.set_duration(Duration::from_millis(5));
-    let mut asked = vec![given_up.asked];
+    let mut asked = vec![abandoned.asked];
     for n in 0..20 {
         asked.push(cluster.send(0, &single(&format!("r{n}"), "alpha")).await.asked);
     }
@@ -184,7 +190,7 @@
 }
 
 #[async_std::test]
-async fn what_a_caller_says_wrong_gets_its_number() {
+async fn invalid_request_headers_get_their_result_codes() {
     use celerythread_http::client;
     let cluster = Cluster::start(one_minion()).await;
     let address = cluster.entries[0].callers;
@@ -211,9 +217,10 @@
     cluster.stop().await;
 }
 
-/// A minion that fails everything at once is free again at once, and would draw all the work.
+/// Guards against a minion that attracts all requests because it fails each at once and is free
+/// again.
 #[async_std::test]
-async fn a_fast_failing_minion_draws_no_more_than_its_share() {
+async fn a_fast_failing_minion_gets_no_more_than_its_share() {
     let shape = Shape {
         entries: 1,
         minions: vec![("alpha", 4)],
@@ -231,21 +238,21 @@
         seed,
         ..Plan::default()
     };
-    // The siblings' times must be known before the comparison means anything.
+    // The comparison with its siblings needs their typical durations first.
     load::run(&plan(1)).await;
     cluster.minions["alpha-0"].set_mode(Mode::Truncate);
     cluster.minions["alpha-0"].set_duration(Duration::ZERO);
     let before = cluster.minions["alpha-0"].record().runs.len();
     load::run(&plan(2)).await;
-    let drawn = cluster.minions["alpha-0"].record().runs.len() - before;
-    assert!(drawn <= 63, "drew {drawn} of 250, its share is 62");
+    let received = cluster.minions["alpha-0"].record().runs.len() - before;
+    assert!(received <= 63, "received {received} of 250, its share is 62");
     cluster.stop().await;
 }
 
-/// A saturated service: what cannot be started by its deadline is refused at once, as not run,
-/// with a time to come back.
+/// When a service is saturated, a request that can't start before its deadline is refused at once,
+/// as not run and with a Retry-After.
 #[async_std::test]
-async fn overload_is_refused_at_once_with_a_time_to_come_back() {
+async fn overload_is_refused_at_once_with_retry_after() {
     let shape = Shape { duration: Duration::from_millis(200), slots: 1, ..one_minion() };
     let cluster = Cluster::start(shape).await;
     let plan = Plan {
@@ -266,13 +273,13 @@
     assert!(refused.len() > 100, "{}", report.table());
     for done in &refused {
         assert!(done.retry_after_ms.is_some_and(|ms| ms > 0));
-        // At once: not held back until near the deadline of 2 s.
+        // At once, not only near the deadline of 2 s.
         assert!(done.took < Duration::from_millis(1000), "{:?}", done.took);
     }
     cluster.stop().await;
 }
 
-/// All entries together: a minion's slots bound what it has at one moment.
+/// A minion's slots bound its requests in flight from all entries together.
 #[async_std::test]
 async fn no_minion_has_more_than_its_slots_from_all_entries() {
     let shape = Shape { entries: 3, duration: Duration::from_millis(30), ..Shape::default() };
@@ -287,8 +294,8 @@
     let report = load::run(&plan).await;
     assert_eq!(cluster.breaches(&report.asked()), []);
     for (name, minion) in &cluster.minions {
-        let most = minion.record().most_outstanding;
-        assert!(most <= 4, "{name} had {most} at one moment");
+        let max_outstanding = minion.record().most_outstanding;
+        assert!(max_outstanding <= 4, "{name} had {max_outstanding} requests in flight");
     }
     cluster.stop().await;
 }
@@ -315,6 +322,6 @@
     }
     statuses.sort_unstable();
     assert_eq!(statuses, [200, 200, 429, 429, 429]);
-    until("the quota is given back", async || ask().await == 200).await;
+    wait_until("the quota is released", async || ask().await == 200).await;
     cluster.stop().await;
 }
