--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -108,7 +108,7 @@
     ) -> Result<QuotaGuard<'_>, Problem> {
         let Some(team) = &checked.team else { return Ok(QuotaGuard { handler: self, team: None }) };
         if !self.quota.lock().try_acquire(team, document) {
-            let detail = format!("team {team} has reached its quota of requests in flight");
+            let detail = format!("team {team} has its quota of requests in flight");
             let problem = Problem::new(Code::QuotaExceeded, detail);
             return Err(problem.retry_after(Duration::from_secs(1)));
         }
@@ -183,7 +183,7 @@
 
     async fn replay(&self, answer: Answer) -> Result<Response, Problem> {
         let Some(body) = claims::stored_body(&self.node, &answer).await else {
-            let detail = "the stored answer cannot be read now";
+            let detail = "the kept answer cannot be read now";
             return Err(
                 Problem::new(Code::AnswerUnavailable, detail).retry_after(CLAIM_RETRY_AFTER)
             );
@@ -311,8 +311,7 @@
 /// The class that follows from the urgency in RFC 9218's `Priority`.
 fn class(header: Option<&str>) -> Result<Class, Problem> {
     let Some(header) = header else { return Ok(Class::Urgent) };
-    let wrong =
-        || Problem::new(Code::UnknownClass, format!("Priority {header:?} is not u=0 to u=7"));
+    let wrong = || Problem::new(Code::UnknownClass, format!("Priority {header:?} is not u=0 to 7"));
     for part in header.split(',').map(str::trim) {
         if let Some(urgency) = part.strip_prefix("u=") {
             let urgency: u8 = urgency.parse().map_err(|_| wrong())?;
@@ -334,7 +333,7 @@
     let span: Option<Span> = text.parse().ok();
     let valid = span.filter(|span| *span > Span::default() && *span <= MAX_DEADLINE);
     valid.ok_or_else(|| {
-        let detail = format!("{text:?} is not a duration between 1ms and {MAX_DEADLINE}");
+        let detail = format!("{text:?} is not a time between 1ms and {MAX_DEADLINE}");
         Problem::new(Code::BadDeadline, detail)
     })
 }
--- a/crates/entry/src/operator/config.rs
+++ b/crates/entry/src/operator/config.rs
@@ -144,7 +144,7 @@
     };
     let same = config.template == change.template && config.parameters == change.parameters;
     if !same {
-        let detail = format!("change {} was already used for another configuration", change.change);
+        let detail = format!("change {} made another configuration", change.change);
         return Err(Problem::new(Code::ChangeReused, detail));
     }
     Ok(Some(config))
--- a/crates/entry/src/operator/maintenance.rs
+++ b/crates/entry/src/operator/maintenance.rs
@@ -176,7 +176,7 @@
     };
     let binding = forecast.bottleneck.as_ref().map_or("", |service| service.as_str());
     let detail = format!(
-        "the forecast is {} but {within} was allowed; {binding} is the bottleneck, with {} at once",
+        "the forecast is {} and {within} was allowed; {binding} binds, with {} at once",
         Span(forecast.duration),
         forecast.parallel
     );
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -434,7 +434,7 @@
             Frame::RowsReply { rows: view.rows_since(since), upto: view.upto() }
         }
         Ok(Ok(Frame::Ask(ask))) => return router::lend(&node, ask, channel).await,
-        Ok(Ok(_)) => refusal(Code::WireMalformed, "this frame cannot begin an exchange"),
+        Ok(Ok(_)) => refusal(Code::WireMalformed, "this does not begin an exchange"),
         Ok(Err(error)) => refusal(error.code(), &error.to_string()),
         Err(_) => return,
     };
@@ -478,6 +478,6 @@
     channel.finish();
     match channel.receive().await? {
         Frame::RowsReply { rows, upto } => Ok((rows, upto)),
-        _ => Err(Error::Malformed { reason: "the reply does not hold the rows asked for".into() }),
+        _ => Err(Error::Malformed { reason: "not the rows asked for".into() }),
     }
 }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -161,7 +161,7 @@
             self.fill(stream).await?;
         }
         if stream.consume(2) != b"\r\n" {
-            return fault::MalformedSnafu { reason: "chunk data is not followed by CRLF" }.fail();
+            return fault::MalformedSnafu { reason: "a chunk is longer than its size" }.fail();
         }
         Ok(())
     }
@@ -179,7 +179,7 @@
                     stream.consume(end + 2);
                 }
                 None if buffered.len() <= MAX_CHUNK_LINE_LEN => self.fill(stream).await?,
-                None => return fault::MalformedSnafu { reason: "trailer line too long" }.fail(),
+                None => return fault::MalformedSnafu { reason: "trailers too long" }.fail(),
             }
         }
     }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -181,7 +181,7 @@
                 Err(error) => fault::MalformedSnafu { reason: error.to_string() }.fail(),
             };
         }
-        fault::MalformedSnafu { reason: "too many interim responses" }.fail()
+        fault::MalformedSnafu { reason: "too many interim answers" }.fail()
     }
 
     /// Reads the whole body of the response; the connection is then ready for another request.
--- a/crates/http/src/fault.rs
+++ b/crates/http/src/fault.rs
@@ -11,7 +11,7 @@
     #[snafu(display("the connection was closed between messages"))]
     Closed,
     /// The message is not valid HTTP/1.1.
-    #[snafu(display("malformed message: {reason}"))]
+    #[snafu(display("malformed head: {reason}"))]
     Malformed {
         /// What is wrong.
         reason: String,
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -105,19 +105,19 @@
         let mut request = httparse::Request::new(&mut headers);
         check_complete(request.parse(&bytes))?;
         if request.version != Some(1) {
-            return malformed("only HTTP/1.1 is supported");
+            return malformed("only HTTP/1.1 is spoken");
         }
         let method = request.method.unwrap_or_default().to_owned();
         let target = request.path.unwrap_or_default().to_owned();
         if method.parse::<http_types::Method>().is_err() {
-            return malformed("unknown method");
+            return malformed("the method is not known");
         }
         if !target.starts_with('/') {
-            return malformed("the request target does not start with a slash");
+            return malformed("the target does not start with a slash");
         }
         let fields = FramingFields::new(request.headers)?;
         if fields.hosts != 1 {
-            return malformed("exactly one Host header is required");
+            return malformed("there must be exactly one Host");
         }
         let length = fields.length()?.unwrap_or(Length::Exact(0));
         let (expects_continue, keep_alive) = (fields.expects_continue, !fields.close);
@@ -135,7 +135,7 @@
         let mut response = httparse::Response::new(&mut headers);
         check_complete(response.parse(&bytes))?;
         if response.version != Some(1) {
-            return malformed("only HTTP/1.1 is supported");
+            return malformed("only HTTP/1.1 is spoken");
         }
         let status = response.code.unwrap_or_default();
         let fields = FramingFields::new(response.headers)?;
@@ -184,7 +184,7 @@
         };
         for header in headers {
             let Ok(value) = std::str::from_utf8(header.value) else {
-                return malformed(format!("header {} is not valid UTF-8", header.name));
+                return malformed(format!("{} is not text", header.name));
             };
             fields.record(&header.name.to_ascii_lowercase(), value.trim());
         }
@@ -218,7 +218,7 @@
         }
         let Some(first) = self.lengths.first() else { return Ok(None) };
         if self.lengths.iter().any(|length| length != first) {
-            return conflict("different Content-Length values");
+            return conflict("two different Content-Length");
         }
         if first.is_empty() || !first.bytes().all(|b| b.is_ascii_digit()) {
             return conflict("Content-Length is not a number");
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -11,7 +11,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Error {
     /// A condition did not hold; nothing was written.
-    #[snafu(display("transaction conflict: {} rows have changed", rows.len()))]
+    #[snafu(display("the table refused: {} rows have changed", rows.len()))]
     Conflict {
         /// The rows whose conditions failed, in their current state.
         rows: Vec<Row>,
@@ -23,7 +23,7 @@
         reason: String,
     },
     /// The call may have taken effect; its response was lost.
-    #[snafu(display("the platform's response was lost: {reason}"))]
+    #[snafu(display("the platform's answer was lost: {reason}"))]
     Lost {
         /// The cause.
         reason: String,
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -121,7 +121,7 @@
                 return Ok(connection);
             }
         }
-        let mut reason = String::from("no platform address is configured");
+        let mut reason = String::from("no address is set");
         let first = self.preferred.load(Ordering::Relaxed);
         let count = self.settings.addresses.len();
         for index in (first..first + count).map(|index| index % count) {
@@ -212,7 +212,7 @@
         // The call succeeded although its response is unreadable, so it must not be reported as
         // without effect.
         return serde_json::from_slice(body)
-            .map_err(|error| Error::Lost { reason: format!("unreadable response: {error}") });
+            .map_err(|error| Error::Lost { reason: format!("unreadable answer: {error}") });
     }
     let error: Result<Error, _> = serde_json::from_slice(body);
     Err(error.unwrap_or_else(|_| match status {
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -152,12 +152,12 @@
     let shortage = |name: &str, f: fn(&Size) -> u64| {
         let (needed, largest) = (f(&need.size), max_total(f));
         (needed > largest)
-            .then(|| format!("it needs {needed} {name}, but no worker has more than {largest}"))
+            .then(|| format!("it needs {needed} {name} and no worker has over {largest}"))
     };
-    shortage("millicores", |size| size.cpu.0.into())
+    shortage("thousandths of a core", |size| size.cpu.0.into())
         .or_else(|| shortage("bytes of memory", |size| size.memory.0))
         .or_else(|| shortage("accelerators", |size| size.accelerators.0.into()))
-        .or_else(|| Some("no single worker has all the resources that it needs".into()))
+        .or_else(|| Some("no single worker has all that it needs together".into()))
 }
 
 /// The sum of the shares of processor and memory that would stay free, in thousandths of the
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -34,7 +34,7 @@
     }
     let length = u32::from_be_bytes(length) as usize;
     if length > MAX_BODY_LEN {
-        let reason = format!("body of {length} bytes is more than the limit of {MAX_BODY_LEN}");
+        let reason = format!("{length} bytes are more than {MAX_BODY_LEN}");
         return error::MalformedSnafu { reason }.fail();
     }
     Ok(length)
@@ -47,7 +47,7 @@
 pub fn decode(body: &[u8]) -> Result<Frame, Error> {
     match postcard::take_from_bytes(body) {
         Ok((frame, [])) => Ok(frame),
-        Ok(_) => error::MalformedSnafu { reason: "bytes left over after the frame" }.fail(),
+        Ok(_) => error::MalformedSnafu { reason: "bytes left over" }.fail(),
         Err(error) => error::MalformedSnafu { reason: error.to_string() }.fail(),
     }
 }
