--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -2,7 +2,7 @@
 
 use super::parsed;
 use crate::Error;
-use crate::explain::Story;
+use crate::explain::Trace;
 use crate::logs;
 use crate::output;
 use std::ffi::OsString;
@@ -30,7 +30,7 @@
 pub(crate) fn run(arguments: Vec<OsString>) -> Result<(), Error> {
     let flags = parsed(flags::CelerythreadExplain::from_vec(arguments))?;
     let lines = logs::read(&flags.files)?;
-    let story = Story::tell(&flags.id, &lines);
+    let story = Trace::collect(&flags.id, &lines);
     if flags.json {
         let cause = story.cause();
         let all = serde_json::json!({ "job": story.job, "lines": story.lines, "cause": cause });
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,6 +1,6 @@
 //! The life of one request or job, from the log lines of any number of entries.
 //!
-//! [`Story`] picks the lines that bear on one id and puts them in order; [`Story::cause`] names what
+//! [`Trace`] picks the lines that bear on one id and puts them in order; [`Trace::cause`] names what
 //! most likely went wrong.
 
 use crate::logs::Line;
@@ -11,16 +11,16 @@
 
 /// The lines that bear on one job.
 #[derive(Debug, Default)]
-pub struct Story {
+pub struct Trace {
     /// The job.
     pub job: String,
     /// The lines, in order.
     pub lines: Vec<Line>,
 }
 
-impl Story {
+impl Trace {
     /// Picks the lines that bear on a job's or a request's id.
-    pub fn tell(id: &str, all: &[Line]) -> Self {
+    pub fn collect(id: &str, all: &[Line]) -> Self {
         let job = all
             .iter()
             .find(|line| line.field("request") == id && !line.field("job").is_empty())
--- a/tests/all/site/explain.rs
+++ b/tests/all/site/explain.rs
@@ -1,7 +1,7 @@
 //! From the id of a failed request to its cause, by the log lines alone.
 
 use super::*;
-use celerythread::explain::Story;
+use celerythread::explain::Trace;
 use celerythread::logs::Line;
 use celerythread_standin::site::store::Trouble as StoreTrouble;
 use celerythread_standin::site::worker::Trouble as WorkerTrouble;
@@ -20,7 +20,7 @@
 pub(super) async fn cause(deployment: &Deployment, job: &str, words: &[&str]) {
     let mut told = String::new();
     eventually(&format!("the cause names {words:?}"), async || {
-        told = Story::tell(job, &lines(deployment)).cause();
+        told = Trace::collect(job, &lines(deployment)).cause();
         words.iter().all(|word| told.contains(word)).then_some(())
     })
     .await;
@@ -43,14 +43,14 @@
         line(11, "job_held", held),
         line(12, "job_accepted", json!({ "job": job })),
     ];
-    let cause = Story::tell(&job, &lines).cause();
+    let cause = Trace::collect(&job, &lines).cause();
     assert!(cause.contains("limit of workspace team"), "{cause}");
     let mut started = line(13, "start_ordered", json!({ "job": job }));
     started.at_ms += 2000;
     let mut ended = line(14, "job_ended", json!({ "job": job, "state": "completed" }));
     ended.at_ms += 2000;
     lines.extend([started, ended]);
-    let cause = Story::tell(&job, &lines).cause();
+    let cause = Trace::collect(&job, &lines).cause();
     assert!(cause.contains("its workspace's limit"), "{cause}");
 }
 
