--- a/src/bin/celerythread.rs
+++ b/src/bin/celerythread.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! The operators' command-line tool.
 
 use celerythread::commands;
 use std::process::ExitCode;
@@ -9,7 +9,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             error.print();
-            ExitCode::from(error.exit())
+            ExitCode::from(error.exit_code())
         }
     }
 }
--- a/src/bin/celerythreadd.rs
+++ b/src/bin/celerythreadd.rs
@@ -9,11 +9,11 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// The daemon of an entry instance.
+        /// Runs an entry instance.
         ///
         /// Example: celerythreadd --settings entry.ini
         cmd celerythreadd {
-            /// The settings, an INI file; without it, the file that CELERYTHREAD_SETTINGS names.
+            /// The settings file, in INI format; defaults to the one that CELERYTHREAD_SETTINGS names.
             optional --settings path: PathBuf
             /// Checks the settings, prints every mistake, and exits.
             optional --check
@@ -37,7 +37,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             error.print();
-            ExitCode::from(error.exit())
+            ExitCode::from(error.exit_code())
         }
     }
 }
--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! Asking the entries: the first that answers serves.
+//! HTTP client of the operators' interface: entries are tried in order until one answers.
 
 use crate::Error;
 use celerythread_http::client::{self, Phase};
@@ -8,16 +8,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The variable that lists entries' operator addresses, separated by commas.
-pub const ENTRIES: &str = "CELERYTHREAD_ENTRIES";
+/// Environment variable with the entries' operator addresses, separated by commas.
+pub const ENTRIES_VARIABLE: &str = "CELERYTHREAD_ENTRIES";
 
-/// Longest wait for one entry.
-const WAIT: Duration = Duration::from_secs(20);
+/// Longest time for one request to one entry.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Largest answer.
-const LIMIT: u64 = 64 << 20;
+/// Largest response body, in bytes.
+const MAX_BODY_LEN: u64 = 64 << 20;
 
-/// The entries that may be asked.
+/// A client with the addresses that it may try.
 #[derive(Clone, Debug)]
 pub struct Client {
     entries: Vec<SocketAddr>,
@@ -33,46 +33,47 @@
 }
 
 impl Client {
-    /// The entries named on the command line, else those of the environment.
+    /// Uses the addresses from the command line, or those of [`ENTRIES_VARIABLE`] if there are none.
     ///
     /// # Errors
-    /// `Usage` when there are none, or one is not an address.
+    /// `Usage` when there are none, or one is not a valid address.
     pub fn new(named: &[SocketAddr]) -> Result<Self, Error> {
         let mut entries = named.to_vec();
         if entries.is_empty() {
-            let text = std::env::var(ENTRIES).unwrap_or_default();
+            let text = std::env::var(ENTRIES_VARIABLE).unwrap_or_default();
             for part in text.split(',').map(str::trim).filter(|part| !part.is_empty()) {
                 let address = part.parse().map_err(|_| Error::Usage {
-                    text: format!("{ENTRIES}: {part:?} is not an address"),
+                    text: format!("{ENTRIES_VARIABLE}: {part:?} is not an address"),
                 })?;
                 entries.push(address);
             }
         }
         if entries.is_empty() {
-            let text = format!("name an entry by --entry ADDRESS or in {ENTRIES}");
+            let text = format!("name an entry with --entry ADDRESS or in {ENTRIES_VARIABLE}");
             return Err(Error::Usage { text });
         }
         Ok(Self { entries })
     }
 
-    /// The entries that may be asked.
+    /// The operator addresses, in the order in which they are tried.
     pub fn entries(&self) -> &[SocketAddr] {
         &self.entries
     }
 
-    /// Reads something.
+    /// Sends a GET request and decodes the JSON response.
     ///
     /// # Errors
-    /// `NoEntry`, `Refused`.
+    /// `NoEntry` when no entry answers, `Refused` when one refuses.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         self.ask(Method::Get, path, Vec::new()).await
     }
 
-    /// Asks for something to be done.  All such requests carry a name of their own, so that
-    /// asking the next entry after a lost answer does nothing twice.
+    /// Sends a POST request with a JSON body and decodes the JSON response.  The body must identify
+    /// the change: a request whose response was lost is sent to the next entry and must not take
+    /// effect twice.
     ///
     /// # Errors
-    /// `NoEntry`, `Refused`.
+    /// `NoEntry` when no entry answers, `Refused` when one refuses.
     pub async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -100,7 +101,7 @@
     }
 }
 
-/// Asks one entry.
+/// Sends a request to one entry.
 ///
 /// # Errors
 /// `NoEntry` when it does not answer, `Refused` when it refuses.
@@ -114,11 +115,11 @@
     let mut request =
         client::request(method, entry, path).map_err(|fault| no_entry(fault.to_string()))?;
     request.set_body(body);
-    let fetched = client::fetch(entry, request, WAIT, LIMIT).await;
+    let fetched = client::fetch(entry, request, REQUEST_TIMEOUT, MAX_BODY_LEN).await;
     let (head, body) = fetched.map_err(|failure| {
         let doing = match failure.phase {
             Phase::Connecting => "cannot connect",
-            _ => "broke off",
+            _ => "request failed",
         };
         no_entry(format!("{doing}: {}", failure.fault))
     })?;
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -15,7 +15,7 @@
 use crate::Error;
 use std::ffi::OsString;
 
-/// What `celerythread --help` prints.
+/// Output of `celerythread --help`.
 const HELP: &str = "\
 celerythread: the operators' command line
 
@@ -25,21 +25,21 @@
   maintenance  declare, list, cancel
   job          submit, list, cancel
   status       what the entries know
-  fleet        who holds what, as the users' platform keeps it
-  explain      the life of one request or job, from the log lines of entries
-  timeline     the events of all entries, in order
-  keys         make an authority and instances' keys
+  fleet        entries, cells and leases, as stored on the users' platform
+  explain      the history of one request or job, from the log lines of entries
+  timeline     the events of all entries, in causal order
+  keys         create a certificate authority and instances' keys
   codes        print the result codes
 
 Every command takes --help, --json, and --entry ADDRESS (several times; without it the
-entries are taken from CELERYTHREAD_ENTRIES).  The exit code is 0 when all went well, else
+entries are taken from CELERYTHREAD_ENTRIES).  The exit code is 0 on success, else
 the group of the result code: 1 callers, 2 operators, 3 files, 4 peers, 5 nobody answered.
 ";
 
-/// Runs the command that the arguments name.
+/// Runs the subcommand that the first argument names.
 ///
 /// # Errors
-/// What went wrong, with its code.
+/// The failure of the subcommand, or `Usage` for an unknown one.
 pub async fn run(mut arguments: Vec<OsString>) -> Result<(), Error> {
     let word = if arguments.is_empty() { OsString::new() } else { arguments.remove(0) };
     match word.to_string_lossy().as_ref() {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Takes a command's parsed flags, or ends as its parser says: help exits 0.
+/// Unwraps parsed flags.  A request for help prints it and exits the process with code 0.
 fn parsed<T>(result: xflags::Result<T>) -> Result<T, Error> {
     match result {
         Ok(flags) => Ok(flags),
@@ -72,14 +72,14 @@
     }
 }
 
-/// A new name for something that the operator did not name.
+/// Generates a unique name for an object that the operator did not name.
 fn new_name(kind: &str) -> String {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let nanos = now.map_or(0, |since| since.as_nanos());
     format!("{kind}-{nanos:x}-{}", std::process::id())
 }
 
-/// Who is asking.
+/// Name of the operator, recorded with a change.
 fn author() -> String {
     std::env::var("USER").unwrap_or_else(|_| "operator".into())
 }
--- a/src/commands/codes.rs
+++ b/src/commands/codes.rs
@@ -1,4 +1,4 @@
-//! `celerythread codes`: the result codes, as the docs have them.
+//! `celerythread codes`: prints the table of result codes.
 
 use super::parsed;
 use crate::Error;
@@ -25,7 +25,7 @@
     Ok(())
 }
 
-/// The table of `docs/RESULT-CODES.md`.
+/// Renders the table of `docs/RESULT-CODES.md`.
 pub(crate) fn table() -> String {
     let mut text =
         String::from("| number | name | HTTP | outcome | exit |\n|---|---|---|---|---|\n");
--- a/src/commands/config.rs
+++ b/src/commands/config.rs
@@ -22,7 +22,7 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// The configuration.
+        /// Checks, changes and shows the configuration.
         cmd celerythread-config {
             /// An entry to ask; may be given several times.
             repeated --entry address: SocketAddr
@@ -46,11 +46,11 @@
                 required template: PathBuf
                 /// The parameters.
                 required parameters: PathBuf
-                /// The number of the configuration that was changed; the current one without it.
+                /// Number of the configuration that the change is based on; defaults to the current one.
                 optional --base number: Revision
-                /// The change's id; give it again to repeat a change whose answer was lost.
+                /// The change's id; repeat a change whose response was lost under the same id.
                 optional --change id: String
-                /// Waits so long for it to be in force everywhere.
+                /// Longest time to wait until every entry uses it.
                 optional --wait span: Span
             }
             /// Shows the configuration in force.
@@ -61,14 +61,14 @@
             ///
             /// Example: celerythread config history --most 5
             cmd history {
-                /// How many.
+                /// Largest number of configurations to list; 20 by default.
                 optional --most number: u64
             }
-            /// Tells which configuration each entry acts by.
+            /// Shows which configuration each entry uses.
             ///
             /// Example: celerythread config status --wait 7s
             cmd status {
-                /// Waits so long for all to act by the same.
+                /// Longest time to wait until all entries use the same one.
                 optional --wait span: Span
             }
         }
@@ -77,8 +77,8 @@
 
 use flags::{Apply, CelerythreadConfig, CelerythreadConfigCmd, Check};
 
-/// Time between two looks while waiting.
-const LOOK: Duration = Duration::from_millis(100);
+/// Time between two status requests while waiting.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(crate) async fn run(arguments: Vec<OsString>) -> Result<(), Error> {
     let flags = parsed(CelerythreadConfig::from_vec(arguments))?;
@@ -176,7 +176,8 @@
     Ok(())
 }
 
-/// Prints who acts by what; fails when somebody lags after the wait.
+/// Prints which configuration each entry uses; fails if an entry still uses an older one after
+/// `wait`.
 async fn status(
     client: &Client,
     wait: Duration,
@@ -206,6 +207,6 @@
                 Err(Error::NotInForce { text: lagging.join(", ") })
             };
         }
-        async_std::task::sleep(LOOK).await;
+        async_std::task::sleep(POLL_INTERVAL).await;
     }
 }
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `celerythread explain`: the life of one request or job, from log lines.
+//! `celerythread explain`: the history of one request or job, from log lines.
 
 use super::parsed;
 use crate::Error;
@@ -13,13 +13,13 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// The life of one request or job, in order, and what most likely went wrong.
+        /// Prints the history of one request or job and the most likely cause of a failure or delay.
         ///
         /// Example: celerythread explain 5c0e7a21d94b36f8 entry-1.log entry-2.log
         cmd celerythread-explain {
             /// The id of the job or of the request.
             required id: String
-            /// Log files of entries; without any, standard input.
+            /// Log files of entries; standard input if there are none.
             repeated files: PathBuf
             /// Prints JSON.
             optional --json
@@ -30,14 +30,14 @@
 pub(crate) fn run(arguments: Vec<OsString>) -> Result<(), Error> {
     let flags = parsed(flags::CelerythreadExplain::from_vec(arguments))?;
     let lines = logs::read(&flags.files)?;
-    let story = Trace::collect(&flags.id, &lines);
+    let trace = Trace::collect(&flags.id, &lines);
     if flags.json {
-        let cause = story.cause();
-        let all = serde_json::json!({ "job": story.job, "lines": story.lines, "cause": cause });
+        let cause = trace.cause();
+        let all = serde_json::json!({ "job": trace.job, "lines": trace.lines, "cause": cause });
         output::json(&all);
         return Ok(());
     }
-    output::lines(&story.lines);
-    output::lines([format!("cause: {}", story.cause())]);
+    output::lines(&trace.lines);
+    output::lines([format!("cause: {}", trace.cause())]);
     Ok(())
 }
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -1,4 +1,4 @@
-//! `celerythread fleet`: what the entries on the users' platform agree on.
+//! `celerythread fleet`: the entries' shared state, as stored on the users' platform.
 
 use super::parsed;
 use crate::Error;
@@ -13,12 +13,12 @@
     use std::net::SocketAddr;
 
     xflags::xflags! {
-        /// Entries, cells and their holders, machines that are emptied, maintenance waves how workspaces' limits
-        /// are split and the pools' turns, as the platform's store keeps them.
+        /// Prints the state in the platform's store: entries, cells and their holders, the splits of
+        /// workspaces' limits, machines being emptied, maintenance waves and the pools' turns.
         ///
         /// Example: celerythread fleet --store 10.200.1.7:8621
         cmd celerythread-fleet {
-            /// The platform's store.
+            /// Address of the platform's store.
             required --store address: SocketAddr
             /// Prints JSON.
             optional --json
--- a/src/commands/job.rs
+++ b/src/commands/job.rs
@@ -16,7 +16,7 @@
     use std::net::SocketAddr;
 
     xflags::xflags! {
-        /// Jobs on workers.
+        /// Submits, lists and cancels jobs on workers.
         cmd celerythread-job {
             /// An entry to ask; may be given several times.
             repeated --entry address: SocketAddr
@@ -27,13 +27,13 @@
             ///
             /// Example: celerythread job submit --team audits --kind year-end --cpu 4000 --memory 8GiB
             cmd submit {
-                /// The job's name; give it again to repeat a submission whose answer was lost.
+                /// The job's name; repeat a submission whose response was lost under the same name.
                 optional --name name: String
-                /// Whose quota it counts against.
+                /// The team whose quota it counts against.
                 required --team name: String
-                /// The kind of work, by which sizes are learnt.
+                /// The kind of work; resource use and duration are estimated per kind.
                 required --kind name: String
-                /// Thousandths of a core.
+                /// Millicores.
                 optional --cpu count: Millicores
                 /// Memory.
                 optional --memory size: Bytes
@@ -41,7 +41,7 @@
                 optional --accelerators count: Accelerators
                 /// The expected run time.
                 optional --duration span: Span
-                /// May wait.
+                /// May wait and be preempted by urgent work.
                 optional --patient
                 /// Must run at most once.
                 optional --once
@@ -103,7 +103,7 @@
     })
 }
 
-/// Brings what was submitted and what became of it onto one level, for a table.
+/// Merges the fields of each job's `spec` into the job itself, for a table.
 fn flatten(jobs: Value) -> Value {
     let merge = |mut job: Value| {
         let spec = job["spec"].take();
--- a/src/commands/keys.rs
+++ b/src/commands/keys.rs
@@ -1,4 +1,4 @@
-//! `celerythread keys`: an authority and instances' keys, without any entry.
+//! `celerythread keys`: creates a certificate authority and instances' keys, without any entry.
 
 use super::parsed;
 use crate::Error;
@@ -17,9 +17,9 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Keys for the links between entries.
+        /// Creates keys for the connections between entries.
         cmd celerythread-keys {
-            /// Makes an authority: authority.pem and authority.key in a folder.
+            /// Creates a certificate authority: authority.pem and authority.key in a folder.
             ///
             /// Example: celerythread keys authority co-antioquia keys/
             cmd authority {
@@ -28,7 +28,7 @@
                 /// The folder.
                 required folder: PathBuf
             }
-            /// Makes an instance's key, signed by the folder's authority.
+            /// Creates an instance's key and a certificate signed by the folder's authority.
             ///
             /// Example: celerythread keys issue med-a-1 keys/
             cmd issue {
@@ -43,7 +43,7 @@
 
 use flags::{CelerythreadKeys, CelerythreadKeysCmd};
 
-/// Only the owner may read a private key.
+/// File mode of a private key: only its owner may read it.
 const KEY_MODE: u32 = 0o600;
 
 pub(crate) fn run(arguments: Vec<OsString>) -> Result<(), Error> {
@@ -66,7 +66,7 @@
     fs::read_to_string(path).context(FileSnafu { path })
 }
 
-/// Writes a pair; an existing key is never overwritten.
+/// Writes a key and its certificate; never overwrites an existing key.
 fn write(folder: &Path, name: &str, pair: &Pair) -> Result<(), Error> {
     fs::create_dir_all(folder).context(FileSnafu { path: folder })?;
     let path = folder.join(format!("{name}.key"));
--- a/src/commands/maintenance.rs
+++ b/src/commands/maintenance.rs
@@ -14,18 +14,18 @@
     use std::net::SocketAddr;
 
     xflags::xflags! {
-        /// Maintenance waves.
+        /// Declares, lists and cancels maintenance waves.
         cmd celerythread-maintenance {
             /// An entry to ask; may be given several times.
             repeated --entry address: SocketAddr
             /// Prints JSON.
             optional --json
 
-            /// Declares maintenance; without a choice, of all minions.
+            /// Declares a maintenance wave; without a filter, for all minions.
             ///
             /// Example: celerythread maintenance declare --zone med-a --within 6h
             cmd declare {
-                /// The wave's name; give it again to repeat a declaration whose answer was lost.
+                /// The wave's name; repeat a declaration whose response was lost under the same name.
                 optional --wave name: String
                 /// Only this availability zone; may be given several times.
                 repeated --zone name: String
@@ -35,18 +35,18 @@
                 repeated --service name: String
                 /// Only this minion; may be given several times.
                 repeated --minion name: String
-                /// How long from now nothing is taken out yet.
+                /// Delay before the first minion is taken out of service.
                 optional --after span: Span
-                /// Only while this window of the configuration is open.
+                /// Takes minions out of service only while this window of the configuration is open.
                 optional --window name: String
-                /// How long from now it may take; refused when the forecast is longer.
+                /// Longest duration from now; the wave is refused if the forecast is longer.
                 optional --within span: Span
             }
             /// Lists the waves.
             ///
             /// Example: celerythread maintenance list
             cmd list {}
-            /// Cancels a wave: nothing more is taken out, and what is out returns.
+            /// Cancels a wave: no more minions are taken out of service, and those that are out return.
             ///
             /// Example: celerythread maintenance cancel night-kernel
             cmd cancel {
@@ -95,7 +95,7 @@
     Ok(())
 }
 
-/// Puts the number of minions in place of their names, for a table.
+/// Replaces the lists of minions by their lengths, for a table.
 fn count_minions(wave: &mut Value) {
     for field in ["remaining", "done"] {
         let count = wave.get(field).and_then(Value::as_array).map_or(0, Vec::len);
--- a/src/commands/minion.rs
+++ b/src/commands/minion.rs
@@ -13,7 +13,7 @@
     use std::net::SocketAddr;
 
     xflags::xflags! {
-        /// Minions.
+        /// Lists minions.
         cmd celerythread-minion {
             /// An entry to ask; may be given several times.
             repeated --entry address: SocketAddr
--- a/src/commands/pool.rs
+++ b/src/commands/pool.rs
@@ -13,25 +13,25 @@
     use std::net::SocketAddr;
 
     xflags::xflags! {
-        /// Pools of minions.
+        /// Lists pools of minions and moves minions between them.
         cmd celerythread-pool {
             /// An entry to ask; may be given several times.
             repeated --entry address: SocketAddr
             /// Prints JSON.
             optional --json
 
-            /// Lists the pools against their configuration.
+            /// Lists the pools with their configured and current sizes.
             ///
             /// Example: celerythread pool list
             cmd list {}
-            /// Moves a minion to another pool: drains it, has it rebooted, and lets it join.
-            /// The system moves minions by itself; this is for what it cannot know.
+            /// Moves a minion to another pool: drains it, has it rebooted, and adds it to that pool.
+            /// The system also moves minions by itself; use this for reasons that it cannot know.
             ///
             /// Example: celerythread pool move med-a-m3 bank-intake
             cmd move {
                 /// The minion.
                 required minion: String
-                /// The pool that it joins.
+                /// The pool to move it to.
                 required target: String
             }
         }
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `celerythread status`: what the entries know.
+//! `celerythread status`: one entry's view of the entries and services.
 
 use super::parsed;
 use crate::Error;
@@ -13,7 +13,7 @@
     use std::net::SocketAddr;
 
     xflags::xflags! {
-        /// What an entry knows of itself, of the others and of the services.
+        /// Prints one entry's view of itself, the other entries and the services.
         ///
         /// Example: celerythread status --entry 10.1.0.4:9100
         cmd celerythread-status {
--- a/src/commands/timeline.rs
+++ b/src/commands/timeline.rs
@@ -19,19 +19,20 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// The events of all entries, merged: an event never stands before its cause.
+        /// Prints the events of all entries in causal order: an event never comes before its cause.
         ///
-        /// With log files of entries, the changes that their lines tell, by the entries' clocks.
+        /// With log files, prints the events in them that aren't about single jobs, ordered by the
+        /// entries' clocks.
         ///
         /// Example: celerythread timeline --svg > night.svg
         cmd celerythread-timeline {
-            /// An entry to ask for the others; may be given several times.
+            /// An entry to ask for the list of entries; may be given several times.
             repeated --entry address: SocketAddr
-            /// Log files of entries; then no entry is asked.
+            /// Log files of entries, read instead of asking the entries.
             repeated files: PathBuf
             /// Prints JSON.
             optional --json
-            /// Prints a picture.
+            /// Prints an SVG picture.
             optional --svg
         }
     }
@@ -79,11 +80,11 @@
     Ok(())
 }
 
-/// The time line of what entries did and believed, from their log lines; those about single jobs
-/// are left to `explain`.
+/// Prints the time line from entries' log lines, without those about single jobs or requests (see
+/// `explain`).
 fn from_logs(flags: &flags::CelerythreadTimeline) -> Result<(), Error> {
     let mut lines = logs::read(&flags.files)?;
-    lines.retain(|line| !line.is_of_a_job());
+    lines.retain(|line| !line.is_job_event());
     lines.sort_by_key(|line| line.at_ms);
     if flags.svg {
         let picture = plot::svg(&dots(&lines)).map_err(|text| Error::Usage { text })?;
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,4 @@
-//! What `celerythreadd` does: read its settings, serve, and stop gracefully when told.
+//! The daemon `celerythreadd`: reads its settings, serves, and stops gracefully on a signal.
 
 use crate::Error;
 use crate::error::{FileSnafu, KeySnafu, SchedulerSnafu, StartSnafu};
@@ -19,26 +19,26 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Names the settings file when the command line doesn't.
+/// Environment variable with the path of the settings file, used without `--settings`.
 const SETTINGS_VARIABLE: &str = "CELERYTHREAD_SETTINGS";
 
-/// Time between two looks at whether the settings file has changed without a signal.
-const RELOAD_LOOK: Duration = Duration::from_secs(2);
+/// Interval at which the settings file is read again to find changes made without a SIGHUP.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the settings make of the process.
+/// Kind of daemon that the settings select.
 pub enum Role {
-    /// An entry over the product's own interface to a platform.
+    /// An entry that uses the product's own platform interface.
     Entry(Box<Settings>),
-    /// An entry on the users' platform.
+    /// An entry on the users' platform (`celerythread_scheduler`).
     Scheduler(Box<scheduler::Settings>),
 }
 
 impl Role {
-    /// Reads and checks a settings file.  Naming the platform's store makes an entry on the
-    /// users' platform.
+    /// Reads and checks a settings file.  A file that names the platform's store selects an entry
+    /// on the users' platform.
     ///
     /// # Errors
-    /// `File` or `Mistakes`.
+    /// `File` when it can't be read, `Mistakes` when its content is invalid.
     pub fn read(path: &Path) -> Result<Self, Error> {
         let text = fs::read_to_string(path).context(FileSnafu { path })?;
         let wrong = |mistakes| Error::Mistakes { mistakes };
@@ -50,7 +50,7 @@
     }
 }
 
-/// The settings file: as given, or as the environment names it.
+/// Path of the settings file: as given, or from the environment.
 ///
 /// # Errors
 /// `Usage` when neither names one.
@@ -78,7 +78,7 @@
     let signalled = signals()?;
     async_std::task::block_on(async {
         let daemon = Daemon::start(settings, platform, &identity).await.context(StartSnafu)?;
-        // One line for whoever started the process, and needs the ports that it was given.
+        // Tells the process that started this one the ports that the system assigned.
         println!(
             "listening callers={} operators={} peers={} entry={}",
             daemon.caller_address(),
@@ -104,7 +104,8 @@
         let daemon = scheduler::Daemon::start(settings).await.context(SchedulerSnafu)?;
         let callers = daemon.caller_address();
         daemon.journal().note("listening", &[("callers", &callers), ("entry", &daemon.id())]);
-        while let Ok(Ok(Signal::Reload)) | Err(_) = timeout(RELOAD_LOOK, signalled.recv()).await {
+        while let Ok(Ok(Signal::Reload)) | Err(_) = timeout(RELOAD_INTERVAL, signalled.recv()).await
+        {
             reload(path, &mut current, &daemon);
         }
         daemon.stop().await;
@@ -112,8 +113,8 @@
     })
 }
 
-/// Reads the settings file again.  Addresses are fixed for the life of a process, so a change
-/// is told and takes effect with the next start.
+/// Reads the settings file again.  Addresses are fixed for the lifetime of a process, so a change
+/// is only logged and takes effect at the next start.
 fn reload(path: &Path, current: &mut scheduler::Settings, daemon: &scheduler::Daemon) {
     match Role::read(path) {
         Ok(Role::Scheduler(settings)) if *settings == *current => {}
@@ -137,7 +138,7 @@
     log::set_max_level(level);
 }
 
-/// What a signal asks for.
+/// Action that a signal requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Signal {
     Stop,
@@ -151,7 +152,7 @@
     std::thread::spawn(move || {
         for signal in signals.forever() {
             let meaning = if signal == SIGHUP { Signal::Reload } else { Signal::Stop };
-            // Fails only when the process is about to end anyway.
+            // Fails only when the receiver is gone because the process is ending.
             let _ = sender.send_blocking(meaning);
         }
     });
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,11 +1,11 @@
-//! What can end a program, each with a numbered code.
+//! Errors that end a program, each with a numbered result code.
 
 use celerythread_model::code::Code;
 use celerythread_model::ini::Mistake;
 use snafu::Snafu;
 use std::path::PathBuf;
 
-/// A failure that the user is told.
+/// An error that is reported to the user.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
@@ -20,61 +20,61 @@
     /// A file has mistakes.
     #[snafu(display("{} mistakes", mistakes.len()))]
     Mistakes {
-        /// All of them.
+        /// All mistakes found.
         mistakes: Vec<Mistake>,
     },
     /// No entry could be reached.
     #[snafu(display("no entry answers: {reason}"))]
     NoEntry {
-        /// What happened with the last one.
+        /// Failure of the last one tried.
         reason: String,
     },
-    /// An entry refused.
+    /// An entry refused the request.
     #[snafu(display("{detail}"))]
     Refused {
-        /// The code's number.
+        /// Number of the result code.
         number: u16,
-        /// Its name.
+        /// Name of the result code.
         title: String,
-        /// What happened.
+        /// Why it was refused.
         detail: String,
-        /// More, for people and programs.
+        /// Further details as JSON: mistakes, a diff, or other data.
         extra: serde_json::Value,
     },
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[snafu(display("{text}"))]
     Usage {
         /// What is wrong.
         text: String,
     },
-    /// Some entries lag behind.
+    /// Some entries still use an older configuration.
     #[snafu(display("not in force everywhere: {text}"))]
     NotInForce {
-        /// Which.
+        /// Ids of these entries.
         text: String,
     },
-    /// A key cannot be made or used.
+    /// A key or certificate can't be created or used.
     #[snafu(display("{source}"))]
     Key {
-        /// Why.
+        /// The cause.
         source: celerythread_wire::Error,
     },
     /// The daemon could not start.
     #[snafu(display("{source}"))]
     Start {
-        /// Why.
+        /// The cause.
         source: celerythread_entry::daemon::Error,
     },
     /// The daemon could not start on the users' platform.
     #[snafu(display("{source}"))]
     Scheduler {
-        /// Why.
+        /// The cause.
         source: celerythread_scheduler::daemon::Error,
     },
 }
 
 impl Error {
-    /// The code's number.
+    /// Number of the result code.
     pub fn number(&self) -> u16 {
         match self {
             Error::File { .. } => Code::UnreadableFile.number(),
@@ -90,15 +90,15 @@
         }
     }
 
-    /// The process's exit code.
-    pub fn exit(&self) -> u8 {
+    /// Exit code of the process.
+    pub fn exit_code(&self) -> u8 {
         use strum::VariantArray;
         let number = self.number();
         let code = Code::VARIANTS.iter().find(|code| code.number() == number);
         code.map_or(1, |code| code.exit().max(1))
     }
 
-    /// Prints the error with everything that helps to mend its cause.
+    /// Prints the error with its details to standard error.
     pub fn print(&self) {
         match self {
             Error::Mistakes { mistakes } => {
@@ -115,7 +115,7 @@
     }
 }
 
-/// Mistakes as lines, a diff as it is, and anything else as JSON.
+/// Prints mistakes one per line, a diff verbatim, and anything else as JSON.
 fn print_extra(extra: &serde_json::Value) {
     if let Ok(mistakes) = serde_json::from_value::<Vec<Mistake>>(extra.clone()) {
         for mistake in mistakes {
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,40 +1,44 @@
-//! The life of one request or job, from the log lines of any number of entries.
+//! Reconstructs the history of one request or job from the log lines of any number of entries.
 //!
-//! [`Trace`] picks the lines that bear on one id and puts them in order; [`Trace::cause`] names what
-//! most likely went wrong.
+//! [`Trace`] selects the lines related to one id and sorts them; [`Trace::cause`] names the most
+//! likely cause of a failure or delay.
 
 use crate::logs::Line;
 use std::collections::BTreeSet;
 
-/// A stretch without a line of the job that is worth naming, in milliseconds.
+/// Shortest time between two lines of a job that is reported as a delay, in milliseconds.
 const LONG_GAP_MS: i64 = 1000;
 
-/// The lines that bear on one job.
+/// The log lines related to one job.
 #[derive(Debug, Default)]
 pub struct Trace {
-    /// The job.
+    /// Id of the job.
     pub job: String,
-    /// The lines, in order.
+    /// The lines, sorted by time.
     pub lines: Vec<Line>,
 }
 
 impl Trace {
-    /// Picks the lines that bear on a job's or a request's id.
+    /// Collects the lines of a job, given its id or its request's, and those of the minions,
+    /// services and stores involved at the time.
     pub fn collect(id: &str, all: &[Line]) -> Self {
         let job = all
             .iter()
             .find(|line| line.field("request") == id && !line.field("job").is_empty())
             .map_or(id, |line| line.field("job"))
             .to_owned();
-        let own: Vec<&Line> = all.iter().filter(|line| line.field("job") == job).collect();
+        let own_lines: Vec<&Line> = all.iter().filter(|line| line.field("job") == job).collect();
         let minions: BTreeSet<&str> =
-            own.iter().map(|line| line.field("minion")).filter(|id| !id.is_empty()).collect();
-        let services: BTreeSet<&str> =
-            own.iter().map(|line| line.field("service")).filter(|id| !id.is_empty()).collect();
-        let sources: BTreeSet<&str> = own.iter().map(|line| line.source.as_str()).collect();
-        let from = own.iter().map(|line| line.at_ms).min().unwrap_or(0) - 3 * LONG_GAP_MS;
-        let to = own.iter().map(|line| line.at_ms).max().unwrap_or(0) + LONG_GAP_MS;
-        let bears = |line: &&Line| {
+            own_lines.iter().map(|line| line.field("minion")).filter(|id| !id.is_empty()).collect();
+        let services: BTreeSet<&str> = own_lines
+            .iter()
+            .map(|line| line.field("service"))
+            .filter(|id| !id.is_empty())
+            .collect();
+        let sources: BTreeSet<&str> = own_lines.iter().map(|line| line.source.as_str()).collect();
+        let from = own_lines.iter().map(|line| line.at_ms).min().unwrap_or(0) - 3 * LONG_GAP_MS;
+        let to = own_lines.iter().map(|line| line.at_ms).max().unwrap_or(0) + LONG_GAP_MS;
+        let is_related = |line: &&Line| {
             let inside = (from..=to).contains(&line.at_ms) && line.field("job").is_empty();
             line.field("job") == job
                 || inside && minions.contains(line.field("minion"))
@@ -42,58 +46,58 @@
                 || inside && services.contains(line.field("cell"))
                 || inside && line.event.starts_with("store_") && sources.contains(&*line.source)
         };
-        let mut lines: Vec<Line> = all.iter().filter(bears).cloned().collect();
+        let mut lines: Vec<Line> = all.iter().filter(is_related).cloned().collect();
         lines.sort_by_key(|line| line.at_ms);
         lines.dedup_by(|a, b| a.at_ms == b.at_ms && a.event == b.event && a.fields == b.fields);
         Self { job, lines }
     }
 
-    fn of(&self, event: &str) -> impl Iterator<Item = &Line> {
+    fn lines_of(&self, event: &str) -> impl Iterator<Item = &Line> {
         let event = event.to_owned();
         self.lines.iter().filter(move |line| line.event == event)
     }
 
-    fn own(&self) -> Vec<&Line> {
+    fn own_lines(&self) -> Vec<&Line> {
         self.lines.iter().filter(|line| line.field("job") == self.job).collect()
     }
 
-    /// What most likely went wrong, or that nothing did.
+    /// Names the most likely cause of a failure or delay, or says that there was none.
     pub fn cause(&self) -> String {
-        let own = self.own();
-        if own.is_empty() {
+        let own_lines = self.own_lines();
+        if own_lines.is_empty() {
             return format!("no entry has noted anything of {}", self.job);
         }
-        let accepted = own.iter().any(|line| line.event == "job_accepted");
-        if let Some(line) = self.of("job_rejected").next() {
+        let accepted = own_lines.iter().any(|line| line.event == "job_accepted");
+        if let Some(line) = self.lines_of("job_rejected").next() {
             return format!("the request is wrong: {}", line.field("reason"));
         }
-        if !accepted && let Some(line) = self.of("key_refused").last() {
-            return self.key(line);
+        if !accepted && let Some(line) = self.lines_of("key_refused").last() {
+            return self.explain_key(line);
         }
-        if !accepted && let Some(line) = self.of("job_refused").next() {
-            return self.refusal(line);
+        if !accepted && let Some(line) = self.lines_of("job_refused").next() {
+            return self.explain_refusal(line);
         }
-        if !accepted && let Some(line) = self.of("job_unknown").next() {
+        if !accepted && let Some(line) = self.lines_of("job_unknown").next() {
             let store = self.store_before(line);
             return format!(
                 "the store did not answer the write within the caller's time{store}; \
                  the job may have been accepted"
             );
         }
-        if let Some(line) = self.of("job_ended").last() {
+        if let Some(line) = self.lines_of("job_ended").last() {
             return match line.field("state") {
-                "failed" => self.failure(),
-                _ => self.lateness(line),
+                "failed" => self.explain_failure(),
+                _ => self.explain_delay(line),
             };
         }
-        match self.of("job_cancelled").next() {
+        match self.lines_of("job_cancelled").next() {
             Some(line) if line.field("written") == "true" => "its caller cancelled it".into(),
-            _ => self.unfinished(),
+            _ => self.explain_unfinished(),
         }
     }
 
-    /// Why a key was refused: by what the entry knew of the configuration then.
-    fn key(&self, line: &Line) -> String {
+    /// Explains why a key was refused, with the age of the configuration that the entry used.
+    fn explain_key(&self, line: &Line) -> String {
         let (reason, source) = (line.field("reason"), &line.source);
         let (queue, age) = (line.field("queue"), line.field("configuration_age_ms"));
         format!(
@@ -101,15 +105,15 @@
         )
     }
 
-    /// Whether a line is the first start of a job that its workspace's limit held.
-    fn is_held_until(&self, start: &Line) -> bool {
-        let is_first = self.of("start_ordered").next().is_some_and(|first| first == start);
-        is_first && self.of("job_held").any(|held| held.at_ms <= start.at_ms)
+    /// Whether this is the job's first start after its workspace's limit had held it.
+    fn is_first_start_after_hold(&self, start: &Line) -> bool {
+        let is_first = self.lines_of("start_ordered").next().is_some_and(|first| first == start);
+        is_first && self.lines_of("job_held").any(|held| held.at_ms <= start.at_ms)
     }
 
-    /// What kept a job from starting, if it was its workspace's limit.
-    fn limit(&self) -> Option<String> {
-        let line = self.of("job_held").next()?;
+    /// Describes the workspace's limit that held the job, if one did.
+    fn explain_limit(&self) -> Option<String> {
+        let line = self.lines_of("job_held").next()?;
         let field = |name| line.field(name);
         let (workspace, limit, share) = (field("workspace"), field("limit"), field("share"));
         let (used, needs, age) = (field("used"), field("needs"), field("age_ms"));
@@ -120,12 +124,12 @@
         ))
     }
 
-    fn refusal(&self, line: &Line) -> String {
+    fn explain_refusal(&self, line: &Line) -> String {
         let (reason, store) = (line.field("reason"), self.store_before(line));
         format!("refused as not run: {reason}{store}")
     }
 
-    /// Whether the entry had lost the store before a line.
+    /// Describes the entry's loss of the store if it lasted at this line; empty otherwise.
     fn store_before(&self, line: &Line) -> String {
         let of_entry = |other: &&Line| {
             other.source == line.source
@@ -142,8 +146,8 @@
         }
     }
 
-    fn failure(&self) -> String {
-        let suspected: Vec<&Line> = self.of("task_suspected").collect();
+    fn explain_failure(&self) -> String {
+        let suspected: Vec<&Line> = self.lines_of("task_suspected").collect();
         if let Some(last) = suspected.iter().find(|line| line.field("given_up") == "true") {
             let of_task = suspected.iter().filter(|line| line.field("task") == last.field("task"));
             let minions: Vec<&str> = of_task.map(|line| line.field("minion")).collect();
@@ -154,12 +158,14 @@
             );
         }
         let failed: Vec<&Line> =
-            self.of("run_ended").filter(|line| line.field("how") == "failed").collect();
+            self.lines_of("run_ended").filter(|line| line.field("how") == "failed").collect();
         let minions: BTreeSet<&str> = failed.iter().map(|line| line.field("minion")).collect();
         let bad: Vec<&str> = minions
             .iter()
             .copied()
-            .filter(|id| self.of("minion_quarantined").any(|line| line.field("minion") == *id))
+            .filter(|id| {
+                self.lines_of("minion_quarantined").any(|line| line.field("minion") == *id)
+            })
             .collect();
         let where_ = minions.iter().copied().collect::<Vec<_>>().join(", ");
         if bad.is_empty() {
@@ -177,10 +183,10 @@
         }
     }
 
-    /// Names the longest stretches before the end, with what ended each.
-    fn lateness(&self, end: &Line) -> String {
+    /// Names the longest delays before the job's end, each with its cause.
+    fn explain_delay(&self, end: &Line) -> String {
         let mut gaps: Vec<(i64, String)> = Vec::new();
-        for pair in self.own().windows(2) {
+        for pair in self.own_lines().windows(2) {
             let gap = pair[1].at_ms - pair[0].at_ms;
             if gap >= LONG_GAP_MS && pair[1].at_ms <= end.at_ms {
                 gaps.push((gap, self.explain_gap(pair[0], pair[1])));
@@ -190,14 +196,14 @@
         if gaps.is_empty() {
             return format!("{} without a pause of over {LONG_GAP_MS} ms", end.field("state"));
         }
-        let told: Vec<String> =
+        let causes: Vec<String> =
             gaps.iter().take(3).map(|(ms, what)| format!("{ms} ms {what}")).collect();
-        format!("{}, after {}", end.field("state"), told.join("; "))
+        format!("{}, after {}", end.field("state"), causes.join("; "))
     }
 
     fn explain_gap(&self, before: &Line, after: &Line) -> String {
         let between = |event: &str| {
-            self.of(event).find(|line| (before.at_ms..=after.at_ms).contains(&line.at_ms))
+            self.lines_of(event).find(|line| (before.at_ms..=after.at_ms).contains(&line.at_ms))
         };
         if let Some(line) = between("run_lapsed") {
             let minion = line.field("minion");
@@ -217,7 +223,7 @@
             return format!("while {} did not answer", line.field("minion"));
         }
         match after.event.as_str() {
-            "start_ordered" if self.is_held_until(after) => {
+            "start_ordered" if self.is_first_start_after_hold(after) => {
                 "waiting for its workspace's limit".into()
             }
             "start_ordered" => "waiting for room".into(),
@@ -227,12 +233,12 @@
         }
     }
 
-    fn unfinished(&self) -> String {
-        let Some(last) = self.own().pop().cloned() else { return String::new() };
+    fn explain_unfinished(&self) -> String {
+        let Some(last) = self.own_lines().pop().cloned() else { return String::new() };
         match last.event.as_str() {
-            // Lines of several entries are written in any order within some milliseconds.
+            // Lines of different entries may be out of order by some milliseconds.
             "job_accepted" | "job_known" | "job_held" => self
-                .limit()
+                .explain_limit()
                 .unwrap_or_else(|| "accepted and never started: no room, or no owner".into()),
             "start_ordered" => format!("running on {} when the lines end", last.field("minion")),
             event => format!("not ended; the last line is {event}"),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! The two programs of celerythread, as a library that both share with the tests.
+//! Library behind the two programs of celerythread, shared with the tests.
 //!
-//! [`daemon`] is what `celerythreadd` does; [`commands`] holds the subcommands of
-//! `celerythread`, one file each, over [`client`], which finds an entry that answers, and
-//! [`output`], which prints for people or for programs; [`logs`] reads log lines, of which
-//! [`explain`] tells one job's life and [`plot`] draws a picture.
+//! [`daemon`] runs `celerythreadd`.  [`commands`] holds the subcommands of `celerythread`, one file
+//! each: [`client`] sends their requests to an entry that answers, and [`output`] prints tables or
+//! JSON.  [`logs`] reads entries' log lines; [`explain`] reconstructs the history of one job from
+//! them, and [`plot`] draws a time line.
 
 pub mod client;
 pub mod commands;
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,7 +1,7 @@
-//! The log lines of entries, as files or on standard input.
+//! Reads the log lines of entries from files or standard input.
 //!
-//! A log line is a JSON object; what stands before it on its line, as a log collector's time and
-//! host, is taken for the name of its source.
+//! A log line is a JSON object.  A log collector may put a prefix such as time and host before it;
+//! the last word of the prefix is then the name of the source.
 
 use crate::Error;
 use crate::error::FileSnafu;
@@ -16,16 +16,16 @@
 /// One log line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// When, as the source wrote it.
+    /// Timestamp as written by the source.
     pub at: String,
-    /// Milliseconds since 1970.
+    /// The same in milliseconds since the Unix epoch.
     #[serde(skip)]
     pub at_ms: i64,
-    /// Where it comes from.
+    /// Name of the source: the last word before the JSON object, or else that of the file.
     pub source: String,
-    /// What happened.
+    /// Name of the event.
     pub event: String,
-    /// The inputs and the outcome.
+    /// Key-value pairs of the event.
     pub fields: BTreeMap<String, String>,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl Line {
-    /// Reads a line; none for one that is no log line of an entry.
+    /// Parses a line; `None` if it isn't a log line of an entry.
     pub fn parse(text: &str, source: &str) -> Option<Self> {
         let start = text.find('{')?;
         let raw: Raw = serde_json::from_str(&text[start..]).ok()?;
@@ -52,13 +52,13 @@
         })
     }
 
-    /// A field; empty if the line has none of this name.
+    /// Value of a field; empty if the line has no such field.
     pub fn field(&self, name: &str) -> &str {
         self.fields.get(name).map_or("", String::as_str)
     }
 
-    /// Whether it is about a single job or request, not about what an entry believes.
-    pub fn is_of_a_job(&self) -> bool {
+    /// Whether it is about a single job or request, not about the state of an entry.
+    pub fn is_job_event(&self) -> bool {
         ["job", "task", "request"].iter().any(|name| self.fields.contains_key(*name))
     }
 }
@@ -70,10 +70,11 @@
     }
 }
 
-/// Reads the lines of files; without any, those of standard input.  Other lines are passed over.
+/// Reads the log lines of the files, or of standard input if there are none.  Lines that aren't log
+/// lines of an entry are skipped.
 ///
 /// # Errors
-/// When a file can't be read.
+/// `File` when a file can't be read.
 pub fn read(files: &[PathBuf]) -> Result<Vec<Line>, Error> {
     let mut lines = Vec::new();
     for path in files {
--- a/src/output.rs
+++ b/src/output.rs
@@ -1,4 +1,4 @@
-//! Printing: tables for people, JSON for programs.
+//! Prints to standard output: tables for people, JSON for programs.
 
 use serde_json::Value;
 use std::fmt::Display;
@@ -6,11 +6,13 @@
 
 /// Prints text.
 ///
-/// A reader that has had enough, as `head`, is no failure: the standard macros would end the
-/// program with a backtrace in the middle of a long list.
+/// A closed pipe, as `head` leaves it, is no error; the standard macros would panic in the middle
+/// of a long list.
 pub fn text(text: &str) {
     match io::stdout().lock().write_all(text.as_bytes()) {
-        Err(error) if error.kind() != ErrorKind::BrokenPipe => eprintln!("not printed: {error}"),
+        Err(error) if error.kind() != ErrorKind::BrokenPipe => {
+            eprintln!("cannot write to standard output: {error}")
+        }
         _ => {}
     }
 }
@@ -26,12 +28,12 @@
     lines([value]);
 }
 
-/// Prints rows under their titles, each column as wide as its widest cell.
+/// Prints rows below a header row, each column as wide as its widest cell.
 pub fn table(titles: &[&str], rows: &[Vec<String>]) {
     text(&format_table(titles, rows));
 }
 
-/// The text of a table.
+/// Formats a table.
 pub fn format_table(titles: &[&str], rows: &[Vec<String>]) -> String {
     let titles: Vec<String> = titles.iter().map(|title| (*title).to_owned()).collect();
     let all = || std::iter::once(&titles).chain(rows);
@@ -53,7 +55,7 @@
     text
 }
 
-/// A field of a JSON object as a cell.
+/// Formats a field of a JSON object as a table cell; `-` if it is missing or null.
 pub fn cell(value: &Value, field: &str) -> String {
     match value.get(field) {
         None | Some(Value::Null) => "-".into(),
@@ -69,7 +71,7 @@
     }
 }
 
-/// Prints a list of JSON objects: as it is, or with these fields as columns.
+/// Prints a list of JSON objects, as JSON or as a table with these fields as columns.
 pub fn list(as_json: bool, value: &Value, fields: &[&str]) {
     if as_json {
         return json(value);
@@ -82,7 +84,7 @@
     table(&titles, &rows);
 }
 
-/// Prints one JSON object: as it is, or a field a line.
+/// Prints one JSON object, as JSON or one field per line.
 pub fn record(as_json: bool, value: &Value) {
     if as_json {
         return json(value);
--- a/src/plot.rs
+++ b/src/plot.rs
@@ -1,27 +1,27 @@
-//! The time line as a picture: a lane for each process, a dot for each event.
+//! Draws the time line as SVG: a lane for each process, a dot for each event.
 
 use crate::logs::Line;
 use celerythread_model::event::Event;
 use plotters::prelude::*;
 
-/// Pixels of each lane's height, and of the picture's width.
-const LANE: u32 = 60;
-const WIDTH: u32 = 1200;
+/// Height of a lane and width of the picture, in pixels.
+const LANE_HEIGHT_PX: u32 = 60;
+const WIDTH_PX: u32 = 1200;
 
-/// A dot of the picture.
+/// One event in the picture.
 #[derive(Clone, Debug)]
 pub struct Dot {
-    /// The process whose lane it is in.
+    /// Name of the process, which has a lane of its own.
     pub lane: String,
-    /// Milliseconds since 1970.
+    /// Milliseconds since the Unix epoch.
     pub at: u64,
-    /// What stands beside it.
+    /// Text next to the dot.
     pub label: String,
 }
 
 impl From<&Event> for Dot {
     fn from(event: &Event) -> Self {
-        // The event's kind alone; the details stand in the text form.
+        // Only the event's kind; the table has the details.
         let label = event.to_string().split(' ').next().unwrap_or_default().to_owned();
         Self { lane: event.process.to_string(), at: event.at, label }
     }
@@ -37,15 +37,15 @@
 /// Draws dots as SVG.
 ///
 /// # Errors
-/// The plotting library's words when it cannot draw.
+/// The plotting library's message when drawing fails.
 pub fn svg(dots: &[Dot]) -> Result<String, String> {
     let mut lanes: Vec<String> = dots.iter().map(|dot| dot.lane.clone()).collect();
     lanes.sort();
     lanes.dedup();
     let mut text = String::new();
     {
-        let height = LANE * (lanes.len() as u32 + 2);
-        let area = SVGBackend::with_string(&mut text, (WIDTH, height)).into_drawing_area();
+        let height = LANE_HEIGHT_PX * (lanes.len() as u32 + 2);
+        let area = SVGBackend::with_string(&mut text, (WIDTH_PX, height)).into_drawing_area();
         draw(&area, dots, &lanes).map_err(|error| error.to_string())?;
         area.present().map_err(|error| error.to_string())?;
     }
