--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! How long the decisions take, and how that grows: `cargo bench --bench decisions`.
+//! Time of each policy decision at several fleet sizes: `cargo bench --bench decisions`.
 
 use celerythread_model::config::Ratio;
 use celerythread_model::fleet::{Minion, State};
@@ -24,7 +24,7 @@
     text.parse().ok().expect("a valid id")
 }
 
-/// The median of several runs, each of so many calls.
+/// Median time of a call over nine runs of `calls` calls each.
 fn time(calls: u32, mut call: impl FnMut()) -> Duration {
     let mut runs: Vec<Duration> = (0..9)
         .map(|_| {
@@ -42,7 +42,7 @@
     println!("{name:38} {}", cells.join(" "));
 }
 
-/// One of nine entries' own minions of so many in all, over so many services.
+/// Grants and finishes a slot at one of nine entries, which owns a ninth of `minions`.
 fn route(minions: usize, services: usize) -> Duration {
     let mut ledger = Ledger::default();
     for n in 0..minions.div_ceil(9) {
--- a/benches/measures.rs
+++ b/benches/measures.rs
@@ -1,7 +1,8 @@
-//! The brief's three measures, buffer cost, roll-out time and moves, for the chosen policy and
-//! two baselines each, over ten seeds: `cargo bench --bench measures`.
+//! Compares the chosen policy with two baselines by the three required measures: cost of spare
+//! capacity, roll-out time, and moves between pools: `cargo bench --bench measures`.
 //!
-//! Plain loops over the pure decisions on simulated time.  Three parts: waves, moves, jobs.
+//! Simulates waves, moves and jobs over ten seeds with the policy crate's decisions; nothing runs
+//! in real time.
 
 #[path = "measures/jobs.rs"]
 mod jobs;
@@ -16,8 +17,8 @@
     text.parse().ok().expect("a valid id")
 }
 
-/// Mean and standard deviation.
-fn spread(values: &[f64]) -> String {
+/// Formats mean and standard deviation.
+fn format_mean(values: &[f64]) -> String {
     let n = values.len() as f64;
     let mean = values.iter().sum::<f64>() / n;
     let variance = values.iter().map(|v| (v - mean).powi(2)).sum::<f64>() / n;
--- a/benches/measures/jobs.rs
+++ b/benches/measures/jobs.rs
@@ -1,6 +1,6 @@
-//! Urgent work beside patient work: who waits, and what is lost.
+//! Urgent and patient jobs on shared workers: start delays, idle cores and patient work done.
 
-use crate::{SEEDS, id, spread};
+use crate::{SEEDS, format_mean, id};
 use celerythread_model::id;
 use celerythread_model::job::Size;
 use celerythread_model::request::Class;
@@ -10,17 +10,17 @@
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
 
-/// Seconds simulated, and between two rounds of the placer in tenths.
+/// Simulated seconds, and the interval between two placement rounds in tenths of a second.
 const JOBS_SECONDS: u64 = 900;
 const ROUND_TENTHS: u64 = 5;
 
 #[derive(Clone, Copy)]
 enum JobPolicy {
-    /// Patient work fills everything and is put aside for urgent work.
+    /// Patient work may use all capacity and is preempted by urgent work.
     Chosen,
-    /// A fifth of each worker is kept free of patient work.
+    /// A fifth of each worker is reserved for urgent work.
     StaticHeadroom,
-    /// Nothing is kept and nothing put aside.
+    /// No capacity is reserved and nothing is preempted.
     None,
 }
 
@@ -29,8 +29,8 @@
     name: id::Job,
     class: Class,
     size: Size,
-    /// Tenths of seconds of work left, and when it arrived.
-    left: u64,
+    /// Remaining work and arrival time, in tenths of a second.
+    remaining: u64,
     arrived: u64,
 }
 
@@ -58,12 +58,12 @@
         name: id(format!("j{number}")),
         class,
         size: size(cpu, u64::from(cpu) / 500),
-        left: seconds * 10,
+        remaining: seconds * 10,
         arrived: now,
     }
 }
 
-/// Urgent work for a fifth of the fleet's cores on average, in bursts; patient work without end.
+/// Urgent work for a fifth of the fleet's cores on average, in bursts; unlimited patient work.
 fn run_jobs(workers: usize, policy: JobPolicy, seed: u64) -> JobResult {
     let mut random = StdRng::seed_from_u64(seed);
     let total = size(16_000, 64);
@@ -88,7 +88,7 @@
     let mut idle = 0.0;
     let mut rounds = 0.0;
     for now in (0..JOBS_SECONDS * 10).step_by(ROUND_TENTHS as usize) {
-        // A burst of three times the rate for one minute in five.
+        // One minute in five is a burst at 2.5 times the mean rate.
         let rate = if (now / 600) % 5 == 4 { per_second * 2.5 } else { per_second * 0.625 };
         let expected = rate * ROUND_TENTHS as f64 / 10.0;
         let count = expected as u64 + u64::from(random.random_bool(expected.fract()));
@@ -118,16 +118,16 @@
 
 fn end_jobs(running: &mut Vec<(usize, Job)>, rooms: &mut [Room], result: &mut JobResult) {
     running.retain_mut(|(worker, job)| {
-        let worked = job.left.min(ROUND_TENTHS);
-        job.left -= worked;
+        let worked = job.remaining.min(ROUND_TENTHS);
+        job.remaining -= worked;
         if job.class == Class::Patient {
             result.patient_hours += f64::from(job.size.cpu.0) * worked as f64 / 36_000_000.0;
         }
-        if job.left == 0 {
+        if job.remaining == 0 {
             rooms[*worker].free += job.size;
             rooms[*worker].patient.retain(|p| p.job != job.name);
         }
-        job.left > 0
+        job.remaining > 0
     });
 }
 
@@ -148,16 +148,16 @@
     while let Some(job) = urgent.pop_front() {
         let class = match policy {
             JobPolicy::Chosen => Class::Urgent,
-            // Without putting aside, urgent work only finds what is free.
+            // Placed as patient, urgent work preempts nothing and uses only free capacity.
             _ => Class::Patient,
         };
         let need = Need { size: job.size, class, avoid: None };
         let worker = match place(&need, rooms, None) {
             Placement::Start(worker) => worker_index(&worker),
-            Placement::PutAside(worker, aside) => {
+            Placement::PutAside(worker, preempted) => {
                 let index = worker_index(&worker);
-                for name in aside {
-                    put_aside(&name, index, patient, running, rooms);
+                for name in preempted {
+                    preempt(&name, index, patient, running, rooms);
                 }
                 index
             }
@@ -173,8 +173,8 @@
     *urgent = waiting;
 }
 
-/// A job that is put aside goes on later with what was left.
-fn put_aside(
+/// Preempts a job: it is requeued first and resumes with its remaining work.
+fn preempt(
     name: &id::Job,
     worker: usize,
     patient: &mut VecDeque<Job>,
@@ -195,19 +195,19 @@
     running: &mut Vec<(usize, Job)>,
     rooms: &mut [Room],
 ) {
-    let kept = match policy {
+    let reserved = match policy {
         JobPolicy::StaticHeadroom => size(3200, 0),
         _ => Size::default(),
     };
     let mut misses = 0;
     let mut waiting = VecDeque::new();
     while let Some(job) = patient.pop_front() {
-        // What several could not get, the next will not get either.
+        // After eight jobs without a place, the rest is assumed not to fit either.
         if misses >= 8 {
             waiting.push_back(job);
             continue;
         }
-        let need = Need { size: job.size + kept, class: Class::Patient, avoid: None };
+        let need = Need { size: job.size + reserved, class: Class::Patient, avoid: None };
         match place(&need, rooms, None) {
             Placement::Start(worker) => {
                 let index = worker_index(&worker);
@@ -241,12 +241,13 @@
     for (workers, seeds) in [(50, SEEDS), (1300, 1..3)] {
         for (name, policy) in [
             ("chosen", JobPolicy::Chosen),
-            ("static fifth kept", JobPolicy::StaticHeadroom),
-            ("nothing kept", JobPolicy::None),
+            ("static fifth reserved", JobPolicy::StaticHeadroom),
+            ("nothing reserved", JobPolicy::None),
         ] {
             let runs: Vec<JobResult> =
                 seeds.clone().map(|seed| run_jobs(workers, policy, seed)).collect();
-            let column = |f: fn(&JobResult) -> f64| spread(&runs.iter().map(f).collect::<Vec<_>>());
+            let column =
+                |f: fn(&JobResult) -> f64| format_mean(&runs.iter().map(f).collect::<Vec<_>>());
             println!(
                 "{workers:<8} {name:22} {:>18} {:>18} {:>18} {:>18} {:>14} {:>22}",
                 column(|r| r.idle),
--- a/benches/measures/moves.rs
+++ b/benches/measures/moves.rs
@@ -1,6 +1,6 @@
-//! How many minions change pools in a week, and how many are short.
+//! Number of minions moved between pools in a week, and the minion-hours that pools lacked.
 
-use crate::{SEEDS, id, spread};
+use crate::{SEEDS, format_mean, id};
 use celerythread_model::id;
 use celerythread_policy::sizing::{Pool, Settings, Sizer};
 use celerythread_policy::time::Moment;
@@ -8,21 +8,22 @@
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
 
-/// Minutes of a week, of a move, and between two looks of the baseline that follows demand.
-const WEEK: u64 = 7 * 24 * 60;
-const MOVE: u64 = 3;
-const FOLLOW: u64 = 15;
+/// Length of the simulated week, duration of a move, and interval at which the baseline that follows
+/// demand adjusts the pools, in minutes.
+const WEEK_MINUTES: u64 = 7 * 24 * 60;
+const MOVE_MINUTES: u64 = 3;
+const FOLLOW_INTERVAL_MINUTES: u64 = 15;
 
 #[derive(Clone, Copy)]
 enum MovePolicy {
     Chosen,
-    /// Sizes follow demand every quarter of an hour.
+    /// Pool sizes follow demand every quarter of an hour.
     Follow,
     Never,
 }
 
-/// Demand of a pool in minions: a day's wave with its own peak, a step change in the middle of
-/// the week for the first pool, and noise.
+/// Demand of a pool in minions: a daily cycle with a peak time per pool, a step change in the middle
+/// of the week for the first pool, and noise.
 fn demand(pool: usize, size: f64, minute: u64, random: &mut StdRng) -> f64 {
     let day = minute as f64 / (24.0 * 60.0);
     let phase = pool as f64 / 5.0;
@@ -31,17 +32,17 @@
     (size * (wave + step) + random.random_range(-0.4..0.4)).max(0.0)
 }
 
-/// Moves and minion-hours short, in a week.
+/// Returns the moves and the minion-hours lacking in a week.
 fn run_moves(sizes: &[u32], policy: MovePolicy, seed: u64) -> (f64, f64) {
     let mut random = StdRng::seed_from_u64(seed);
     let mut serving: Vec<u32> = sizes.to_vec();
-    let mut travelling: VecDeque<(u64, usize)> = VecDeque::new();
+    let mut moving: VecDeque<(u64, usize)> = VecDeque::new();
     let mut smoothed: Vec<f64> = vec![0.5; sizes.len()];
     let mut sizer = Sizer::default();
     let (mut moves, mut short) = (0.0, 0.0);
-    for minute in 0..WEEK {
-        while travelling.front().is_some_and(|(at, _)| *at <= minute) {
-            if let Some((_, pool)) = travelling.pop_front() {
+    for minute in 0..WEEK_MINUTES {
+        while moving.front().is_some_and(|(at, _)| *at <= minute) {
+            if let Some((_, pool)) = moving.pop_front() {
                 serving[pool] += 1;
             }
         }
@@ -57,7 +58,7 @@
         }
         for (from, to) in decide(policy, sizes, &serving, &needs, &smoothed, &mut sizer, minute) {
             serving[from] -= 1;
-            travelling.push_back((minute + MOVE, to));
+            moving.push_back((minute + MOVE_MINUTES, to));
             moves += 1.0;
         }
     }
@@ -92,7 +93,7 @@
             pair.into_iter().collect()
         }
         MovePolicy::Follow => {
-            if !minute.is_multiple_of(FOLLOW) {
+            if !minute.is_multiple_of(FOLLOW_INTERVAL_MINUTES) {
                 return Vec::new();
             }
             let total: u32 = serving.iter().sum();
@@ -121,7 +122,8 @@
     ] {
         let runs: Vec<(f64, f64)> =
             SEEDS.map(|seed| run_moves(&[9, 9, 11, 12, 8], policy, seed)).collect();
-        let column = |f: fn(&(f64, f64)) -> f64| spread(&runs.iter().map(f).collect::<Vec<_>>());
+        let column =
+            |f: fn(&(f64, f64)) -> f64| format_mean(&runs.iter().map(f).collect::<Vec<_>>());
         println!("{name:28} {:>18} {:>24}", column(|r| r.0), column(|r| r.1));
     }
 }
--- a/benches/measures/waves.rs
+++ b/benches/measures/waves.rs
@@ -1,6 +1,6 @@
-//! How long a maintenance wave takes, and what it costs in availability.
+//! Duration of a maintenance wave and its cost in availability.
 
-use crate::{SEEDS, id, spread};
+use crate::{SEEDS, format_mean, id};
 use celerythread_model::config::Ratio;
 use celerythread_model::id;
 use celerythread_policy::availability::Standing;
@@ -9,12 +9,12 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Seconds of a step, of a drain with its reboot, of a failed rack's repair, and of the longest
-/// wave that is watched.
-const STEP: u64 = 10;
-const AWAY: u64 = 130;
-const REPAIR: u64 = 1200;
-const LONGEST: u64 = 24 * 3600;
+/// Simulation step, drain and reboot of a machine, repair of a failed machine, and the longest wave
+/// that is simulated, in seconds.
+const STEP_SECONDS: u64 = 10;
+const MAINTENANCE_SECONDS: u64 = 130;
+const REPAIR_SECONDS: u64 = 1200;
+const MAX_WAVE_SECONDS: u64 = 24 * 3600;
 
 struct Deployment {
     name: &'static str,
@@ -23,13 +23,13 @@
 }
 
 fn deployments() -> Vec<Deployment> {
-    let brief = vec![(9, 7), (9, 7), (11, 9), (12, 10), (8, 6)];
-    // 31 pools of 42 minions, six of which may be spared.
+    let initial = vec![(9, 7), (9, 7), (11, 9), (12, 10), (8, 6)];
+    // 31 pools of 42 minions; six of each may be out of service.
     let target = vec![(42, 36); 31];
     vec![
-        Deployment { name: "Visita Clara", pools: brief.clone(), zones: 3 },
-        Deployment { name: "Hodnota Zasob", pools: brief, zones: 3 },
-        Deployment { name: "the letter's size", pools: target, zones: 7 },
+        Deployment { name: "Visita Clara", pools: initial.clone(), zones: 3 },
+        Deployment { name: "Hodnota Zasob", pools: initial, zones: 3 },
+        Deployment { name: "target size", pools: target, zones: 7 },
     ]
 }
 
@@ -51,7 +51,7 @@
     let mut all = Vec::new();
     for (zone, pools) in by_zone.iter().enumerate() {
         for (n, pool) in pools.iter().enumerate() {
-            // Four to a rack, of whatever services stand next to each other.
+            // Four machines per rack, so that a rack holds machines of several services.
             let rack = zone * 1000 + n / 4;
             all.push(Machine {
                 target: Target {
@@ -73,18 +73,18 @@
 #[derive(Clone, Copy)]
 enum WavePolicy {
     Chosen(f64),
-    /// A fixed tenth of each service at once, whatever fails.
+    /// A fixed tenth of each service at a time, regardless of failures.
     StaticHeadroom,
-    /// One whole rack after the other, whatever its services can spare.
+    /// One whole rack at a time, regardless of the services' floors.
     RackByRack,
 }
 
 #[derive(Default)]
 struct WaveResult {
     minutes: f64,
-    /// Service-minutes below the floor.
+    /// Minutes below the floor, summed over the services.
     breach: f64,
-    /// Share of the capacity above the floors that stood idle, on average over the wave.
+    /// Capacity left in service above the floors, in percent of all minions, averaged over the wave.
     idle: f64,
 }
 
@@ -116,44 +116,44 @@
     let mut random = StdRng::seed_from_u64(seed);
     let mut all = machines(deployment);
     let mut remaining: Vec<usize> = (0..all.len()).collect();
-    // A rack is lost within the wave, and single machines at twenty a day for 1,300.
-    let rack_fails_at = random.random_range(60..900) / STEP * STEP;
+    // One rack fails in the first 15 minutes; single machines fail at 20 a day per 1,300 machines.
+    let rack_fails_at = random.random_range(60..900) / STEP_SECONDS * STEP_SECONDS;
     let lost_rack = all[random.random_range(0..all.len())].rack;
-    let each_fails = 20.0 / 1300.0 * STEP as f64 / 86_400.0;
+    let each_fails = 20.0 / 1300.0 * STEP_SECONDS as f64 / 86_400.0;
     let mut result = WaveResult::default();
     let mut now = 0;
     let mut idle_steps = 0.0;
-    while now < LONGEST {
+    while now < MAX_WAVE_SECONDS {
         for machine in &mut all {
             if machine.back_at.is_some_and(|at| at <= now) {
                 machine.back_at = None;
             }
             let rack_lost = now == rack_fails_at && machine.rack == lost_rack;
             if rack_lost || random.random_bool(each_fails) {
-                machine.failed_until = now + REPAIR;
+                machine.failed_until = now + REPAIR_SECONDS;
             }
         }
         let before = standings(deployment, &all, now);
         let chosen = choose(deployment, policy, &all, &remaining, &before, now);
         for n in &chosen {
-            all[*n].back_at = Some(now + AWAY);
+            all[*n].back_at = Some(now + MAINTENANCE_SECONDS);
         }
         remaining.retain(|n| !chosen.contains(n));
         let after = standings(deployment, &all, now);
         let total: u32 = deployment.pools.iter().map(|(count, _)| count).sum();
         for standing in after.values() {
             if standing.serving < standing.floor {
-                result.breach += STEP as f64 / 60.0;
+                result.breach += STEP_SECONDS as f64 / 60.0;
             }
             idle_steps += f64::from(standing.spare()) / f64::from(total);
         }
-        now += STEP;
+        now += STEP_SECONDS;
         if remaining.is_empty() && all.iter().all(|machine| machine.back_at.is_none()) {
             break;
         }
     }
     result.minutes = now as f64 / 60.0;
-    result.idle = idle_steps * 100.0 / (now / STEP) as f64;
+    result.idle = idle_steps * 100.0 / (now / STEP_SECONDS) as f64;
     result
 }
 
@@ -203,7 +203,9 @@
 }
 
 pub(crate) fn print() {
-    println!("WAVES: everything maintained once; {AWAY} s a machine, a rack lost within the wave");
+    println!(
+        "WAVES: everything maintained once; {MAINTENANCE_SECONDS} s a machine, a rack lost within the wave"
+    );
     println!(
         "{:20} {:28} {:>18} {:>22} {:>22}",
         "", "policy", "roll-out minutes", "below floor, minutes", "idle above floors, %"
@@ -219,7 +221,7 @@
             let runs: Vec<WaveResult> =
                 SEEDS.map(|seed| run_wave(&deployment, policy, seed)).collect();
             let column =
-                |f: fn(&WaveResult) -> f64| spread(&runs.iter().map(f).collect::<Vec<f64>>());
+                |f: fn(&WaveResult) -> f64| format_mean(&runs.iter().map(f).collect::<Vec<f64>>());
             println!(
                 "{:20} {name:28} {:>18} {:>22} {:>22}",
                 deployment.name,
--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -1,7 +1,8 @@
-//! What an owner's decisions cost at a turn's peak, when more waits than its minions hold.
+//! Processor time of a cell owner's decisions at a turn's peak, when more tasks wait than its
+//! minions can run.
 //!
-//! One round: every minion reports one end, and after each report the owner plans again, as it does
-//! when ends come one by one.  Without network: the calls come on top.
+//! In a round, every minion reports one ended run, and the owner plans again after each report, as
+//! it does when runs end one at a time.  Network calls are not included.
 
 use celerythread_engine::cell::{
     Cell, End, How, Listing, MinionId, Order, Permit, Queue, Report, Running, Settings, StartResult,
@@ -11,17 +12,17 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Minions of a cell on the smallest site, on the grown ones and at the users' future size, and jobs
-/// that wait: two seconds' worth of a turn's peak.
+/// Minions of a cell on the smallest site, on the larger ones and at the users' future size, each
+/// with the number of waiting jobs: two seconds' worth of a turn's peak.
 const SIZES: [(usize, u32); 3] = [(12, 60), (85, 400), (266, 1200)];
 
-/// Rounds; the mean of all plans is printed.
+/// Rounds over which the printed means are taken.
 const ROUNDS: u64 = 5;
 
 struct Owner {
     cell: Cell,
     now: Time,
-    /// What runs on each minion, and the number of its last end.
+    /// Runs on each minion, and the number of its last reported end.
     minions: BTreeMap<MinionId, (Vec<(TaskName, u32)>, u64)>,
 }
 
@@ -29,7 +30,7 @@
     format!("{number:016x}").parse().expect("16 hexadecimal digits")
 }
 
-/// Two steps of six tasks; sizes differ, as declared ones do.
+/// A job of two steps of six tasks.  Sizes differ between jobs, as declared sizes do.
 fn job(number: u32) -> Accepted {
     let cpu = 600 + u64::from(number * 7919 % 600);
     let need = Resources { cpu, memory_mb: 1200 + cpu, gpu: 0 };
@@ -62,7 +63,7 @@
         Self { cell, now, minions }
     }
 
-    /// Plans and carries the starts out; returns the plan's time and how many starts it gave.
+    /// Plans and confirms the ordered starts; returns the time of planning and the number of orders.
     fn plan(&mut self) -> (Duration, usize) {
         let began = Instant::now();
         let orders = self.cell.plan(self.now, self.now.0, Permit::All);
@@ -79,7 +80,7 @@
         (took, orders.len())
     }
 
-    /// The oldest run of a minion ends; returns the time to take its report in.
+    /// Ends a minion's oldest run; returns the time of processing the minion's report.
     fn end_one(&mut self, minion: &MinionId) -> Duration {
         self.now = self.now + Duration::from_millis(1);
         let Some((runs, number)) = self.minions.get_mut(minion) else { return Duration::ZERO };
--- a/benches/recovery.rs
+++ b/benches/recovery.rs
@@ -1,8 +1,8 @@
-//! What a takeover costs its new owner, at the sites' size and at ten times the jobs and minions.
+//! Processor time of a cell's takeover for its new owner, at the sites' size and at ten times the
+//! jobs and minions.
 //!
-//! From the rows that the store returns to the first plan: rows decoded, jobs taken in, every
-//! minion's first report, the plan that starts what waits.  Without network: the reads come on
-//! top, each some 4 ms, and are counted.
+//! Covers decoding the store's rows, adding the jobs, processing each minion's first report, and the
+//! first plan.  Network time is not included; the reads, about 4 ms each, are only counted.
 
 use celerythread_engine::cell::{
     Cell, Listing, MinionId, Permit, Queue, Report, Running, Settings,
@@ -14,14 +14,14 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-/// Runs of each size; the median is printed, and the slowest.
+/// Runs per size; the median and the slowest are printed.
 const RUNS: usize = 9;
 
-/// Jobs, of which a tenth are open, and minions of a cell: some 500 jobs are kept on the sites.
+/// Jobs, a tenth of them open, and minions of a cell.  The sites store about 500 jobs.
 const SIZES: [(u32, usize); 3] = [(500, 12), (5_000, 120), (20_000, 120)];
 
-/// Rows of one answer of the store, and partitions over which a service's jobs are spread.
-const PAGE: usize = 500;
+/// Rows per response of the store, and partitions over which a service's jobs are spread.
+const PAGE_ROWS: usize = 500;
 const PARTITIONS: usize = 32;
 
 const NOW: Time = Time(1_000_000);
@@ -42,7 +42,7 @@
     }
 }
 
-/// The rows as they are kept: nine of ten jobs have ended.
+/// The stored rows; nine of ten jobs have ended.
 fn rows(jobs: u32) -> Vec<(Id, Vec<u8>, Vec<u8>)> {
     let ended = Progress {
         outcome: Some(celerythread_engine::job::State::Completed),
@@ -56,7 +56,7 @@
     (0..jobs).map(row).collect()
 }
 
-/// Each phase's time, and how many tasks the first plan starts.
+/// Returns the time of each phase and the number of orders in the first plan.
 fn take_over(rows: &[(Id, Vec<u8>, Vec<u8>)], minions: usize) -> ([Duration; 3], usize) {
     let began = Instant::now();
     let mut cell = Cell::new(Settings::default(), 1, Some(NOW + Duration::from_secs(6)));
@@ -92,8 +92,8 @@
     for (jobs, minions) in SIZES {
         let rows = rows(jobs);
         let bytes: usize = rows.iter().map(|(_, job, progress)| job.len() + progress.len()).sum();
-        let reads = PARTITIONS * (jobs as usize).div_ceil(PAGE * PARTITIONS)
-            + (jobs as usize).div_ceil(PAGE);
+        let reads = PARTITIONS * (jobs as usize).div_ceil(PAGE_ROWS * PARTITIONS)
+            + (jobs as usize).div_ceil(PAGE_ROWS);
         let mut runs: Vec<_> = (0..RUNS).map(|_| take_over(&rows, minions)).collect();
         runs.sort_by_key(|(times, _)| times.iter().sum::<Duration>());
         let (median, orders) = runs[RUNS / 2];
--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -1,9 +1,9 @@
-//! The chosen routing against two simple baselines, in one run with the same arrivals:
+//! Compares the chosen routing with two simple baselines on the same arrivals:
 //! `cargo bench --bench routing`.
 //!
-//! A plain loop over the pure decisions, on simulated time: nine entries, nine minions of
-//! eight slots, service times of 40 ms on average with a long tail, a third of the work
-//! patient.  Deadlines are 2 s for urgent and 20 s for patient work.
+//! Simulates nine entries and nine minions of eight slots with the policy crate's decisions.
+//! Service times are 40 ms on average with a long tail, and a third of the requests is patient.
+//! Deadlines are 2 s for urgent and 20 s for patient requests.
 
 use celerythread_model::config::Ratio;
 use celerythread_model::id;
@@ -22,11 +22,11 @@
 const MINIONS: usize = 9;
 const SLOTS: usize = 8;
 const MEAN_MS: f64 = 40.0;
-const PATIENT: f64 = 0.33;
+const PATIENT_SHARE: f64 = 0.33;
 const SECONDS: u64 = 30;
-/// One entry of nine gets three times its share: a balancer is never even.
+/// One entry of nine gets three times its share, since a load balancer is never perfectly even.
 const SKEW: f64 = 3.0;
-/// Milliseconds of a round trip to a peer.
+/// Round trip to a peer, in milliseconds.
 const PEER_MS: u64 = 1;
 
 #[derive(Clone, Copy)]
@@ -56,7 +56,7 @@
         let pick = random.random::<f64>() * (ENTRIES as f64 - 1.0 + SKEW);
         requests.push(Request {
             arrives: now as u64,
-            class: if random.random_bool(PATIENT) { Class::Patient } else { Class::Urgent },
+            class: if random.random_bool(PATIENT_SHARE) { Class::Patient } else { Class::Urgent },
             service_ms: (draw * MEAN_MS * tail).ceil() as u64,
             entry: (pick.max(SKEW) - SKEW).ceil() as usize % ENTRIES,
         });
@@ -64,19 +64,19 @@
     requests
 }
 
-/// What happens next.
+/// A simulated event.
 #[derive(Clone, Copy, Eq, Ord, PartialEq, PartialOrd)]
 enum Event {
     Arrive(usize),
-    /// A request ends at a minion; by request, minion, and where it was sent from.
+    /// A request ends on a minion; `entry` is the one that dispatched it.
     End {
         request: usize,
         minion: usize,
         entry: usize,
         grant: u64,
     },
-    /// Entries tell each other what they have free.
-    Beat,
+    /// Entries exchange their free slots and queue lengths.
+    Heartbeat,
 }
 
 #[derive(Default)]
@@ -86,7 +86,7 @@
     times: [Vec<u64>; 2],
     refused: u64,
     busy_ms: u64,
-    most_on_a_minion: usize,
+    max_on_minion: usize,
 }
 
 fn index(class: Class) -> usize {
@@ -94,7 +94,7 @@
 }
 
 impl Outcome {
-    fn done(&mut self, request: &Request, at: u64) {
+    fn record(&mut self, request: &Request, at: u64) {
         if at <= request.deadline() {
             self.in_time[index(request.class)] += 1;
             self.times[index(request.class)].push(at - request.arrives);
@@ -121,35 +121,35 @@
             self.quantile(1, 0.5),
             self.quantile(1, 0.99),
             self.busy_ms as f64 * 100.0 / slots,
-            self.most_on_a_minion,
+            self.max_on_minion,
             self.refused,
         );
     }
 }
 
-/// What a policy is asked; it answers by starting requests.
+/// A routing policy, which reacts to events by sending requests to minions.
 trait Policy {
-    fn arrive(&mut self, now: u64, request: usize, world: &mut World);
-    fn end(&mut self, now: u64, event: Event, world: &mut World);
-    fn beat(&mut self, _now: u64) {}
+    fn arrive(&mut self, now: u64, request: usize, simulation: &mut Simulation);
+    fn end(&mut self, now: u64, event: Event, simulation: &mut Simulation);
+    fn heartbeat(&mut self, _now: u64) {}
 }
 
-struct World {
+struct Simulation {
     requests: Vec<Request>,
     events: BinaryHeap<Reverse<(u64, Event)>>,
-    /// Requests on each minion, and behind its slots in the order of arrival.
-    on: Vec<usize>,
-    behind: Vec<VecDeque<(usize, usize, u64)>>,
+    /// Number of requests on each minion, and those waiting there for a slot in the order of arrival.
+    on_minion: Vec<usize>,
+    waiting_on_minion: Vec<VecDeque<(usize, usize, u64)>>,
     outcome: Outcome,
 }
 
-impl World {
-    /// Sends a request to a minion; beyond its slots it waits there, whatever its class.
+impl Simulation {
+    /// Sends a request to a minion.  Without a free slot it waits there, whatever its class.
     fn send(&mut self, now: u64, request: usize, minion: usize, entry: usize, grant: u64) {
-        self.on[minion] += 1;
-        self.outcome.most_on_a_minion = self.outcome.most_on_a_minion.max(self.on[minion]);
-        if self.on[minion] > SLOTS {
-            self.behind[minion].push_back((request, entry, grant));
+        self.on_minion[minion] += 1;
+        self.outcome.max_on_minion = self.outcome.max_on_minion.max(self.on_minion[minion]);
+        if self.on_minion[minion] > SLOTS {
+            self.waiting_on_minion[minion].push_back((request, entry, grant));
         } else {
             self.start(now, request, minion, entry, grant);
         }
@@ -163,53 +163,54 @@
 
     fn finish(&mut self, now: u64, request: usize, minion: usize) {
         let done = self.requests[request];
-        self.outcome.done(&done, now);
-        self.on[minion] -= 1;
-        if let Some((next, entry, grant)) = self.behind[minion].pop_front() {
+        self.outcome.record(&done, now);
+        self.on_minion[minion] -= 1;
+        if let Some((next, entry, grant)) = self.waiting_on_minion[minion].pop_front() {
             self.start(now, next, minion, entry, grant);
         }
     }
 }
 
 fn run(requests: &[Request], mut policy: impl Policy) -> Outcome {
-    let mut world = World {
+    let mut simulation = Simulation {
         requests: requests.to_vec(),
         events: BinaryHeap::new(),
-        on: vec![0; MINIONS],
-        behind: vec![VecDeque::new(); MINIONS],
+        on_minion: vec![0; MINIONS],
+        waiting_on_minion: vec![VecDeque::new(); MINIONS],
         outcome: Outcome::default(),
     };
     for (number, request) in requests.iter().enumerate() {
-        world.events.push(Reverse((request.arrives, Event::Arrive(number))));
-        world.outcome.asked[index(request.class)] += 1;
+        simulation.events.push(Reverse((request.arrives, Event::Arrive(number))));
+        simulation.outcome.asked[index(request.class)] += 1;
     }
     for second in 0..SECONDS {
-        world.events.push(Reverse((second * 1000, Event::Beat)));
+        simulation.events.push(Reverse((second * 1000, Event::Heartbeat)));
     }
-    while let Some(Reverse((now, event))) = world.events.pop() {
+    while let Some(Reverse((now, event))) = simulation.events.pop() {
         if now > SECONDS * 1000 {
             break;
         }
         match event {
-            Event::Arrive(request) => policy.arrive(now, request, &mut world),
+            Event::Arrive(request) => policy.arrive(now, request, &mut simulation),
             Event::End { request, minion, .. } => {
-                world.finish(now, request, minion);
-                policy.end(now, event, &mut world);
+                simulation.finish(now, request, minion);
+                policy.end(now, event, &mut simulation);
             }
-            Event::Beat => policy.beat(now),
+            Event::Heartbeat => policy.heartbeat(now),
         }
     }
-    world.outcome
+    simulation.outcome
 }
 
-/// What the daemon does: whole minions owned, queues by urgency, slots lent to peers.
+/// The daemon's policy: each minion has one owner, queues order by urgency, and owners lend slots to
+/// peers.
 struct Chosen {
     ledgers: Vec<Ledger>,
     queues: Vec<Queue<usize>>,
-    /// What each entry (first index) knows of each other's free slots and waiting requests: by
-    /// its last beat, kept up with what this entry itself asked of it since.
-    shown: Vec<Vec<u32>>,
-    shown_waiting: Vec<Vec<u32>>,
+    /// What each entry (first index) knows of each peer's free slots and waiting requests: those of
+    /// the last heartbeat, adjusted by this entry's own requests to the peer since then.
+    known_free: Vec<Vec<u32>>,
+    known_waiting: Vec<Vec<u32>>,
     random: StdRng,
 }
 
@@ -238,20 +239,20 @@
         Self {
             ledgers: ledgers.collect(),
             queues: (0..ENTRIES).map(|_| Queue::default()).collect(),
-            shown: vec![vec![SLOTS as u32; ENTRIES]; ENTRIES],
-            shown_waiting: vec![vec![0; ENTRIES]; ENTRIES],
+            known_free: vec![vec![SLOTS as u32; ENTRIES]; ENTRIES],
+            known_waiting: vec![vec![0; ENTRIES]; ENTRIES],
             random: StdRng::seed_from_u64(7),
         }
     }
 
-    /// Takes a slot of `owner` for a request.
-    fn take(
+    /// Sends a request with a slot of `owner`, if `owner` has one free and an empty queue.
+    fn try_send(
         &mut self,
         now: u64,
         request: usize,
         owner: usize,
-        world: &mut World,
-        way: u64,
+        simulation: &mut Simulation,
+        delay_ms: u64,
     ) -> bool {
         if !self.queues[owner].is_empty() {
             return false;
@@ -259,48 +260,55 @@
         let granted = self.ledgers[owner].grant(&service(), Holder::Own, None, Moment(now));
         let Some(permit) = granted else { return false };
         let minion = minion_of(&permit.minion);
-        world.send(now + way, request, minion, owner, permit.grant.0);
+        simulation.send(now + delay_ms, request, minion, owner, permit.grant.0);
         true
     }
 
-    /// Looks at up to two peers that showed room.
-    fn borrow(&mut self, now: u64, request: usize, entry: usize, world: &mut World) -> bool {
-        let mut peers: Vec<usize> =
-            (0..ENTRIES).filter(|peer| *peer != entry && self.shown[entry][*peer] > 0).collect();
-        peers.sort_by_key(|peer| Reverse(self.shown[entry][*peer]));
+    /// Tries to borrow a slot from up to two peers that last reported free slots.
+    fn borrow(
+        &mut self,
+        now: u64,
+        request: usize,
+        entry: usize,
+        simulation: &mut Simulation,
+    ) -> bool {
+        let mut peers: Vec<usize> = (0..ENTRIES)
+            .filter(|peer| *peer != entry && self.known_free[entry][*peer] > 0)
+            .collect();
+        peers.sort_by_key(|peer| Reverse(self.known_free[entry][*peer]));
         for peer in peers.into_iter().take(2) {
-            if self.take(now, request, peer, world, PEER_MS) {
-                self.shown[entry][peer] -= 1;
+            if self.try_send(now, request, peer, simulation, PEER_MS) {
+                self.known_free[entry][peer] -= 1;
                 return true;
             }
-            self.shown[entry][peer] = 0;
+            self.known_free[entry][peer] = 0;
         }
         false
     }
 
-    /// Where a request waits: here, unless a peer's queue is far shorter.
+    /// Entry at which a request waits: this one, unless a peer's queue is at most half as long.
     fn shortest(&self, entry: usize) -> usize {
         let own = self.queues[entry].len() as u32;
         let peers = (0..ENTRIES).filter(|peer| *peer != entry);
-        let best = peers.min_by_key(|peer| self.shown_waiting[entry][*peer]).unwrap_or(entry);
-        let far_shorter = (self.shown_waiting[entry][best] + 1) * 2 <= own + 1;
+        let best = peers.min_by_key(|peer| self.known_waiting[entry][*peer]).unwrap_or(entry);
+        let far_shorter = (self.known_waiting[entry][best] + 1) * 2 <= own + 1;
         if far_shorter { best } else { entry }
     }
 
-    fn pump(&mut self, now: u64, owner: usize, world: &mut World) {
+    fn serve_queue(&mut self, now: u64, owner: usize, simulation: &mut Simulation) {
         while !self.queues[owner].is_empty()
             && self.ledgers[owner].room(&service(), Moment(now)).free > 0
         {
             let share = BOUNDS.patient_share;
             let Some(request) = self.queues[owner].pop(Moment(now), share) else { return };
-            if world.requests[request].deadline() <= now {
-                world.outcome.refused += 1;
+            if simulation.requests[request].deadline() <= now {
+                simulation.outcome.refused += 1;
                 continue;
             }
             let granted = self.ledgers[owner].grant(&service(), Holder::Own, None, Moment(now));
             let Some(permit) = granted else { return };
             let minion = minion_of(&permit.minion);
-            world.send(now, request, minion, owner, permit.grant.0);
+            simulation.send(now, request, minion, owner, permit.grant.0);
         }
     }
 }
@@ -310,54 +318,56 @@
 }
 
 impl Policy for Chosen {
-    fn arrive(&mut self, now: u64, request: usize, world: &mut World) {
-        let Request { entry, class, .. } = world.requests[request];
-        if self.take(now, request, entry, world, 0) || self.borrow(now, request, entry, world) {
+    fn arrive(&mut self, now: u64, request: usize, simulation: &mut Simulation) {
+        let Request { entry, class, .. } = simulation.requests[request];
+        if self.try_send(now, request, entry, simulation, 0)
+            || self.borrow(now, request, entry, simulation)
+        {
             return;
         }
-        let deadline = Moment(world.requests[request].deadline());
+        let deadline = Moment(simulation.requests[request].deadline());
         let waiting = Waiting { item: request, class, deadline };
         let jitter = self.random.random();
         let queue = self.shortest(entry);
         if queue != entry {
-            self.shown_waiting[entry][queue] += 1;
+            self.known_waiting[entry][queue] += 1;
         }
         if self.queues[queue].push(waiting, Moment(now), BOUNDS, jitter).is_err() {
-            world.outcome.refused += 1;
+            simulation.outcome.refused += 1;
         } else {
-            self.pump(now, queue, world);
+            self.serve_queue(now, queue, simulation);
         }
     }
 
-    fn end(&mut self, now: u64, event: Event, world: &mut World) {
+    fn end(&mut self, now: u64, event: Event, simulation: &mut Simulation) {
         let Event::End { request, entry, grant, .. } = event else { return };
-        let took = Duration::from_millis(world.requests[request].service_ms);
+        let took = Duration::from_millis(simulation.requests[request].service_ms);
         self.ledgers[entry].finish(Grant(grant), Verdict::Answered, took, Moment(now));
-        let asker = world.requests[request].entry;
+        let asker = simulation.requests[request].entry;
         if asker != entry {
-            // The borrower knows of the end of what it borrowed.
+            // The borrower learns of the release at once, not with the next heartbeat.
             let (free, waiting) =
-                (&mut self.shown[asker][entry], &mut self.shown_waiting[asker][entry]);
+                (&mut self.known_free[asker][entry], &mut self.known_waiting[asker][entry]);
             *free = (*free + 1).min(SLOTS as u32);
             *waiting = waiting.saturating_sub(1);
         }
-        self.pump(now, entry, world);
+        self.serve_queue(now, entry, simulation);
     }
 
-    fn beat(&mut self, now: u64) {
+    fn heartbeat(&mut self, now: u64) {
         for entry in 0..ENTRIES {
             let free = self.ledgers[entry].room(&service(), Moment(now)).free;
             let waiting = self.queues[entry].len() as u32;
             for asker in 0..ENTRIES {
-                self.shown[asker][entry] = free.saturating_sub(waiting);
-                self.shown_waiting[asker][entry] = waiting;
+                self.known_free[asker][entry] = free.saturating_sub(waiting);
+                self.known_waiting[asker][entry] = waiting;
             }
         }
     }
 }
 
-/// Baseline: each entry has a fixed part of the slots, goes round the minions, and keeps a
-/// queue in the order of arrival.
+/// Baseline: each entry has a fixed share of the slots, sends to the minions round-robin, and queues
+/// in the order of arrival.
 struct RoundRobin {
     used: Vec<usize>,
     next: Vec<usize>,
@@ -373,53 +383,53 @@
         }
     }
 
-    fn pump(&mut self, now: u64, entry: usize, world: &mut World) {
+    fn serve_queue(&mut self, now: u64, entry: usize, simulation: &mut Simulation) {
         while self.used[entry] < MINIONS * SLOTS / ENTRIES {
             let Some(request) = self.queues[entry].pop_front() else { return };
-            if world.requests[request].deadline() <= now {
-                world.outcome.refused += 1;
+            if simulation.requests[request].deadline() <= now {
+                simulation.outcome.refused += 1;
                 continue;
             }
             self.used[entry] += 1;
             let minion = self.next[entry] % MINIONS;
             self.next[entry] += 1;
-            world.send(now, request, minion, entry, 0);
+            simulation.send(now, request, minion, entry, 0);
         }
     }
 }
 
 impl Policy for RoundRobin {
-    fn arrive(&mut self, now: u64, request: usize, world: &mut World) {
-        let entry = world.requests[request].entry;
+    fn arrive(&mut self, now: u64, request: usize, simulation: &mut Simulation) {
+        let entry = simulation.requests[request].entry;
         self.queues[entry].push_back(request);
-        self.pump(now, entry, world);
+        self.serve_queue(now, entry, simulation);
     }
 
-    fn end(&mut self, now: u64, event: Event, world: &mut World) {
+    fn end(&mut self, now: u64, event: Event, simulation: &mut Simulation) {
         let Event::End { entry, .. } = event else { return };
         self.used[entry] -= 1;
-        self.pump(now, entry, world);
+        self.serve_queue(now, entry, simulation);
     }
 }
 
-/// Baseline: the less busy of two random minions, by what this entry itself has there; work
-/// waits in the minion.
+/// Baseline: of two random minions, the one with fewer outstanding requests of this entry.  Requests
+/// wait on the minion.
 struct RandomOfTwo {
     outstanding: Vec<[usize; MINIONS]>,
     random: StdRng,
 }
 
 impl Policy for RandomOfTwo {
-    fn arrive(&mut self, now: u64, request: usize, world: &mut World) {
-        let entry = world.requests[request].entry;
+    fn arrive(&mut self, now: u64, request: usize, simulation: &mut Simulation) {
+        let entry = simulation.requests[request].entry;
         let (a, b) = (self.random.random_range(0..MINIONS), self.random.random_range(0..MINIONS));
         let here = &mut self.outstanding[entry];
         let minion = if here[a] <= here[b] { a } else { b };
         here[minion] += 1;
-        world.send(now, request, minion, entry, 0);
+        simulation.send(now, request, minion, entry, 0);
     }
 
-    fn end(&mut self, _: u64, event: Event, _: &mut World) {
+    fn end(&mut self, _: u64, event: Event, _: &mut Simulation) {
         let Event::End { minion, entry, .. } = event else { return };
         self.outstanding[entry][minion] -= 1;
     }
--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -1,7 +1,8 @@
-//! What the daemon costs, at three sizes of each thing that grows: `cargo bench --bench slopes`.
+//! Resource use of the daemon at three sizes of each dimension that grows:
+//! `cargo bench --bench slopes`.
 //!
-//! Real daemons as processes over stand-ins on loopback.  `docs/CAPACITY.md` is worked out from
-//! what this prints.
+//! Runs real daemon processes against stand-ins on loopback.  `docs/CAPACITY.md` is computed from
+//! the output.
 
 use async_std::task;
 use celerythread_model::unit::Span;
@@ -11,11 +12,11 @@
 use std::fs;
 use std::time::{Duration, Instant};
 
-/// How long each size is watched.
-const WATCH: Duration = Duration::from_secs(6);
+/// Duration of the measurement at each size.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(6);
 
-/// Bytes of a page, on Linux.
-const PAGE: u64 = 4096;
+/// Size of a memory page on Linux, in bytes.
+const PAGE_BYTES: u64 = 4096;
 
 fn shape(entries: usize, minions: usize, listed: usize) -> Shape {
     Shape {
@@ -31,8 +32,8 @@
 
 /// Processor seconds and resident bytes of a process.
 ///
-/// The scheduler's own nanoseconds of each thread: the usual ticks of 10 ms are charged to
-/// whoever runs at the tick, which a process that wakes up by timers does far too often.
+/// Uses the kernel scheduler's per-thread nanoseconds.  The usual 10 ms ticks charge whichever
+/// process runs at the tick, which overstates a process that timers wake.
 fn usage(pid: u32) -> (f64, u64) {
     let threads = fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
     let nanos: u64 = threads
@@ -41,11 +42,11 @@
         .sum();
     let statm = fs::read_to_string(format!("/proc/{pid}/statm")).unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|field| field.parse::<u64>().ok());
-    (nanos as f64 / 1e9, pages.unwrap_or(0) * PAGE)
+    (nanos as f64 / 1e9, pages.unwrap_or(0) * PAGE_BYTES)
 }
 
 struct Cost {
-    /// Of the entry that costs most: the one with the duties.
+    /// Processor use of the busiest entry, the one with the duties.
     most_percent: f64,
     core_percent: f64,
     resident_mb: f64,
@@ -53,8 +54,9 @@
     writes: f64,
 }
 
-/// Means over the daemons while `work` goes on.
-async fn watch<T>(fleet: &Fleet, work: impl Future<Output = T>) -> (Cost, T) {
+/// Measures the daemons while `work` runs.  Values are means per daemon, except for the busiest
+/// entry's processor use and the writes, which are a total.
+async fn measure<T>(fleet: &Fleet, work: impl Future<Output = T>) -> (Cost, T) {
     let pids: Vec<u32> = fleet.daemons.iter().map(|daemon| daemon.child.id()).collect();
     let each = || pids.iter().map(|pid| usage(*pid).0).collect::<Vec<f64>>();
     let cpu = || each().iter().sum::<f64>();
@@ -76,7 +78,7 @@
     (cost, done)
 }
 
-/// Bytes of UDP and TCP on the loopback, both ways counted once.
+/// Bytes received on the loopback interface, which counts each byte sent once.
 fn loopback_bytes() -> u64 {
     let text = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text.lines().find(|line| line.trim().starts_with("lo:")).unwrap_or_default();
@@ -99,12 +101,13 @@
             return;
         }
     };
-    // Rows of listed minions are written by the fleet's holder; let it finish.
+    // Waits until the holder of the fleet lease has written the rows of the listed minions.
     task::sleep(Duration::from_millis(3000 + listed as u64 * 12)).await;
     let before = loopback_bytes();
-    let (cost, ()) = watch(&fleet, task::sleep(WATCH)).await;
-    // Each byte is sent once and belongs to two ends; the platform's end is not an entry.
-    let bytes = (loopback_bytes() - before) as f64 / WATCH.as_secs_f64() / entries as f64;
+    let (cost, ()) = measure(&fleet, task::sleep(MEASUREMENT_TIME)).await;
+    // Counts each byte once, not at both ends, since one end may be the platform.
+    let bytes =
+        (loopback_bytes() - before) as f64 / MEASUREMENT_TIME.as_secs_f64() / entries as f64;
     print(name, &cost, bytes);
 }
 
@@ -120,15 +123,15 @@
         entries: fleet.daemons.iter().map(|daemon| daemon.callers).collect(),
         service: "alpha".into(),
         rate,
-        count: (rate * WATCH.as_secs_f64()) as u64,
+        count: (rate * MEASUREMENT_TIME.as_secs_f64()) as u64,
         once,
         keyed,
         deadline: Span::secs(5),
         ..Plan::default()
     };
     let before = loopback_bytes();
-    let (cost, report) = watch(&fleet, load::run(&plan)).await;
-    let bytes = (loopback_bytes() - before) as f64 / WATCH.as_secs_f64() / 3.0;
+    let (cost, report) = measure(&fleet, load::run(&plan)).await;
+    let bytes = (loopback_bytes() - before) as f64 / MEASUREMENT_TIME.as_secs_f64() / 3.0;
     print(name, &cost, bytes);
     let refused = report.refusals();
     let per_request = cost.core_percent * 3.0 * 10.0 / rate;
@@ -141,7 +144,7 @@
 
 fn main() {
     task::block_on(async {
-        println!("watched {WATCH:?} each; a shared machine, so the figures are noisy");
+        println!("watched {MEASUREMENT_TIME:?} each; a shared machine, so the figures are noisy");
         println!("entries, idle, 6 minions:");
         for entries in [3, 6, 9] {
             idle(&format!("  {entries} entries"), entries, 6, 0).await;
--- a/fuzz/fuzz_targets/config.rs
+++ b/fuzz/fuzz_targets/config.rs
@@ -1,4 +1,4 @@
-//! Any template and parameters are read or answered with mistakes.
+//! Reading any template and parameters yields a document or mistakes, without a panic.
 #![no_main]
 
 libfuzzer_sys::fuzz_target!(|texts: (String, String)| {
--- a/fuzz/fuzz_targets/configuration.rs
+++ b/fuzz/fuzz_targets/configuration.rs
@@ -1,4 +1,5 @@
-//! Any bytes are a configuration on the users' platform or an error.
+//! Decoding any bytes as a configuration of the users' platform yields one or an error, without a
+//! panic.
 #![no_main]
 
 use celerythread_adapter::configuration::Configuration;
--- a/fuzz/fuzz_targets/credential.rs
+++ b/fuzz/fuzz_targets/credential.rs
@@ -1,4 +1,5 @@
-//! Any value of the header is a caller's key or none, and a key is never shown.
+//! Decoding any header value yields a caller's key or none, and its `Debug` form never contains a key
+//! of 16 bytes or more.
 #![no_main]
 
 use celerythread_adapter::credential::Credential;
--- a/fuzz/fuzz_targets/frame.rs
+++ b/fuzz/fuzz_targets/frame.rs
@@ -1,4 +1,4 @@
-//! Any bytes are a frame or malformed; what decodes encodes to the same frame.
+//! Decoding any bytes yields a frame or an error; a decoded frame encodes to bytes that decode again.
 #![no_main]
 
 use celerythread_wire::codec;
--- a/fuzz/fuzz_targets/head.rs
+++ b/fuzz/fuzz_targets/head.rs
@@ -1,4 +1,4 @@
-//! Any bytes are a head or a fault.
+//! Parsing any bytes as an HTTP head yields a head or an error, without a panic.
 #![no_main]
 
 use celerythread_http::head::{Request, Response};
--- a/fuzz/fuzz_targets/settings.rs
+++ b/fuzz/fuzz_targets/settings.rs
@@ -1,4 +1,4 @@
-//! Any text is read as settings or answered with mistakes.
+//! Reading any text as settings yields settings or mistakes, without a panic.
 #![no_main]
 
 libfuzzer_sys::fuzz_target!(|text: &str| {
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -25,7 +25,7 @@
   maintenance  declare, list, cancel
   job          submit, list, cancel
   status       what the entries know
-  fleet        entries, cells and leases, as stored on the users' platform
+  fleet        what the platform's store keeps: entries, who holds each cell, waves
   explain      the history of one request or job, from the log lines of entries
   timeline     the events of all entries, in causal order
   keys         create a certificate authority and instances' keys
