--- a/tests/all/site/explain.rs
+++ b/tests/all/site/explain.rs
@@ -1,7 +1,7 @@
 //! The cause of a failed request is found from its id and the log lines alone.
 
 use super::*;
-use celerythread::explain::Story;
+use celerythread::explain::Trace;
 use celerythread::logs::Line;
 use celerythread_standin::site::store::FaultMode as StoreTrouble;
 use celerythread_standin::site::worker::FaultMode as WorkerTrouble;
@@ -20,7 +20,7 @@
 pub(super) async fn wait_for_cause(deployment: &Deployment, job: &str, words: &[&str]) {
     let mut explanation = String::new();
     eventually(&format!("the cause names {words:?}"), async || {
-        explanation = Story::tell(job, &lines(deployment)).cause();
+        explanation = Trace::collect(job, &lines(deployment)).cause();
         words.iter().all(|word| explanation.contains(word)).then_some(())
     })
     .await;
@@ -44,14 +44,14 @@
         line(11, "job_held", held),
         line(12, "job_accepted", json!({ "job": job })),
     ];
-    let cause = Story::tell(&job, &lines).cause();
+    let cause = Trace::collect(&job, &lines).cause();
     assert!(cause.contains("limit of workspace team"), "{cause}");
     let mut started = line(13, "start_ordered", json!({ "job": job }));
     started.at_ms += 2000;
     let mut ended = line(14, "job_ended", json!({ "job": job, "state": "completed" }));
     ended.at_ms += 2000;
     lines.extend([started, ended]);
-    let cause = Story::tell(&job, &lines).cause();
+    let cause = Trace::collect(&job, &lines).cause();
     assert!(cause.contains("its workspace's limit"), "{cause}");
 }
 
