--- a/crates/engine/src/cell.rs
+++ b/crates/engine/src/cell.rs
@@ -8,8 +8,8 @@
 //! - [`restart`]: detects a new incarnation of a minion
 //! - [`plan`]: decides which runs to start and stop
 //! - [`place`]: selects a minion for a task
-//! - [`sequence`]: ranks the waiting jobs
-//! - [`keep`]: tracks what must be persisted before a run end may be acknowledged
+//! - [`ranking`]: ranks the waiting jobs
+//! - [`persist`]: tracks what must be persisted before a run end may be acknowledged
 //! - [`advice`]: holds tickets
 //! - [`pace`]: throttles tasks that disturb serving tasks
 //! - [`straggler`]: finds slow minions
@@ -29,17 +29,17 @@
 pub mod advice;
 pub mod crash;
 pub mod idle;
-pub mod keep;
 mod load;
 pub mod minion;
 mod pace;
 pub mod permit;
+pub mod persist;
 pub mod place;
 pub mod plan;
 pub mod quota;
+pub mod ranking;
 pub mod report;
 mod restart;
-pub mod sequence;
 mod straggler;
 pub mod work;
 
@@ -48,9 +48,9 @@
 use crate::time::Time;
 pub use advice::Query;
 pub use idle::Blocker;
-pub use keep::{Batch, EndCursor};
 pub use minion::{Incarnation, Listing, Minion, MinionId};
 pub use permit::Permit;
+pub use persist::{Batch, EndCursor};
 pub use plan::Order;
 pub use quota::Charge;
 pub use report::{End, EndReason, Refusal, Report, Running, StartResult};
@@ -179,7 +179,7 @@
         end: End,
     },
     /// The lease of a run must have expired, so the run counts as ended.
-    Lapsed {
+    LeaseExpired {
         /// The minion.
         minion: MinionId,
         /// The task.
--- a/crates/engine/src/cell/idle.rs
+++ b/crates/engine/src/cell/idle.rs
@@ -50,7 +50,9 @@
 impl Cell {
     /// Records one idle job, if there is one.
     pub(crate) fn record_idle_job(&mut self, now: Time, wall_ms: u64) {
-        if self.last_idle_check.is_some_and(|looked| now.since(looked) < IDLE_CHECK_INTERVAL)
+        if self
+            .last_idle_check
+            .is_some_and(|checked_at| now.since(checked_at) < IDLE_CHECK_INTERVAL)
             || !self.is_takeover_complete(now)
         {
             return;
@@ -96,12 +98,13 @@
     /// What prevents a task from starting on each minion; `None` if no minion has capacity for it.
     fn blockers(&self, name: &TaskName, now: Time) -> Option<Vec<(MinionId, Blocker)>> {
         let step = &self.jobs.get(&name.job)?.accepted.definition.steps[name.step as usize];
-        let has_room =
+        let has_capacity =
             |minion: &Minion| minion.listed && minion.free().holds(&step.reserved_resources());
-        self.minions.values().find(|minion| has_room(minion))?;
+        self.minions.values().find(|minion| has_capacity(minion))?;
         let spread = self.spread(name);
-        let entry = |minion: &Minion| (minion.id.clone(), blocker(minion, step, &spread, now));
-        Some(self.minions.values().map(entry).collect())
+        let with_blocker =
+            |minion: &Minion| (minion.id.clone(), blocker(minion, step, &spread, now));
+        Some(self.minions.values().map(with_blocker).collect())
     }
 
     fn placement(&self, name: &TaskName) -> Option<MinionId> {
--- a/crates/engine/src/cell/load.rs
+++ b/crates/engine/src/cell/load.rs
@@ -13,7 +13,7 @@
 /// still meet their objective.
 const LATE_WORK_DIVISOR: u64 = 4;
 
-/// [`HORIZON`] in milliseconds.
+/// [`BACKLOG_HORIZON`] in milliseconds.
 const HORIZON_MS: u64 = BACKLOG_HORIZON.as_millis() as u64;
 
 impl Cell {
@@ -39,9 +39,9 @@
                 let runs = minion.runs.values().filter(|run| run.long_running == long_running);
                 runs.map(|run| average.equivalent_cores(&run.need)).sum::<u64>()
             };
-            let (working, lasting) = (millicores(false), millicores(true));
+            let (working, long_running) = (millicores(false), millicores(true));
             load.working += working;
-            load.long_running += lasting;
+            load.long_running += long_running;
             load.minions += 1;
             let id = || minion.id.to_string();
             if minion.leaving {
--- a/crates/engine/src/cell/minion.rs
+++ b/crates/engine/src/cell/minion.rs
@@ -220,8 +220,8 @@
 
     /// Its free capacity once all runs that end by themselves have ended.
     pub(crate) fn free_after_ending_runs(&self) -> Resources {
-        let lasting = self.runs.values().filter(|run| run.long_running);
-        let used = lasting.fold(Resources::default(), |sum, run| sum.plus(&run.need));
+        let long_running = self.runs.values().filter(|run| run.long_running);
+        let used = long_running.fold(Resources::default(), |sum, run| sum.plus(&run.need));
         self.listing.capacity.minus(&used)
     }
 
--- a/crates/engine/src/cell/place.rs
+++ b/crates/engine/src/cell/place.rs
@@ -203,15 +203,15 @@
             let task = job.task(&member)?;
             let place = free
                 .iter()
-                .filter(|(_, room)| room.holds(&need))
+                .filter(|(_, capacity)| capacity.holds(&need))
                 .filter_map(|(id, _)| self.minions.get(id))
                 .filter(|minion| fits(minion, step, &need, &spread))
                 .min_by_key(|minion| {
                     (placement_cost(minion, step, task, &need, &spread), minion.id.clone())
                 })?;
             let id = place.id.clone();
-            let room = free.get_mut(&id)?;
-            *room = room.minus(&need);
+            let capacity = free.get_mut(&id)?;
+            *capacity = capacity.minus(&need);
             *spread.entry(id.clone()).or_default() += 1;
             places.push(id);
         }
--- a/crates/engine/src/cell/plan.rs
+++ b/crates/engine/src/cell/plan.rs
@@ -124,7 +124,7 @@
             }
             for (task, run) in runs {
                 let run = run.number;
-                self.record_event(Event::Lapsed { minion: id.clone(), task, run, at });
+                self.record_event(Event::LeaseExpired { minion: id.clone(), task, run, at });
                 self.requeue_task(&id, &task, run, now);
             }
         }
@@ -418,12 +418,12 @@
             }
             let no_spread = Default::default();
             let used = spread.as_ref().unwrap_or(&no_spread);
-            let can_try = |id: &str| {
+            let can_host = |id: &str| {
                 let minion = || self.minions.get(id);
                 !suspected || minion().is_some_and(|minion| minion.can_host_suspect(suspicion, now))
             };
             let has_ticket = |id: &str| !needs_ticket || self.ticket(&name, id, now).is_some();
-            let may_run = |id: &str| can_try(id) && has_ticket(id);
+            let may_run = |id: &str| can_host(id) && has_ticket(id);
             let minion = self.find_minion(&step, task, used, now, may_run);
             let minion = minion.or_else(|| self.find_fallback(&step, task, used, now, may_run));
             let Some(minion) = minion else {
--- a/crates/engine/src/cell/quota.rs
+++ b/crates/engine/src/cell/quota.rs
@@ -129,12 +129,12 @@
             return Vec::new();
         }
         let accepting = self.minions.values().filter(|minion| minion.accepts_tasks(now));
-        let room = accepting.fold(Resources::default(), |sum, minion| sum.plus(&minion.free()));
+        let free = accepting.fold(Resources::default(), |sum, minion| sum.plus(&minion.free()));
         let changes: Vec<Change> = self
             .accounts
             .list
             .iter_mut()
-            .filter_map(|account| account.next_change(&room, now))
+            .filter_map(|account| account.next_change(&free, now))
             .take(MAX_CHANGES_PER_TRANSACTION)
             .collect();
         if !changes.is_empty() {
--- a/crates/engine/src/cell/report.rs
+++ b/crates/engine/src/cell/report.rs
@@ -412,10 +412,10 @@
             .get(&job.accepted.queue)
             .map_or(crate::cell::Queue::default().attempts, |queue| queue.attempts);
         let step = &job.accepted.definition.steps[end.task.step as usize];
-        let (lasting, gang) = (step.long_running, step.gang);
+        let (long_running, gang) = (step.long_running, step.gang);
         job.started = true;
         match end.reason {
-            EndReason::Done if !lasting => {
+            EndReason::Done if !long_running => {
                 job.finish_task(&end.task);
                 if gang {
                     // The members of a gang complete together, so one such end counts for all.
@@ -428,7 +428,7 @@
                 }
                 return;
             }
-            EndReason::Failed if !lasting => {
+            EndReason::Failed if !long_running => {
                 let cancelled = job.state().is_final();
                 let Some(task) = job.task_mut(&end.task) else { return };
                 if task.phase == Phase::Done {
@@ -515,20 +515,20 @@
         now: Time,
     ) {
         let Some(minion) = self.minions.get_mut(id) else { return };
-        let Some(entry) = minion.runs.get_mut(task).filter(|entry| entry.number == run) else {
+        let Some(known) = minion.runs.get_mut(task).filter(|known| known.number == run) else {
             return;
         };
         match result {
             StartResult::Started => {
-                entry.is_start_confirmed = true;
-                if entry.phase == RunPhase::Ordered {
-                    entry.phase = RunPhase::Active;
-                    entry.progressed_at = now;
+                known.is_start_confirmed = true;
+                if known.phase == RunPhase::Ordered {
+                    known.phase = RunPhase::Active;
+                    known.progressed_at = now;
                 }
             }
             StartResult::Unknown => {
-                if entry.phase == RunPhase::Ordered {
-                    entry.phase = RunPhase::Unanswered { since: now };
+                if known.phase == RunPhase::Ordered {
+                    known.phase = RunPhase::Unanswered { since: now };
                 }
             }
             StartResult::Refused(reason) => {
@@ -553,10 +553,10 @@
     /// Records that a minion confirmed a stop at `now`.
     pub fn confirm_stop(&mut self, id: &MinionId, task: &TaskName, run: u32, now: Time) {
         let Some(minion) = self.minions.get_mut(id) else { return };
-        let Some(entry) = minion.runs.get_mut(task).filter(|entry| entry.number == run) else {
+        let Some(known) = minion.runs.get_mut(task).filter(|known| known.number == run) else {
             return;
         };
-        if let RunPhase::Stopping { confirmed, .. } = &mut entry.phase {
+        if let RunPhase::Stopping { confirmed, .. } = &mut known.phase {
             confirmed.get_or_insert(now);
         }
     }
--- a/crates/engine/src/lease.rs
+++ b/crates/engine/src/lease.rs
@@ -7,11 +7,11 @@
 const SLOWEST_CLOCK: f64 = 0.98;
 
 /// Allowance for calls in transit.
-const LAPSE_MARGIN: Duration = Duration::from_millis(150);
+const EXPIRY_MARGIN: Duration = Duration::from_millis(150);
 
 /// Longest time on the owner's clock that a lease of this term can last.
 pub fn max_duration(term: Duration) -> Duration {
-    term.div_f64(SLOWEST_CLOCK) + LAPSE_MARGIN
+    term.div_f64(SLOWEST_CLOCK) + EXPIRY_MARGIN
 }
 
 /// The last reading of a minion's clock.
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! [`job`] is the model of a job as submitted and stored; [`cell`] is the state of one service,
 //! the unit that a single entry instance schedules; [`ownership`] decides which entry that is, and
-//! [`former`] which minions of the previous owner have terminated; [`quota`] splits a workspace's
+//! [`termination`] which minions of the previous owner have terminated; [`quota`] splits a workspace's
 //! limit between the cells; [`lease`] computes when a minion's leases have expired;
 //! [`maintenance`] takes machines through maintenance waves, and [`pools`] moves them between
 //! pools as demand changes; [`timeout`] adapts timeouts to the latency of answers, [`outage`]
@@ -13,7 +13,6 @@
 //! caller's submission.
 
 pub mod cell;
-pub mod former;
 pub mod job;
 pub mod lease;
 pub mod maintenance;
@@ -22,5 +21,6 @@
 pub mod pools;
 pub mod quota;
 pub mod submission;
+pub mod termination;
 pub mod time;
 pub mod timeout;
--- a/crates/engine/src/maintenance.rs
+++ b/crates/engine/src/maintenance.rs
@@ -270,7 +270,7 @@
             actions.push(Action::Complete { wave: number });
         }
         let down = self.down_count(wave, snapshot.machines, snapshot.now);
-        let mut room = wave.at_once.saturating_sub(down);
+        let mut startable = wave.at_once.saturating_sub(down);
         let mut in_use = down;
         let mut candidates = Vec::new();
         for (name, machine) in open.iter().filter(|(_, machine)| machine.up) {
@@ -279,8 +279,8 @@
             let ready = minion.is_none_or(|minion| {
                 snapshot.emptying.contains(minion) && snapshot.empty.contains(minion)
             });
-            if ready && room > 0 && !self.is_order_recent(name, snapshot.now) {
-                room -= 1;
+            if ready && startable > 0 && !self.is_order_recent(name, snapshot.now) {
+                startable -= 1;
                 in_use += 1;
                 actions.push(Action::Begin { machine: (*name).clone(), wave: number });
             } else if let Some(minion) = minion {
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -354,9 +354,10 @@
         candidates.sort_unstable();
         let mut candidates = candidates.into_iter();
         loop {
-            shortfalls
-                .retain(|(shortfall, room)| *room > 0 && shortfall.needed > shortfall.present);
-            let Some((shortfall, room)) =
+            shortfalls.retain(|(shortfall, moves_left)| {
+                *moves_left > 0 && shortfall.needed > shortfall.present
+            });
+            let Some((shortfall, moves_left)) =
                 shortfalls.iter_mut().min_by_key(|(shortfall, _)| shortfall.satisfied_permille())
             else {
                 return;
@@ -364,7 +365,7 @@
             let Some((_, machine)) = candidates.find(|(_, name)| round.can_spare(name)) else {
                 return;
             };
-            (shortfall.present, *room) = (shortfall.present + 1, *room - 1);
+            (shortfall.present, *moves_left) = (shortfall.present + 1, *moves_left - 1);
             let source = &round.machines[machine];
             if let Some(left) = round.surplus.get_mut(source.pool.as_str()) {
                 *left = left.saturating_sub(1);
--- a/crates/engine/src/pools/turns.rs
+++ b/crates/engine/src/pools/turns.rs
@@ -155,8 +155,8 @@
             self.busiest.as_ref().is_some_and(|busiest| busiest.is_below(DECLINING_PEAK_SHARE));
         let busiest = self.busiest.as_ref().map(|busiest| busiest.pool.as_str());
         // The backlog of a turn that is ending must not hide the beginning of the next one.
-        let left_out = if declines { busiest } else { None };
-        let rivals = demands.iter().filter(|(pool, _)| Some(**pool) != left_out);
+        let excluded = if declines { busiest } else { None };
+        let rivals = demands.iter().filter(|(pool, _)| Some(**pool) != excluded);
         let total: u64 = rivals.clone().map(|(_, demand)| *demand).sum();
         let leader = rivals.max_by_key(|(_, demand)| **demand);
         let leader = leader.filter(|(_, demand)| {
--- a/crates/engine/src/quota/account.rs
+++ b/crates/engine/src/quota/account.rs
@@ -346,8 +346,8 @@
 
     /// The change of the split that is due now, if any.
     ///
-    /// `room` is what is free on the cell's minions; no more than that is requested.
-    pub fn next_change(&mut self, room: &Resources, now: Time) -> Option<Change> {
+    /// `free_capacity` is what is free on the cell's minions; no more than that is requested.
+    pub fn next_change(&mut self, free_capacity: &Resources, now: Time) -> Option<Change> {
         self.update_peak(now);
         if self.limit().is_unlimited() || self.confirmed_at.is_none() {
             return None;
@@ -357,7 +357,7 @@
         if known.token > self.holder.token {
             return None;
         }
-        let next = self.next_share(&known, room, now);
+        let next = self.next_share(&known, free_capacity, now);
         if !self.is_worth_writing(&known, &next, now) {
             return None;
         }
@@ -373,10 +373,10 @@
         Some(change)
     }
 
-    fn next_share(&self, known: &Share, room: &Resources, now: Time) -> Share {
-        let size = self.next_size(known.size, room, now);
+    fn next_share(&self, known: &Share, free_capacity: &Resources, now: Time) -> Share {
+        let size = self.next_size(known.size, free_capacity, now);
         let in_use = self.in_use();
-        let demand = in_use.plus(&self.wanted.min(room));
+        let demand = in_use.plus(&self.wanted.min(free_capacity));
         let share = Share { token: self.holder.token, size, ..Share::default() };
         let Some(smallest) = self.smallest_wanted else { return share };
         // The cell keeps its position until it starts a task, even if the size is sufficient:
@@ -396,7 +396,7 @@
     }
 
     /// The size that this cell's share should have.
-    fn next_size(&self, known: Resources, room: &Resources, now: Time) -> Resources {
+    fn next_size(&self, known: Resources, free_capacity: &Resources, now: Time) -> Resources {
         let limit = self.limit().0;
         let others = self.split.others_total(&self.holder.cell);
         let in_use = self.in_use();
@@ -408,7 +408,7 @@
             _ => in_use,
         };
         let free = limit.minus(&others);
-        let demand = least.plus(&self.wanted.min(room));
+        let demand = least.plus(&self.wanted.min(free_capacity));
         let target = self.target();
         if target.is_some() || self.is_limit_exceeded() {
             let bound = target.map_or(free, |target| target.size.min(&free));
@@ -454,7 +454,7 @@
         if self.own_share().is_none() {
             return !next.size.is_zero() || !next.wanted.is_zero() || !known.size.is_zero();
         }
-        let asks_anew = next.wanted.is_zero() != known.wanted.is_zero()
+        let is_claim_changed = next.wanted.is_zero() != known.wanted.is_zero()
             || !known.wanted.times(2).holds(&next.wanted)
             || !known.least.times(2).holds(&next.least)
             || self.exceeds_limit(&known.least) != self.exceeds_limit(&next.least);
@@ -467,16 +467,16 @@
             let needed = self.in_use().plus(&self.smallest_wanted.unwrap_or_default());
             next.size.holds(&needed)
         };
-        is_useful || asks_anew || self.must_yield(known, now)
+        is_useful || is_claim_changed || self.must_yield(known, now)
     }
 
     /// Whether the share must be written because this cell has started a task and short cells now
     /// precede it.
     fn must_yield(&self, known: &Share, now: Time) -> bool {
-        let has_place = known.is_short()
+        let holds_position = known.is_short()
             && self.started_since_write
             && now.since(self.last_write) >= MIN_YIELD_INTERVAL;
-        has_place && !self.split.other_claims(&self.holder.cell).is_empty()
+        holds_position && !self.split.other_claims(&self.holder.cell).is_empty()
     }
 
     /// Whether an amount exceeds the limit divided by `divisor` in any resource.
--- a/crates/engine/tests/all/main.rs
+++ b/crates/engine/tests/all/main.rs
@@ -2,7 +2,6 @@
 
 mod crashes;
 mod fixture;
-mod former;
 mod jobs;
 mod lease;
 mod load;
@@ -18,5 +17,6 @@
 mod sharing;
 mod submission;
 mod takeover;
+mod termination;
 mod timeout;
 mod turns;
--- a/crates/engine/tests/all/former.rs
+++ b/crates/engine/tests/all/termination.rs
@@ -1,7 +1,7 @@
 //! Tests of which minions of a former owner a new owner waits for.
 
-use celerythread_engine::former::has_terminated;
 use celerythread_engine::maintenance::Machine;
+use celerythread_engine::termination::has_terminated;
 use std::collections::BTreeMap;
 
 fn machines(minions: &[(&str, Option<&str>)]) -> BTreeMap<String, Machine> {
--- a/crates/scheduler/src/confirm.rs
+++ b/crates/scheduler/src/confirm.rs
@@ -31,16 +31,16 @@
 ///
 /// # Errors
 /// `Conflict` and `Refused` mean that nothing was written.  `Unanswered` means that the outcome is
-/// unknown, after `limit` or earlier, when a read indicates that the transaction is lost.
+/// unknown, after `timeout` or earlier, when a read indicates that the transaction is lost.
 pub(crate) async fn commit(
     node: &Node,
     change: &Transaction,
-    limit: Duration,
+    timeout: Duration,
     name: &Name,
     is_done: impl Fn(&Row) -> bool,
 ) -> Result<Confirmed, Error> {
     let began = clock::now();
-    let mut answer = pin!(node.commit_with_timeout(change, limit));
+    let mut answer = pin!(node.commit_with_timeout(change, timeout));
     loop {
         let wait = node.commit_timeout.lock().current();
         let overdue = pin!(async_std::task::sleep(wait));
--- a/crates/scheduler/src/daemon.rs
+++ b/crates/scheduler/src/daemon.rs
@@ -2,7 +2,7 @@
 
 use crate::clock;
 use crate::follow::{self, MinionSink, OperatorSink};
-use crate::front::Front;
+use crate::front::CallerHandler;
 use crate::in_force;
 use crate::journal::Journal;
 use crate::membership;
@@ -98,7 +98,7 @@
             connections: Arc::default(),
         };
         for listener in listeners {
-            daemon.serve(listener, Arc::new(Front::new(daemon.node.clone())));
+            daemon.serve(listener, Arc::new(CallerHandler::new(daemon.node.clone())));
         }
         if let Some(listener) = metrics {
             daemon.serve(listener, Arc::new(MetricsPage(daemon.node.clone())));
@@ -248,7 +248,7 @@
             return;
         }
     }
-    membership::drop_former_entries(&node).await;
+    membership::delete_former_entries(&node).await;
     async_std::task::spawn(membership::renew_forever(node.clone(), peer));
     node.journal.info("joined", &[("entry", &node.entry_id), ("peer", &peer)]);
     membership::check_ownership_forever(node).await;
--- a/crates/scheduler/src/fleet.rs
+++ b/crates/scheduler/src/fleet.rs
@@ -84,7 +84,7 @@
     /// Machines whose maintenance has begun but is not stored yet, with their wave.
     pub(crate) unsaved_starts: BTreeSet<(u64, String)>,
     /// Machines whose emptying rows are being dropped.
-    pub(crate) dropping_rows: BTreeSet<String>,
+    pub(crate) deleting_rows: BTreeSet<String>,
     /// Machines for which an order may have been given, by this holder or the former one, and
     /// until when nobody else may give one.
     ///
--- a/crates/scheduler/src/fleet/emptying.rs
+++ b/crates/scheduler/src/fleet/emptying.rs
@@ -80,16 +80,16 @@
 ///
 /// The machines are not planned with until the outcome is certain.  Their owners may start tasks on
 /// them as soon as the rows are gone, while the last reported demand still lists them as empty.
-pub(crate) async fn drop_rows(controller: &Controller, machines: &[String]) {
-    controller.state.lock().dropping_rows.extend(machines.iter().cloned());
-    drop_in_chunks(controller.node(), machines).await;
-    controller.state.lock().dropping_rows.retain(|machine| !machines.contains(machine));
+pub(crate) async fn delete_rows(controller: &Controller, machines: &[String]) {
+    controller.state.lock().deleting_rows.extend(machines.iter().cloned());
+    delete_in_chunks(controller.node(), machines).await;
+    controller.state.lock().deleting_rows.retain(|machine| !machines.contains(machine));
 }
 
 /// Drops the rows in several transactions of at most [`MAX_ENTRIES`]; the rows are independent of
 /// each other.  After an outage there can be more stale rows than one transaction may hold.  In a
 /// single transaction they were refused each time, and no row was dropped any more.
-async fn drop_in_chunks(node: &Node, machines: &[String]) {
+async fn delete_in_chunks(node: &Node, machines: &[String]) {
     let row = |machine: &String| rows::control(rows::EMPTYING_PREFIX, machine);
     for chunk in machines.chunks(MAX_ENTRIES) {
         let change =
@@ -109,10 +109,10 @@
 
 /// Drops the rows of machines that nobody is about to order: they have another minion by now, or
 /// a former holder requested the emptying and the lease of its orders is over.
-pub(crate) async fn drop_stale_rows(controller: &Controller) {
+pub(crate) async fn delete_stale_rows(controller: &Controller) {
     let stale_rows = stale_rows(controller);
     if !stale_rows.is_empty() {
-        drop_rows(controller, &stale_rows).await;
+        delete_rows(controller, &stale_rows).await;
     }
 }
 
@@ -129,10 +129,11 @@
     let is_planned_for = |name: &str, minion: &str| {
         listed.get(name).is_some_and(|now| *now == minion) && state.is_planned(name)
     };
-    let is_lease_over = |name: &str| state.order_leases.get(name).is_none_or(|until| now >= *until);
+    let is_lease_expired =
+        |name: &str| state.order_leases.get(name).is_none_or(|until| now >= *until);
     let rows = view.emptying.iter();
     let stale_rows = rows
-        .filter(|(name, minion)| is_lease_over(name) && !is_planned_for(name, minion))
+        .filter(|(name, minion)| is_lease_expired(name) && !is_planned_for(name, minion))
         .map(|(name, _)| name.clone())
         .collect();
     state.expire_order_leases();
--- a/crates/scheduler/src/fleet/list.rs
+++ b/crates/scheduler/src/fleet/list.rs
@@ -28,7 +28,7 @@
 pub(crate) async fn read_forever(controller: &Controller) {
     while !controller.owner.is_stopped() {
         if is_due(controller) && read(controller).await {
-            emptying::drop_stale_rows(controller).await;
+            emptying::delete_stale_rows(controller).await;
         }
         if !controller.owner.pause(DUE_CHECK_INTERVAL).await {
             return;
--- a/crates/scheduler/src/fleet/maintenance.rs
+++ b/crates/scheduler/src/fleet/maintenance.rs
@@ -131,7 +131,7 @@
     let view_of = |machine: &machine::Machine| {
         let (name, mut machine_view) = machine_view(machine);
         machine_view.occupation = workload.occupation(machine);
-        let waits = state.has_recent_order(&name) || state.dropping_rows.contains(&name);
+        let waits = state.has_recent_order(&name) || state.deleting_rows.contains(&name);
         machine_view.up &= !waits && !state.pools.is_moving(&name);
         (name, machine_view)
     };
@@ -295,8 +295,8 @@
     let machines: BTreeMap<String, Machine> =
         state.list.machines.iter().map(machine_view).collect();
     for number in state.waves.open_waves() {
-        let extent = state.waves.progress(number, &machines, now);
-        if !limiter.record_change(number, extent) {
+        let progress = state.waves.progress(number, &machines, now);
+        if !limiter.record_change(number, progress) {
             continue;
         }
         let left_ms = state
@@ -307,9 +307,9 @@
             "wave_progress",
             &[
                 ("wave", &number),
-                ("left", &extent.left),
-                ("emptying", &extent.emptying),
-                ("down", &extent.down),
+                ("left", &progress.left),
+                ("emptying", &progress.emptying),
+                ("down", &progress.down),
                 ("left_ms", &left_ms),
             ],
         );
--- a/crates/scheduler/src/fleet/pools.rs
+++ b/crates/scheduler/src/fleet/pools.rs
@@ -154,7 +154,7 @@
         up: machine.state == machine::State::Up,
         pinned: state.waves.is_emptying(&name)
             || state.has_recent_order(&name)
-            || state.dropping_rows.contains(&name),
+            || state.deleting_rows.contains(&name),
     };
     (name, machine_view)
 }
@@ -240,7 +240,7 @@
             rows.push(plan.machine.clone());
         }
     }
-    emptying::drop_rows(controller, &rows).await;
+    emptying::delete_rows(controller, &rows).await;
 }
 
 /// Logs each pool whose balance has changed.
--- a/crates/scheduler/src/front.rs
+++ b/crates/scheduler/src/front.rs
@@ -38,7 +38,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(120);
 
 /// Serves the requests of callers.
-pub(crate) struct Front {
+pub(crate) struct CallerHandler {
     node: Arc<Node>,
 }
 
@@ -97,7 +97,7 @@
     }
 }
 
-impl Front {
+impl CallerHandler {
     pub(crate) fn new(node: Arc<Node>) -> Self {
         Self { node }
     }
@@ -445,7 +445,7 @@
 }
 
 #[async_trait]
-impl Handler for Front {
+impl Handler for CallerHandler {
     fn admit(&self, head: &http_types::Request) -> Option<Response> {
         if head.url().path() == submission::READY_PATH {
             return None;
--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -32,7 +32,7 @@
 #[derive(Default)]
 struct Budget {
     used: u32,
-    left_out: u64,
+    omitted: u64,
 }
 
 struct Window {
@@ -80,11 +80,11 @@
         if level > log::max_level() {
             return;
         }
-        let Some(left_out) = self.consume_budget(event) else { return };
+        let Some(omitted) = self.consume_budget(event) else { return };
         let mut values: Fields =
             fields.iter().map(|(name, value)| (*name, value.to_string())).collect();
-        if left_out > 0 {
-            values.push(("left_out", left_out.to_string()));
+        if omitted > 0 {
+            values.push(("left_out", omitted.to_string()));
         }
         match self.sender.try_send(Line { level, event, fields: values }) {
             Ok(()) => {}
@@ -104,11 +104,11 @@
         }
         let budget = window.budgets.entry(event).or_default();
         if budget.used >= MAX_EVENT_LINES_PER_SECOND {
-            budget.left_out += 1;
+            budget.omitted += 1;
             return None;
         }
         budget.used += 1;
-        Some(std::mem::take(&mut budget.left_out))
+        Some(std::mem::take(&mut budget.omitted))
     }
 }
 
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -129,7 +129,7 @@
 
 /// Drops the rows of this instance's former processes.  They are certain to have ended, so their
 /// cells can be taken over without waiting for their silence to exceed the term.
-pub(crate) async fn drop_former_entries(node: &Node) {
+pub(crate) async fn delete_former_entries(node: &Node) {
     let former: Vec<String> = {
         let view = node.view.read();
         let mine = |id: &&String| {
@@ -162,7 +162,7 @@
                 check_cell(&node, &cell).await;
             }
         }
-        drop_silent_entries(&node).await;
+        delete_silent_entries(&node).await;
     }
 }
 
@@ -184,11 +184,11 @@
 /// Decides what to do about a cell and does it; true if a takeover was attempted.
 async fn check_cell(node: &Arc<Node>, cell: &str) -> bool {
     let settings = ownership::Settings::default();
-    let (verdict, holding, row) = {
+    let (decision, holding, row) = {
         let view = node.view.read();
         let holding = view.holdings.get(cell).cloned();
         let owned = view.cell_counts();
-        let verdict = ownership::decide(
+        let decision = ownership::decide(
             cell,
             &node.entry_id,
             holding.as_ref(),
@@ -197,9 +197,9 @@
             view.read_at,
             &settings,
         );
-        (verdict, holding, view.cell_rows.get(cell).cloned())
+        (decision, holding, view.cell_rows.get(cell).cloned())
     };
-    match verdict {
+    match decision {
         Decision::Own => {
             if let (Some(holding), Some(row)) = (holding, row) {
                 start_owning(node, cell, &holding, &row);
@@ -338,7 +338,7 @@
 }
 
 /// Drops the rows of entries that have been silent for [`SILENT_ENTRY_RETENTION`].
-async fn drop_silent_entries(node: &Arc<Node>) {
+async fn delete_silent_entries(node: &Arc<Node>) {
     if node.owner(rows::FLEET_CELL).is_none() {
         return;
     }
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -301,25 +301,25 @@
         self.outage.lock().is_ongoing(clock::now())
     }
 
-    /// Commits a transaction and records the outcome.  Waits at most `limit`, and less when recent
+    /// Commits a transaction and records the outcome.  Waits at most `timeout`, and less when recent
     /// answers were fast.
     pub(crate) async fn commit(
         &self,
         change: &store::Transaction,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<u64, store::Error> {
-        let limit = limit.min(self.commit_timeout.lock().current());
-        self.commit_with_timeout(change, limit).await
+        let timeout = timeout.min(self.commit_timeout.lock().current());
+        self.commit_with_timeout(change, timeout).await
     }
 
-    /// The same, but waits for the whole of `limit`.
+    /// The same, but waits for the whole of `timeout`.
     pub(crate) async fn commit_with_timeout(
         &self,
         change: &store::Transaction,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<u64, store::Error> {
         let began = clock::now();
-        let result = self.store.commit(change, limit).await;
+        let result = self.store.commit(change, timeout).await;
         let took = clock::now().since(began);
         self.metrics.time(crate::metrics::Timing::Commit, took);
         match &result {
--- a/crates/scheduler/src/owner.rs
+++ b/crates/scheduler/src/owner.rs
@@ -1,13 +1,13 @@
 //! The owner of a cell: takes it over, carries out its plans, and persists its progress.
 //!
 //! [`load`] reads the stored rows, [`supervisor`] polls and commands one minion, [`persist`] writes
-//! progress, [`advice`] asks for tickets, [`quota`] enforces workspaces' limits, and [`notes`] logs
+//! progress, [`advice`] asks for tickets, [`quota`] enforces workspaces' limits, and [`events`] logs
 //! the decisions of plans.  This file holds what they share, the planning loop, and the answers to
 //! other entries' questions.
 
 mod advice;
+mod events;
 pub(crate) mod load;
-mod notes;
 pub(crate) mod persist;
 mod quota;
 pub(crate) mod supervisor;
@@ -318,7 +318,7 @@
             let plan = |cell: &mut Cell| cell.plan(now, clock::wall_ms(), permit);
             let orders = owner.with(plan).unwrap_or_default();
             dispatch(&owner, orders);
-            notes::log_all(&owner);
+            events::log_events(&owner);
             advice::send_queries(&owner);
             quota::write_shares(&owner);
             if owner.with(|cell| cell.has_unpersisted()).unwrap_or(false) {
--- a/crates/scheduler/src/owner/notes.rs
+++ b/crates/scheduler/src/owner/events.rs
@@ -6,10 +6,10 @@
 use celerythread_engine::cell::Event;
 
 /// Writes a line for each decision that the cell has noted since.
-pub(crate) fn log_all(owner: &Owner) {
+pub(crate) fn log_events(owner: &Owner) {
     let (journal, now) = (&owner.node.journal, clock::now());
-    for note in owner.with(|cell| cell.take_events()).unwrap_or_default() {
-        match &note {
+    for event in owner.with(|cell| cell.take_events()).unwrap_or_default() {
+        match &event {
             Event::Ended { minion, end } => journal.info(
                 "run_ended",
                 &[
@@ -20,7 +20,7 @@
                     ("minion", minion),
                 ],
             ),
-            Event::Lapsed { minion, task, run, at } => journal.warn(
+            Event::LeaseExpired { minion, task, run, at } => journal.warn(
                 "run_lapsed",
                 &[
                     ("job", &task.job),
@@ -90,9 +90,11 @@
             ),
             Event::Evacuated { minion, task } => journal
                 .info("run_evacuated", &[("job", &task.job), ("task", task), ("minion", minion)]),
-            Event::Idle { task, placed, blockers: guards } => {
-                let guard_texts: Vec<String> =
-                    guards.iter().map(|(minion, guard)| format!("{minion}:{guard}")).collect();
+            Event::Idle { task, placed, blockers } => {
+                let blocker_texts: Vec<String> = blockers
+                    .iter()
+                    .map(|(minion, blocker)| format!("{minion}:{blocker}"))
+                    .collect();
                 let placed = placed.as_deref().unwrap_or("nowhere");
                 journal.warn(
                     "job_idle",
@@ -100,7 +102,7 @@
                         ("job", &task.job),
                         ("task", task),
                         ("placed", &placed),
-                        ("guards", &guard_texts.join(" ")),
+                        ("guards", &blocker_texts.join(" ")),
                     ],
                 );
             }
--- a/crates/scheduler/src/owner/load.rs
+++ b/crates/scheduler/src/owner/load.rs
@@ -8,10 +8,10 @@
 use crate::rows;
 use celerythread_adapter::store::{Error, Name, Page, Row, Transaction};
 use celerythread_engine::cell::{Cell, Settings};
-use celerythread_engine::former;
 use celerythread_engine::job::{Accepted, Id, Progress, decode, encode};
 use celerythread_engine::lease;
 use celerythread_engine::maintenance::Machine;
+use celerythread_engine::termination;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -115,7 +115,7 @@
 
 async fn read_cell(owner: &Arc<Owner>) -> Result<u64, Error> {
     let (store, service) = (&owner.node.store, owner.service.as_str());
-    let lapse = former_lease_expiry(owner);
+    let lease_expiry = former_lease_expiry(owner);
     read_emptying(owner).await?;
     let roster = store.get(rows::JOBS, service, rows::ROSTER_KEY, CALL_TIMEOUT).await?;
     // Jobs are read first: those accepted later are in the feed, and have no progress yet.
@@ -128,7 +128,7 @@
         retention: owner.node.settings.retention.0 + Duration::from_secs(30),
         ..Settings::default()
     };
-    let mut cell = Cell::new(settings, owner.generation, lapse);
+    let mut cell = Cell::new(settings, owner.generation, lease_expiry);
     let version = jobs.version;
     let count = add_jobs(owner, &mut cell, jobs, progress);
     let roster: rows::Roster = roster.and_then(|row| decode(&row.value).ok()).unwrap_or_default();
@@ -175,8 +175,8 @@
         if owner.with(|cell| cell.is_takeover_complete(clock::now())).unwrap_or(true) {
             return;
         }
-        let (over, machines) = find_terminated_minions(&owner).await;
-        owner.with(|cell| mark_terminated(cell, over));
+        let (terminated, machines) = find_terminated_minions(&owner).await;
+        owner.with(|cell| mark_terminated(cell, terminated));
         let cells = owner.node.view.read().holdings.len();
         let reads = cells * machines.div_ceil(MACHINES_PER_PAGE);
         interval = MIN_TERMINATED_CHECK_INTERVAL.max(INTERVAL_PER_LIST_READ * reads as u32);
@@ -202,19 +202,19 @@
     let inherited: Vec<Arc<str>> = owner.roster.lock().iter().cloned().collect();
     let view = node.view.read();
     let minions = node.minions.read();
-    let is_over = |id: &Arc<str>| {
+    let has_terminated = |id: &Arc<str>| {
         let mut emptied = view.emptying.iter();
         let machine = emptied.find(|(_, minion)| **minion == **id).map(|(name, _)| name.as_str());
-        former::has_terminated(id, &machines, minions.contains_key(id), machine)
+        termination::has_terminated(id, &machines, minions.contains_key(id), machine)
     };
-    let over: Vec<Arc<str>> = inherited.into_iter().filter(is_over).collect();
-    for id in &over {
+    let terminated: Vec<Arc<str>> = inherited.into_iter().filter(has_terminated).collect();
+    for id in &terminated {
         let incarnation = minions.get(id).and_then(|entry| entry.listing.incarnation);
         if owner.terminated_minions.lock().insert(id.clone(), incarnation) {
             node.journal.info("minion_over", &[("minion", id)]);
         }
     }
-    (over, machines.len())
+    (terminated, machines.len())
 }
 
 /// Adds stored jobs to a cell; returns how many.
--- a/crates/scheduler/src/owner/persist.rs
+++ b/crates/scheduler/src/owner/persist.rs
@@ -32,14 +32,14 @@
     let mut expired_at = clock::now();
     while !owner.is_stopped() {
         owner.persist_wake.wait(Duration::from_millis(500)).await;
-        let Some(unkept) = owner.with(|cell| cell.has_unpersisted()) else { continue };
-        if unkept {
+        let Some(unpersisted) = owner.with(|cell| cell.has_unpersisted()) else { continue };
+        if unpersisted {
             wait_for_batch(&owner).await;
             persist_all(&owner).await;
         }
         if clock::now().since(expired_at) > EXPIRY_INTERVAL {
             expired_at = clock::now();
-            drop_expired(&owner).await;
+            delete_expired(&owner).await;
         }
     }
 }
@@ -147,7 +147,7 @@
     }
 }
 
-async fn drop_expired(owner: &Owner) {
+async fn delete_expired(owner: &Owner) {
     let expired = owner.with(|cell| cell.remove_expired_jobs(clock::now())).unwrap_or_default();
     for chunk in expired.chunks(MAX_ROWS / 3) {
         let drops = chunk
--- a/crates/scheduler/src/owner/supervisor.rs
+++ b/crates/scheduler/src/owner/supervisor.rs
@@ -210,13 +210,13 @@
             })
         })
     };
-    let (ended, busy, fresh, unkept, acknowledgement_sent) = state()??;
+    let (ended, busy, fresh, unpersisted, acknowledgement_sent) = state()??;
     if ended && acknowledgement_sent {
         return None;
     }
     // Unacknowledged ended runs are reported again at once, so a poll before they are persisted
     // would only repeat the last one.
-    if unkept {
+    if unpersisted {
         supervisor.poll_wake.wait(MAX_PERSIST_WAIT).await;
     } else if !busy && !fresh && acknowledgement_sent {
         let supervised = owner.supervisors.lock().len() as u32;
@@ -228,8 +228,8 @@
     if !supervisor.is_current(owner) {
         return None;
     }
-    let (_, busy, fresh, unkept, _) = state()??;
-    let wait = if busy && !fresh && !unkept { MAX_POLL_WAIT } else { Duration::ZERO };
+    let (_, busy, fresh, unpersisted, _) = state()??;
+    let wait = if busy && !fresh && !unpersisted { MAX_POLL_WAIT } else { Duration::ZERO };
     let (incarnation, acknowledged) = acknowledgement(owner, supervisor)?;
     Some(Poll { acknowledged, incarnation, wait })
 }
@@ -290,10 +290,10 @@
     let hold = Hold { token: owner.token, acknowledged, incarnation, deadline_ms, wait };
     let sent = clock::now();
     owner.node.metrics.count(Counter::Holds);
-    let (target, limit) = (&supervisor.target, wait + ANSWER_TIMEOUT);
+    let (target, timeout) = (&supervisor.target, wait + ANSWER_TIMEOUT);
     let answer = match session {
-        Some(session) => session.hold(target, &hold, limit).await,
-        None => owner.node.minion_client.hold(target, &hold, limit).await,
+        Some(session) => session.hold(target, &hold, timeout).await,
+        None => owner.node.minion_client.hold(target, &hold, timeout).await,
     };
     match answer {
         Ok(Reply::Done(report, clock_ms)) => {
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -144,10 +144,10 @@
         if self.is_backing_off(address) {
             return Err(AskError::NotAsked);
         }
-        let limit = answer_timeout(&question);
+        let max_wait = answer_timeout(&question);
         let began = std::time::Instant::now();
         let opening = async { self.link(address).await?.open().await.ok() };
-        let opened = timeout(limit, opening).await.ok().flatten();
+        let opened = timeout(max_wait, opening).await.ok().flatten();
         let Some(mut channel) = opened else {
             self.start_backoff(address);
             return Err(AskError::NotAsked);
@@ -160,7 +160,7 @@
                 _ => None,
             }
         };
-        let left = limit.saturating_sub(began.elapsed());
+        let left = max_wait.saturating_sub(began.elapsed());
         let answer = timeout(left, exchange).await.ok().flatten();
         if answer.is_some() {
             self.misses.lock().remove(&address);
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -108,14 +108,14 @@
 }
 
 /// Tries once to write directly to the store.
-pub(crate) async fn write_directly(node: &Node, job: &Job<'_>, limit: Duration) -> WriteOutcome {
+pub(crate) async fn write_directly(node: &Node, job: &Job<'_>, timeout: Duration) -> WriteOutcome {
     let name = rows::job(job.service, &job.id);
     let change = Transaction {
         conditions: vec![(name.clone(), 0)],
         writes: vec![(name.clone(), job.row.to_vec())],
         ..Transaction::default()
     };
-    match confirm::commit(node, &change, limit, &name, |_| true).await {
+    match confirm::commit(node, &change, timeout, &name, |_| true).await {
         Ok(Confirmed::Answered) => WriteOutcome::Accepted(job.row.to_vec()),
         Ok(Confirmed::Found(stored)) => WriteOutcome::Accepted(stored.value),
         Err(Error::Conflict { rows }) => match rows.into_iter().find(|row| !row.value.is_empty()) {
@@ -137,8 +137,8 @@
         }
         Ok(Answer::Submitted(Submission::Refused)) => ("refused".to_owned(), refused_by_peer()),
         Ok(_) => ("unknown".to_owned(), WriteOutcome::Unknown),
-        Err(silence @ AskError::NotAsked) => (silence.to_string(), refused_by_peer()),
-        Err(silence @ AskError::Unanswered) => (silence.to_string(), WriteOutcome::Unknown),
+        Err(error @ AskError::NotAsked) => (error.to_string(), refused_by_peer()),
+        Err(error @ AskError::Unanswered) => (error.to_string(), WriteOutcome::Unknown),
     };
     node.journal.info("job_relayed", &[("job", &job.id), ("peer", &peer), ("outcome", &outcome)]);
     written
--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -75,7 +75,7 @@
             ),
             (
                 "a minion whose machine has another one is not waited for",
-                "engine::former::has_terminated",
+                "engine::termination::has_terminated",
                 "a_minion_whose_machine_has_another_one_is_over",
             ),
             (
@@ -90,7 +90,7 @@
             ),
             (
                 "an end is acknowledged only after it is kept",
-                "engine::cell::keep",
+                "engine::cell::persist",
                 "an_end_is_acknowledged_only_after_it_is_stored",
             ),
             (
@@ -393,7 +393,7 @@
             ),
             (
                 "no more machines down than allowed",
-                "engine::maintenance::Planner::decide",
+                "engine::maintenance::Planner::plan_wave",
                 "a_wave_completes_with_never_more_down_than_allowed",
             ),
             (
@@ -403,7 +403,7 @@
             ),
             (
                 "only an empty machine goes down",
-                "engine::maintenance::Planner::decide",
+                "engine::maintenance::Planner::plan_wave",
                 "a_machine_that_is_not_empty_stays_up",
             ),
             (
@@ -413,7 +413,7 @@
             ),
             (
                 "a pool keeps the machines of its spread",
-                "engine::pools::Planner::need",
+                "engine::pools::Planner::machines_needed",
                 "a_pool_keeps_the_machines_over_which_lasting_tasks_are_spread",
             ),
             (
@@ -424,12 +424,12 @@
             ("what is no turn hides none", "engine::pools::turns", "a_single_large_job_is_no_turn"),
             (
                 "the rows of any number of machines are dropped",
-                "scheduler::fleet::emptying::drop_in_chunks",
+                "scheduler::fleet::emptying::delete_in_chunks",
                 "any_number_of_stale_emptying_rows_is_dropped",
             ),
             (
                 "a large remainder doesn't take all machines",
-                "engine::pools::Planner::fill",
+                "engine::pools::Planner::fill_shortfalls",
                 "a_pool_with_a_large_remainder_does_not_take_all",
             ),
             (
