--- a/crates/engine/src/cell.rs
+++ b/crates/engine/src/cell.rs
@@ -161,7 +161,7 @@
     pub(crate) events: Vec<Event>,
     /// Accounts of the workspaces, which limit what they have running.
     pub(crate) accounts: quota::Accounts,
-    /// Recently lost minions, used to detect losses with a common cause.
+    /// Recent losses of minions, used to detect losses with a common cause.
     pub(crate) recent_losses: Vec<crash::Loss>,
 }
 
@@ -252,7 +252,8 @@
         /// The run's number.
         run: u32,
     },
-    /// A run was stopped because it makes no progress or is far behind on a slow minion.
+    /// A run was stopped because it makes no progress, or because it is far behind on a slow
+    /// minion.
     Stalled {
         /// The minion.
         minion: MinionId,
@@ -364,7 +365,7 @@
         if let Some(progress) = progress {
             job.restore(progress);
         }
-        // The last owner was lost before it learned of the crash that reached the threshold.
+        // The former owner was lost before it learned of the crash that reached the threshold.
         if !job.state().is_final() && job.crashes_minions() {
             job.fail(now);
             self.changed_jobs.insert(id);
--- a/crates/engine/src/cell/advice.rs
+++ b/crates/engine/src/cell/advice.rs
@@ -1,5 +1,5 @@
-//! Tickets, by which an external policy decides which minions may run a step of a queue with
-//! advice.
+//! Tickets for starts, issued by the external advice service, which decides on which minions a step
+//! of a queue with advice may run.
 //!
 //! The advice service takes time for each minion in a query and answers one query at a time, so a
 //! query names only as many minions as the step can use now.  Its answers are cached while valid.
@@ -11,14 +11,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The objective of a job allows for one advice query on thirty minions.
+/// Maximum number of minions in one query.  The objective of a job allows for one query on thirty
+/// minions.
 const MAX_MINIONS_PER_QUERY: usize = 30;
 
 /// Minions queried for each one that is needed, because about half of them are expected to be
 /// allowed.
 const QUERIED_PER_NEEDED_MINION: usize = 2;
 
-/// A ticket is not used in this last part of its validity, since the start still has to arrive.
+/// The last part of a ticket's validity, in which it is not used, since the start still has to
+/// arrive at the minion.
 const TICKET_EXPIRY_MARGIN: Duration = Duration::from_millis(150);
 
 /// Delay before a query that was not answered is sent again.
--- a/crates/engine/src/cell/crash.rs
+++ b/crates/engine/src/cell/crash.rs
@@ -109,7 +109,7 @@
 /// A minion that has terminated, or is silent and may have.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Loss {
-    /// Since when it doesn't answer.
+    /// When it stopped answering.
     silent_since: Time,
     /// Whether a run there was on trial, and so may be the cause.
     has_suspect: bool,
@@ -125,7 +125,7 @@
 }
 
 impl Running {
-    /// Least time that the run has lasted, by its age and its progress.
+    /// Minimum time that the run has lasted, derived from its age and its progress.
     pub(crate) fn min_run_time(&self, age: Duration) -> Duration {
         if self.percent >= TRIAL_END_PERCENT { age.max(TRIAL_PERIOD) } else { age }
     }
--- a/crates/engine/src/cell/idle.rs
+++ b/crates/engine/src/cell/idle.rs
@@ -1,7 +1,7 @@
 //! Detection of jobs that could run and do not.
 //!
 //! Each condition that prevents an unsafe start could also prevent a start forever.  Callers would
-//! then wait for a job while minions idle, and nothing else in the log would tell why.  So about
+//! then wait for a job while minions idle, and nothing else in the log would show why.  So about
 //! once a second the cell looks for a job that is due and has no runs although some minion has
 //! capacity for its task, and records what prevents the start on each minion.
 
@@ -27,7 +27,7 @@
     Unanswered,
     /// Its last call was not answered.
     Unreachable,
-    /// It restarted, and its entry predates the restart or it has not answered since.
+    /// It restarted, and its listing predates the restart or it has not answered since.
     Restarted,
     /// It reports that it is draining.
     Draining,
--- a/crates/engine/src/cell/load.rs
+++ b/crates/engine/src/cell/load.rs
@@ -9,8 +9,8 @@
 use smallvec::SmallVec;
 
 /// The work of late jobs is divided by this.  A late caller has lost most of the job's value
-/// whether the job is a little or very late, and machines for it are taken from callers that can
-/// still meet their objective.
+/// whether the job is a little or very late, and machines for it are taken from callers whose jobs
+/// can still meet their objective.
 const LATE_WORK_DIVISOR: u64 = 4;
 
 /// [`BACKLOG_HORIZON`] in milliseconds.
@@ -21,7 +21,7 @@
     ///
     /// Tasks that may still run unknown to this owner cannot be started yet, so they add no demand.
     /// When they did, 28 machines idled for the four seconds until the tasks could start, while the
-    /// pool whose turn it was had ten.
+    /// pool with the current demand peak had ten.
     pub fn load(&self, now: Time) -> Load {
         let mut load = Load::default();
         let takeover_complete = self.is_takeover_complete(now);
@@ -104,7 +104,7 @@
 /// A task uses no more than its own cores however much work it is, and steps that wait for others
 /// run where those ran, so only the widest of them adds to what its job already has.  When all
 /// waiting work counted in full, a queue of long tasks in two steps asked for 1,400 machines where
-/// 500 of its 950 idled, and the callers of the next turn had 46 machines of the 740 that they
+/// 500 of its 950 idled, and the pool with the next demand peak had 46 machines of the 740 that it
 /// needed.
 fn waiting_work(job: &Job, average: &AverageMinion) -> u64 {
     let definition = &job.accepted.definition;
--- a/crates/engine/src/cell/minion.rs
+++ b/crates/engine/src/cell/minion.rs
@@ -40,15 +40,15 @@
 /// A minion as listed by the platform.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Listing {
-    /// Incarnation that wrote the entry, if the entry contains one.
+    /// Incarnation that wrote the listing, if the listing contains one.
     pub incarnation: Option<Incarnation>,
     /// Its resources.
     pub capacity: Resources,
     /// Its kind and its rack.
     pub labels: SmallVec<[Box<str>; 2]>,
-    /// Whether it is about to leave by itself.
+    /// Whether it is about to shut down on its own.
     pub draining: bool,
-    /// While draining, the least time until it leaves.
+    /// While draining, the minimum time until it shuts down.
     pub remaining_ms: Option<u64>,
 }
 
@@ -150,11 +150,11 @@
     pub answered: bool,
     /// Incarnation in the most recent answer that contained one.
     pub incarnation: Option<Incarnation>,
-    /// Previous incarnations, oldest first.
+    /// Former incarnations, oldest first.
     pub(crate) former_incarnations: SmallVec<[Incarnation; restart::MAX_FORMER_INCARNATIONS]>,
     /// When it last reported what runs there.
     pub reported_at: Time,
-    /// Since when calls go unanswered; `None` while it answers.
+    /// When calls began to go unanswered; `None` while it answers.
     pub(crate) silent_since: Option<Time>,
     /// When all leases that it may have been given must have expired, on any clock.
     pub lease_expiry: Time,
--- a/crates/engine/src/cell/permit.rs
+++ b/crates/engine/src/cell/permit.rs
@@ -2,7 +2,7 @@
 //!
 //! While the store is unavailable, no entry can prove ownership or take the cell over, but the
 //! owner cannot tell whether the store is unavailable to all or only to itself.  When an owner
-//! started nothing from 1 s without proof, accepted jobs stood still between two of their steps for
+//! started nothing after 1 s without proof, accepted jobs stalled between two of their steps for
 //! two of the three seconds of an outage, and for longer in longer ones.
 //!
 //! A successor can take the cell over after a certain silence.  It then starts nothing of the jobs
--- a/crates/engine/src/cell/plan.rs
+++ b/crates/engine/src/cell/plan.rs
@@ -159,10 +159,10 @@
 
     /// Stops the members of gangs that have other members without a run.
     ///
-    /// If a member's start was refused or not answered, the others would wait for it and hold their
-    /// cores until they time out, seconds later, and only then would the gang be tried again.  A
-    /// new owner may still find the missing members, so it stops none before every minion has
-    /// answered.
+    /// If a member's start was refused or not answered, the others would wait for it and occupy
+    /// their cores until they time out, seconds later, and only then would the gang be started
+    /// again.  A new owner may still find the missing members, so it stops none before every minion
+    /// has answered.
     fn stop_broken_gangs(&mut self, now: Time, orders: &mut Vec<Order>) {
         if !self.is_takeover_complete(now) {
             return;
@@ -195,8 +195,8 @@
 
     /// Stops runs that make no progress, and quarantines their minions.
     ///
-    /// A hanging minion keeps answering, so nothing else would detect it, and its tasks would hold
-    /// their jobs until the callers gave up.  A task that stalled on another minion before is
+    /// A hanging minion keeps answering, so nothing else would detect it, and its tasks would delay
+    /// their jobs until the callers stop waiting.  A task that stalled on another minion before is
     /// itself the cause.  Quarantining minions for it would idle one after the other while other
     /// tasks wait for capacity.
     fn stop_stalled(&mut self, now: Time, orders: &mut Vec<Order>) {
--- a/crates/engine/src/cell/quota.rs
+++ b/crates/engine/src/cell/quota.rs
@@ -11,7 +11,8 @@
 /// Minimum time between two changes of a cell's shares.
 const SHARE_CHANGE_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Each split takes a condition and a write, and a transaction is limited to a hundred entries.
+/// Each change takes a condition and a write, and a transaction is limited to a hundred of both
+/// together.
 const MAX_CHANGES_PER_TRANSACTION: usize = 45;
 
 /// The account for jobs whose workspace is unknown.  No configuration gives it a limit, so one of
--- a/crates/engine/src/cell/report.rs
+++ b/crates/engine/src/cell/report.rs
@@ -83,7 +83,7 @@
     pub checkpoint: Option<Box<str>>,
 }
 
-/// A minion's answer to a hold request.
+/// A minion's answer to a poll.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
     /// Incarnation of the minion, if the answer contains one.
@@ -126,7 +126,7 @@
 }
 
 impl Minion {
-    /// Returns the runs absent from the answer to a hold sent at `sent` that were active before
+    /// Returns the runs absent from the answer to a poll sent at `sent` that were active before
     /// then, or whose stop was confirmed before then.
     pub(crate) fn missing_runs(&self, report: &Report, sent: Time) -> Vec<(TaskName, u32)> {
         // A full list of ends may hide the end of a run that is no longer listed.
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Processes a minion's answer to a hold sent at `sent`; returns stops of unwanted runs.
+    /// Processes a minion's answer to a poll sent at `sent`; returns stops of unwanted runs.
     pub fn process_report(
         &mut self,
         id: &MinionId,
@@ -243,7 +243,7 @@
         orders
     }
 
-    /// Stops runs with an unanswered start that are missing from an answer to a later hold, because
+    /// Stops runs with an unanswered start that are missing from an answer to a later poll, because
     /// they may still start.
     fn stop_unanswered(&mut self, id: &MinionId, sent: Time) {
         let Some(minion) = self.minions.get_mut(id) else { return };
@@ -256,7 +256,7 @@
     }
 
     /// Requeues the tasks of runs that the minion no longer lists although it had them when the
-    /// hold was sent, and of unanswered starts that a confirmed stop keeps from running.
+    /// poll was sent, and of unanswered starts that a confirmed stop keeps from running.
     fn drop_vanished_runs(&mut self, id: &MinionId, report: &Report, sent: Time, now: Time) {
         let Some(minion) = self.minions.get(id) else { return };
         let (seen, acknowledged) = (minion.seen, minion.acknowledged);
--- a/crates/engine/src/cell/restart.rs
+++ b/crates/engine/src/cell/restart.rs
@@ -9,7 +9,7 @@
 use crate::job::TaskName;
 use crate::time::Time;
 
-/// Maximum number of previous incarnations stored per minion to detect their late answers.
+/// Maximum number of former incarnations stored per minion to detect their late answers.
 pub(crate) const MAX_FORMER_INCARNATIONS: usize = 4;
 
 /// A detected restart, with what was known of the former incarnation.
@@ -34,9 +34,9 @@
         self.incarnation.or(self.listing.incarnation)
     }
 
-    /// Whether its entry is from the incarnation that answered last; true if either is unknown.
+    /// Whether its listing is from the incarnation that answered last; true if either is unknown.
     ///
-    /// The capacity of a restarted minion may differ from that in its former entry.
+    /// The capacity of a restarted minion may differ from that in its former listing.
     pub fn has_current_listing(&self) -> bool {
         match (self.listing.incarnation, self.incarnation) {
             (Some(listed), Some(answering)) => listed == answering,
--- a/crates/engine/src/cell/straggler.rs
+++ b/crates/engine/src/cell/straggler.rs
@@ -17,7 +17,8 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// A shorter elapsed time says nothing about the speed, since startup is part of it.
+/// Minimum elapsed time from which a run's speed is judged.  Startup is part of it, so a shorter
+/// time says nothing about the speed.
 const MIN_ELAPSED: Duration = Duration::from_millis(300);
 
 /// Multiple of its estimate from which a task is slow.  Most estimates are off by a fifth, and a
@@ -37,7 +38,7 @@
 /// See [`MIN_RESTART_GAIN_FACTOR`].
 const MIN_RESTART_GAIN: Duration = Duration::from_millis(1200);
 
-/// Limits the stops of one plan, so that the tasks find capacity elsewhere.
+/// Maximum number of stragglers that one plan stops, so that their tasks find capacity elsewhere.
 const MAX_STRAGGLERS_PER_PLAN: usize = 4;
 
 /// The total duration of a run, projected from its progress; `None` if that is too early to tell.
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Stops runs that are far behind on slow minions if another minion has capacity, where they
-    /// are done sooner although they start again.
+    /// Stops runs that are far behind on slow minions if another minion has capacity and completes
+    /// them sooner although they are restarted.
     pub(crate) fn stop_stragglers(&mut self, now: Time, orders: &mut Vec<Order>) {
         let mut stragglers: Vec<(MinionId, TaskName)> = Vec::new();
         for minion in
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -398,7 +398,7 @@
     Running,
     /// All tasks are done.
     Completed,
-    /// A task has used up the attempts that its queue allows, or was given up.
+    /// A task has used up the attempts that its queue allows, or has crashed too many minions.
     Failed,
     /// The caller cancelled the job.
     Cancelled,
--- a/crates/engine/src/outage.rs
+++ b/crates/engine/src/outage.rs
@@ -43,8 +43,8 @@
     }
 
     /// Whether the service may be down because the last calls failed.  An entry that writes on
-    /// behalf of another one doesn't try then: such a write could be neither confirmed nor handed
-    /// back.
+    /// behalf of another one doesn't try then: such a write could be neither confirmed nor
+    /// reverted.
     pub fn is_suspected(&self) -> bool {
         self.consecutive_failures >= SUSPECTED_FAILURES
     }
--- a/crates/engine/src/quota/account.rs
+++ b/crates/engine/src/quota/account.rs
@@ -6,7 +6,7 @@
 use smallvec::SmallVec;
 use std::time::Duration;
 
-/// How long an unneeded share is kept, in case demand returns.
+/// How long an unneeded share is retained, in case demand returns.
 const IDLE_SHARE_RETENTION: Duration = Duration::from_millis(1000);
 
 /// How long starts wait after a workspace gets its first limit, until the cells have written shares
@@ -16,7 +16,7 @@
 /// Divisor of the free resources: the part that is taken in advance when a share is raised.
 const ADVANCE_DIVISOR: u64 = 4;
 
-/// Least time between two changes that only yield to cells that are short.
+/// Minimum time between two changes that only yield to cells that are short.
 const MIN_YIELD_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Divisor of the limit: the least part that is worth a transaction to return while no other cell
--- a/crates/engine/src/submission.rs
+++ b/crates/engine/src/submission.rs
@@ -1,8 +1,8 @@
-//! When an entry gives up on a submission and answers its caller.
+//! When an entry stops retrying a submission and answers its caller.
 //!
 //! If an availability zone is cut off from the platform's store, its callers still reach its
 //! entries, but these can't write.  An entry that retried until the deadline would leave the caller
-//! some 100 ms for another entry, and the submission would be lost.  Giving up early lets the
+//! some 100 ms for another entry, and the submission would be lost.  Answering early lets the
 //! caller retry in time; within three seconds the load balancer routes it to another zone.  A store
 //! that is only slow still answers reads, so pending writes to it are waited for.
 
@@ -29,7 +29,7 @@
 /// response this late.
 const MAX_RESPONSE_MARGIN: Duration = Duration::from_millis(150);
 
-/// Minimum remaining time of a caller that is told to wait before its retry.  The wait is at least
+/// Minimum remaining time of a caller that is asked to wait before its retry.  The wait is at least
 /// one second, the unit of `retry-after`; a caller with less time than this should ask another
 /// entry immediately.
 const MIN_TIME_FOR_RETRY_AFTER: Duration = Duration::from_millis(1300);
--- a/crates/engine/src/termination.rs
+++ b/crates/engine/src/termination.rs
@@ -1,20 +1,20 @@
-//! Detects minions of a former owner that have certainly terminated.
+//! Detects minions that have certainly terminated, among those that a former owner used.
 //!
 //! A new owner starts no inherited task until every minion that its predecessor used has answered.
-//! Each move or maintenance of a machine gives it a new minion, and the former one never answers.
+//! Each move or maintenance of a machine gives it a new minion, and the old one never answers.
 //! Without this check, every inherited job of the cell would wait until that minion's lease has
 //! certainly expired.
 
 use crate::maintenance::Machine;
 use std::collections::BTreeMap;
 
-/// Whether a minion, and with it every run on it, has ended.
+/// Whether a minion, and with it every run on it, has terminated.
 ///
 /// `machines` is the platform's list, read after the takeover; it names the minion of each machine.
-/// A minion that is on no machine has ended if it isn't `listed` among the minions either, or if
-/// the machine that it was drained from (`drained_machine`) is on the list.  Its entry among the
-/// minions expires only seconds later, and a refused connection proves nothing because a network
-/// partition may refuse connections, too.
+/// A minion that is on no machine has terminated if it isn't `listed` among the minions either, or
+/// if the machine that it was drained from (`drained_machine`) is on the list.  Its listing expires
+/// only seconds later, and a refused connection proves nothing because a network partition may
+/// refuse connections, too.
 pub fn has_terminated(
     minion: &str,
     machines: &BTreeMap<String, Machine>,
--- a/crates/scheduler/src/confirm.rs
+++ b/crates/scheduler/src/confirm.rs
@@ -14,7 +14,8 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// A read takes some 4 ms, and 400 ms when the store is a hundred times slower.
+/// Longest wait for the read.  It takes some 4 ms, and 400 ms when the store is a hundred times
+/// slower.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Evidence that a transaction was committed.
--- a/crates/scheduler/src/fleet.rs
+++ b/crates/scheduler/src/fleet.rs
@@ -83,7 +83,7 @@
     pub(crate) awaited_loads: BTreeSet<String>,
     /// Machines whose maintenance has begun but is not stored yet, with their wave.
     pub(crate) unsaved_starts: BTreeSet<(u64, String)>,
-    /// Machines whose emptying rows are being dropped.
+    /// Machines whose emptying rows are being deleted.
     pub(crate) deleting_rows: BTreeSet<String>,
     /// Machines for which an order may have been given, by this holder or the former one, and
     /// until when nobody else may give one.
@@ -124,7 +124,7 @@
     /// Minions that are to be emptied and are empty.
     ///
     /// Counts only reports requested after the emptying was written.  An earlier row may have been
-    /// dropped and written again, and a task started in between.
+    /// deleted and written again, and a task started in between.
     pub(crate) fn empty_minions(&self) -> BTreeSet<String> {
         let mut empty = BTreeSet::new();
         for (pool, load) in &self.loads {
@@ -137,7 +137,7 @@
         empty
     }
 
-    /// Forgets demand that is older than [`MAX_LOAD_AGE`].
+    /// Removes demand that is older than [`MAX_LOAD_AGE`].
     pub(crate) fn expire_loads(&mut self) {
         let now = clock::now();
         self.load_asked_at.retain(|_, at| now.since(*at) < MAX_LOAD_AGE);
@@ -152,7 +152,7 @@
         self.waves.record_refusal(machine);
     }
 
-    /// Forgets orders whose lease is over.
+    /// Removes orders whose lease has expired.
     pub(crate) fn expire_order_leases(&mut self) {
         let now = clock::now();
         self.order_leases.retain(|_, until| now < *until);
--- a/crates/scheduler/src/fleet/emptying.rs
+++ b/crates/scheduler/src/fleet/emptying.rs
@@ -23,9 +23,8 @@
 }
 
 /// Requests that machines are emptied.  First writes a row for each, so that later owners and later
-/// fleet controllers know it too; then sends a message to the present owner, which learns of it at
-/// once and answers which minions are empty already.  Returns the machines whose row could not be
-/// written.
+/// fleet controllers know it too; then sends a message to the present owner, which answers at once
+/// which minions are already empty.  Returns the machines whose row could not be written.
 pub(crate) async fn request(controller: &Controller, targets: Vec<Target>) -> BTreeSet<String> {
     let written = write_rows(controller.node(), &targets).await;
     let (written_targets, unwritten): (Vec<Target>, Vec<Target>) =
@@ -36,8 +35,8 @@
         by_pool.entry(target.pool).or_default().push((target.machine, target.minion));
     }
     let ask = async |(pool, machines): (String, Vec<(String, String)>)| {
-        // Times have a resolution of 1 ms.  Within the millisecond of the write, it can't be told
-        // whether the request was sent after it.
+        // Times have a resolution of 1 ms.  Within the millisecond of the write, the times don't
+        // show whether the request was sent after it.
         async_std::task::sleep(Duration::from_millis(1)).await;
         let sent = clock::now();
         let question = Question::Release { service: pool.clone(), machines };
@@ -76,19 +75,19 @@
     written
 }
 
-/// Drops the rows of machines that need not be emptied any more.
+/// Deletes the rows of machines that need not be emptied any more.
 ///
-/// The machines are not planned with until the outcome is certain.  Their owners may start tasks on
-/// them as soon as the rows are gone, while the last reported demand still lists them as empty.
+/// No plan includes these machines until the outcome is certain.  Their owners may start tasks on
+/// them as soon as the rows are deleted, while the last reported demand still lists them as empty.
 pub(crate) async fn delete_rows(controller: &Controller, machines: &[String]) {
     controller.state.lock().deleting_rows.extend(machines.iter().cloned());
     delete_in_chunks(controller.node(), machines).await;
     controller.state.lock().deleting_rows.retain(|machine| !machines.contains(machine));
 }
 
-/// Drops the rows in several transactions of at most [`MAX_ENTRIES`]; the rows are independent of
+/// Deletes the rows in several transactions of at most [`MAX_ENTRIES`]; the rows are independent of
 /// each other.  After an outage there can be more stale rows than one transaction may hold.  In a
-/// single transaction they were refused each time, and no row was dropped any more.
+/// single transaction they were refused each time, and no row was deleted any more.
 async fn delete_in_chunks(node: &Node, machines: &[String]) {
     let row = |machine: &String| rows::control(rows::EMPTYING_PREFIX, machine);
     for chunk in machines.chunks(MAX_ENTRIES) {
@@ -107,8 +106,8 @@
     }
 }
 
-/// Drops the rows of machines that nobody is about to order: they have another minion by now, or
-/// a former holder requested the emptying and the lease of its orders is over.
+/// Deletes the rows of machines that are not about to be ordered: they have another minion by now,
+/// or a former holder requested the emptying and the lease of its orders has expired.
 pub(crate) async fn delete_stale_rows(controller: &Controller) {
     let stale_rows = stale_rows(controller);
     if !stale_rows.is_empty() {
--- a/crates/scheduler/src/fleet/maintenance.rs
+++ b/crates/scheduler/src/fleet/maintenance.rs
@@ -151,7 +151,7 @@
 
 /// The machines' work as their owners reported it.
 struct Workload<'a> {
-    /// Millicores in use, by minion, for minions without lasting tasks.
+    /// Millicores in use, by minion, for minions without long-running tasks.
     cpu_in_use: HashMap<&'a str, u64>,
     /// Number of machines that each pool can spare.
     surplus: BTreeMap<String, usize>,
@@ -267,7 +267,7 @@
     let name = Name::new(rows::FLEET, "", format!("{}{number}", rows::WAVE_PREFIX));
     let change = Transaction { writes: vec![(name, encode(&wave))], ..Transaction::default() };
     if let Err(error) = controller.node().commit(&change, CALL_TIMEOUT).await {
-        // A later holder reads the operators' request again, and the window begins anew.
+        // A later holder reads the operators' request again, and the window restarts.
         controller.node().journal.warn("wave_unkept", &[("wave", &number), ("reason", &error)]);
     }
 }
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -106,7 +106,7 @@
     }
 }
 
-/// Logs unreadable rows.  They do not hold up the others.
+/// Logs unreadable rows.  They do not prevent the others from being applied.
 fn note_unreadable(node: &Node, table: &Table, page: &Page) {
     if page.unreadable > 0 {
         let fields: [(&'static str, &dyn std::fmt::Display); 3] =
@@ -259,8 +259,8 @@
 }
 
 impl Sink for MinionSink {
-    /// Owners keep the runs of minions that are missing until their leases lapse: the table may be
-    /// read just after an outage of the store, when rows have expired that come back within some
+    /// Owners retain the runs of minions that are missing until their leases expire: the table may
+    /// be read just after an outage of the store, when rows have expired that come back within some
     /// seconds.
     fn replace(&self, rows: Vec<Row>, _: u64) {
         let present: std::collections::BTreeSet<Arc<str>> =
--- a/crates/scheduler/src/in_force.rs
+++ b/crates/scheduler/src/in_force.rs
@@ -51,7 +51,7 @@
     current: RwLock<Option<Current>>,
     /// When it was last confirmed to be the newest one.
     confirmed_at: Mutex<Time>,
-    /// When a call last waited for a confirmation in vain.
+    /// When a call last timed out waiting for a confirmation.
     refresh_timed_out_at: Mutex<Time>,
     /// Woken to query a peer at once.
     query_wake: Wake,
@@ -97,8 +97,8 @@
     }
 
     /// Waits for a new confirmation if the last one is older than [`MAX_TRUSTED_AGE`].  After a
-    /// wait in vain, calls do not wait for that long, so that they are not all delayed while
-    /// neither the store nor a peer answers.
+    /// wait without a confirmation, calls do not wait for that long, so that they are not all
+    /// delayed while neither the store nor a peer answers.
     pub(crate) async fn refresh(&self) {
         let began = clock::now();
         if self.age() <= MAX_TRUSTED_AGE
--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -16,8 +16,8 @@
 /// Lines that may wait for the writer thread.  A thousand lines of some 200 bytes take 200 KB.
 const QUEUE_CAPACITY: usize = 1000;
 
-/// Thirty jobs a second with ten decisions each, spread over eight entries, stay below this; a
-/// flood is cut off.
+/// Maximum number of lines of one event in a second.  Thirty jobs a second with ten decisions each,
+/// spread over eight entries, stay below this; a flood is cut off.
 const MAX_EVENT_LINES_PER_SECOND: u32 = 60;
 
 /// Field names and values of a line.
--- a/crates/scheduler/src/membership.rs
+++ b/crates/scheduler/src/membership.rs
@@ -18,16 +18,18 @@
 use std::time::Duration;
 use stop_token::future::FutureExt;
 
-/// For transactions on the control table.
+/// Longest wait for a transaction on the control table.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// With a store that is a hundred times slower, a renewal takes 0.8 s, and as much again when it
-/// queues behind another one in a cell's partition.  A later answer would be too old to help.
+/// Longest wait for a renewal.  With a store that is a hundred times slower, a renewal takes 0.8 s,
+/// and as much again when it queues behind another one in a cell's partition.  A later answer would
+/// be too old to help.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(2000);
 
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Each check compares a few rows in memory; half of the interval is added to every takeover.
+/// Time between two checks of all cells' ownership.  Each check compares a few rows in memory; half
+/// of the interval is added to every takeover.
 const OWNERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Pause between reads of changes.  Each entry's renewal is a change, so without a pause every
@@ -38,7 +40,7 @@
 /// judged by reads that were answered.
 const MAX_CONTROL_FEED_WAIT: Duration = Duration::from_millis(400);
 
-/// Silence after which an entry's row is dropped, long after its cells were taken over.
+/// Silence after which an entry's row is deleted, long after its cells were taken over.
 const SILENT_ENTRY_RETENTION: Duration = Duration::from_secs(30);
 
 /// The table that holds the state shared between entries.
@@ -127,7 +129,7 @@
     }
 }
 
-/// Drops the rows of this instance's former processes.  They are certain to have ended, so their
+/// Deletes the rows of this instance's former processes.  They are certain to have ended, so their
 /// cells can be taken over without waiting for their silence to exceed the term.
 pub(crate) async fn delete_former_entries(node: &Node) {
     let former: Vec<String> = {
@@ -273,7 +275,7 @@
 ) {
     let name = rows::cell(cell);
     let generation = row.map_or(0, |row| row.generation + 1);
-    // The missing row of a holder was dropped by its own instance's next process, or after a long
+    // The missing row of a holder was deleted by its own instance's next process, or after a long
     // silence.
     let former_stopped = former.is_none();
     let value = rows::Cell { holder: node.entry_id.clone(), generation, former_stopped };
@@ -337,7 +339,7 @@
     is_certain
 }
 
-/// Drops the rows of entries that have been silent for [`SILENT_ENTRY_RETENTION`].
+/// Deletes the rows of entries that have been silent for [`SILENT_ENTRY_RETENTION`].
 async fn delete_silent_entries(node: &Arc<Node>) {
     if node.owner(rows::FLEET_CELL).is_none() {
         return;
@@ -361,7 +363,7 @@
             drops: vec![name],
             ..Transaction::default()
         };
-        // If another entry dropped the row, or it was renewed meanwhile, the feed shows it.
+        // If another entry deleted the row, or it was renewed meanwhile, the feed shows it.
         let _ = node.commit(&change, COMMIT_TIMEOUT).await;
     }
 }
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -96,8 +96,8 @@
     /// Records minions to be emptied, named by a message that arrived before their rows.
     ///
     /// This counts only until the rows must have been read.  A message can be delayed until its
-    /// rows have been dropped again; if it counted forever, it would keep a minion idle while tasks
-    /// wait for it.
+    /// rows have been deleted again; if it counted forever, the minion would stay idle while tasks
+    /// wait.
     pub(crate) fn release(&mut self, minions: impl Iterator<Item = String>) {
         let now = clock::now();
         self.released.retain(|_, until| now < *until);
--- a/crates/scheduler/src/owner.rs
+++ b/crates/scheduler/src/owner.rs
@@ -210,8 +210,8 @@
         self.plan_wake.wake();
     }
 
-    /// Answers a question of another entry or of this entry's own front; none while the cell is not
-    /// loaded.
+    /// Answers a question of another entry or of this entry's HTTP interface; none while the cell
+    /// is not loaded.
     pub(crate) fn answer(&self, question: &Question) -> Option<Answer> {
         if self.is_stopped() || self.cell.lock().is_none() {
             return None;
@@ -377,10 +377,10 @@
     }
 }
 
-/// Takes back a start that can't be carried out because its minion has no supervisor.
+/// Reverts a start that can't be carried out because its minion has no supervisor.
 ///
 /// Otherwise its run would be neither listed nor answered by anyone, and the task would count as
-/// placed for as long as the minion lives.
+/// placed until the minion terminates.
 fn revert_start(owner: &Owner, minion: &Arc<str>, task: &TaskName, run: u32) {
     let fields: [(&'static str, &dyn Display); 4] =
         [("job", &task.job), ("task", task), ("run", &run), ("minion", minion)];
--- a/crates/scheduler/src/owner/events.rs
+++ b/crates/scheduler/src/owner/events.rs
@@ -1,11 +1,11 @@
-//! Log lines for what a plan has given up or taken away.
+//! Log lines for the cell's events.
 
 use crate::clock;
 use crate::metrics::Counter;
 use crate::owner::Owner;
 use celerythread_engine::cell::Event;
 
-/// Writes a line for each decision that the cell has noted since.
+/// Writes a line for each event that the cell has recorded since the last call.
 pub(crate) fn log_events(owner: &Owner) {
     let (journal, now) = (&owner.node.journal, clock::now());
     for event in owner.with(|cell| cell.take_events()).unwrap_or_default() {
--- a/crates/scheduler/src/owner/load.rs
+++ b/crates/scheduler/src/owner/load.rs
@@ -149,9 +149,9 @@
     Ok(version)
 }
 
-/// Reads which machines are to be emptied without waiting for the feed.  Whoever was told by the
-/// former owner that a machine is empty may order it down at any time, so nothing may be started
-/// there.
+/// Reads which machines are to be emptied without waiting for the feed.  A fleet controller to
+/// which the former owner reported a machine as empty may order it down at any time, so nothing may
+/// be started there.
 async fn read_emptying(owner: &Owner) -> Result<(), Error> {
     let node = &owner.node;
     let page = node.store.all(rows::CONTROL, "", rows::EMPTYING_PREFIX, CALL_TIMEOUT).await?;
--- a/crates/scheduler/src/owner/persist.rs
+++ b/crates/scheduler/src/owner/persist.rs
@@ -11,11 +11,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Jobs of one transaction.  A transaction takes a hundred items, one of them the ledger.
+/// Maximum number of jobs in one transaction.  A transaction is limited to a hundred rows, one of
+/// which is the ledger's.
 const MAX_ROWS: usize = 90;
 
-/// Collects ended runs for one transaction.  Every transaction costs a call to the store, and ended
-/// runs that complete no job can wait this long without anybody noticing.
+/// How long ended runs are collected for one transaction.  Every transaction costs a call to the
+/// store, and ended runs that complete no job can wait this long without anybody noticing.
 const BATCH_WINDOW: Duration = Duration::from_millis(80);
 
 /// The same when a job has ended, because its caller waits for it.
@@ -24,10 +25,10 @@
 /// Pause after a failed transaction.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Time between checks for jobs whose retention is over.
+/// Time between checks for jobs whose retention has passed.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Persists progress and drops expired jobs until the cell is lost.
+/// Persists progress and deletes expired jobs until the cell is lost.
 pub(crate) async fn persist_forever(owner: Arc<Owner>) {
     let mut expired_at = clock::now();
     while !owner.is_stopped() {
--- a/crates/scheduler/src/owner/supervisor.rs
+++ b/crates/scheduler/src/owner/supervisor.rs
@@ -51,7 +51,7 @@
 /// Resolution of [`clock::now`].
 const CLOCK_RESOLUTION: Duration = Duration::from_millis(1);
 
-/// Orders sent to one minion at a time, so that an unanswered one doesn't hold up the others.
+/// Orders sent to one minion at a time, so that an unanswered one doesn't block the others.
 const MAX_CONCURRENT_ORDERS: usize = 3;
 
 /// The owner's state of one supervised minion.
@@ -314,7 +314,7 @@
     }
 }
 
-/// The lease deadline to send to a minion, recorded as a promise beforehand; none while leases must
+/// The lease deadline to send to a minion, recorded in the cell beforehand; none while leases must
 /// not be extended or its clock is unknown.
 fn grant_deadline(owner: &Owner, supervisor: &Supervisor) -> Option<u64> {
     if !owner.node.may_extend_leases() || owner.is_stopped() {
@@ -441,8 +441,8 @@
 /// stop, since only a report from after it shows that such a start never ran.  The poll under way
 /// may wait a second for a run to end.
 ///
-/// A poll that is sent in the same millisecond as what it is to settle can't be told from one sent
-/// before it, which settles nothing; so it is sent in the next one.
+/// A poll proves something only if it was sent after the start or stop in question.  Times have a
+/// resolution of 1 ms, so it is sent in the next millisecond.
 async fn poll_now(owner: &Arc<Owner>, supervisor: &Supervisor) {
     async_std::task::sleep(CLOCK_RESOLUTION).await;
     let next = Poll { acknowledged: 0, incarnation: None, wait: Duration::ZERO };
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -63,7 +63,7 @@
     ///
     /// After all entries have lost power, all of them dial the few new owners at once.  Each
     /// handshake takes some milliseconds of an owner that has half of a core.  When dials were
-    /// dropped with the question after a third of a second and started anew a second later, owners
+    /// cancelled with the question after a third of a second and restarted a second later, owners
     /// of large cells had no time for anything else, and the machines of their pools were idle for
     /// six seconds.
     dials: Mutex<HashMap<SocketAddr, Dial>>,
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -1,4 +1,4 @@
-//! Rows that entries keep in the platform's store: tables, keys and values.
+//! Rows that entries write to the platform's store: tables, keys and values.
 //!
 //! Table `control`: an entry's row (`entry/ID`) and a cell's (`cell/SERVICE`), each in a partition
 //! of its own; machines to be emptied (`emptying/MACHINE`) and the entries' certificate authority
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -49,7 +49,7 @@
     pub maintenance_duration: Span,
     /// Orders for machines that the platform accepts in a second, from all entries together.
     pub orders_per_s: f64,
-    /// How long ended jobs are kept.
+    /// How long ended jobs are retained for queries by their callers.
     pub retention: Span,
     /// Longest duration of a graceful stop.
     pub stop_bound: Span,
@@ -58,7 +58,7 @@
     /// Whether requests with a key are refused while this entry may have missed the key's
     /// withdrawal.
     pub strict_keys: bool,
-    /// Age of the configuration's last confirmation from which on they are refused.
+    /// Age of the configuration's last confirmation from which on such requests are refused.
     pub trust_keys_for: Span,
 }
 
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -59,7 +59,7 @@
 /// may be told that the job will not run only if every attempt was certainly not carried out.
 ///
 /// Nothing is written to an unavailable store: it would not be known whether such a write is
-/// carried out later, so the caller could not be told to retry.
+/// carried out later, so the caller could not be asked to retry.
 pub(crate) async fn write(node: &Node, job: &Job<'_>) -> WriteOutcome {
     let began = clock::now();
     let mut unanswered = false;
