--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -1,4 +1,4 @@
-//! The promises of the daemon on the users' platform.
+//! The promises of the scheduler daemon on the users' platform.
 
 use super::{NOT, Promise};
 
@@ -7,14 +7,17 @@
         name: "On the platform: no task runs twice, and none after it is done",
         cells: &[
             ("owner killed", &["a_killed_owner_is_replaced_and_nothing_runs_twice"]),
-            ("owner paused past its silence", &["a_paused_owner_that_wakes_runs_nothing_twice"]),
+            (
+                "owner paused until it is replaced",
+                &["a_paused_owner_that_wakes_runs_nothing_twice"],
+            ),
             ("owner stopped", &["a_stopping_owner_hands_over_and_ends"]),
             ("all entries killed", &["accepted_jobs_survive_the_loss_of_all_entries"]),
             ("starts answered late or never", &["unanswered_starts_run_nothing_twice"]),
-            ("minion cut off", &["a_silent_worker_keeps_its_tasks_until_their_lease_lapses"]),
+            ("minion disconnected", &["a_silent_worker_keeps_its_tasks_until_their_lease_lapses"]),
             ("minion crashed", &["tasks_of_a_crashed_worker_run_elsewhere"]),
             (
-                "store refuses, is silent, loses answers",
+                "store refuses calls, does not answer, loses answers",
                 &[
                     "jobs_refused_while_the_store_refuses_never_run",
                     "a_silent_store_leaves_no_job_half_accepted",
@@ -22,8 +25,8 @@
                 ],
             ),
             (
-                "call lost, answer lost, late; owner killed, paused, cut off with one minion; minion \
-                 crashed or cut off; table down: at every call of start, stop, end, renewal",
+                "call lost, answer lost, late; owner killed, paused, partitioned with one minion; minion \
+                 crashed or disconnected; table unavailable: at every call of start, stop, end, renewal",
                 &["every_fault_at_every_call"],
             ),
             ("two to four of these at once", &["several_faults"]),
@@ -36,7 +39,7 @@
                 ],
             ),
             (
-                "a minion restarts under the same id, receives a start and is cut off within one look",
+                "a minion restarts under the same id, receives a start and is disconnected within one poll",
                 NOT,
             ),
             ("a start is carried out late on the next incarnation of its minion", NOT),
@@ -54,17 +57,17 @@
                 "ends_are_acknowledged_only_where_their_incarnation_has_answered",
             ),
             (
-                "an owner that may have a successor starts only what was never started",
+                "an owner that may have a successor starts only tasks that were never started",
                 "engine::cell::permit",
                 "tasks_that_a_successor_may_run_are_not_started_during_a_store_outage",
             ),
             (
-                "an answer that can't be read doesn't say that nothing runs",
+                "an unreadable answer does not count as one that lists no runs",
                 "adapter::minion::Client::send",
                 "an_unreadable_answer_does_not_say_that_nothing_runs",
             ),
             (
-                "an owner that may extend no lease starts nothing",
+                "an owner that may not extend leases starts nothing",
                 "engine::cell::Cell::plan",
                 "without_leave_to_start_nothing_is_started",
             ),
@@ -74,27 +77,27 @@
                 "inherited_tasks_wait_until_every_minion_has_answered",
             ),
             (
-                "a minion whose machine has another one is not waited for",
+                "a minion whose machine runs another one is not waited for",
                 "engine::termination::has_terminated",
                 "a_minion_whose_machine_has_another_one_is_over",
             ),
             (
-                "a silent minion's runs count until their lease must have lapsed",
+                "a silent minion's runs count until their lease must have expired",
                 "engine::cell::plan::expire_leases",
                 "runs_of_a_silent_minion_are_given_up_after_their_lease_has_lapsed",
             ),
             (
-                "an unanswered start is stopped for certain first",
+                "an unanswered start is stopped with certainty before its task starts elsewhere",
                 "engine::cell::Cell::process_start_result",
                 "an_unanswered_start_is_stopped_before_the_task_starts_elsewhere",
             ),
             (
-                "an end is acknowledged only after it is kept",
+                "a run end is acknowledged only after it is persisted",
                 "engine::cell::persist",
                 "an_end_is_acknowledged_only_after_it_is_stored",
             ),
             (
-                "a completion is told only after it is kept",
+                "a completion is reported only after it is persisted",
                 "engine::cell::Cell::state",
                 "a_completion_is_reported_only_after_it_is_stored",
             ),
@@ -111,10 +114,13 @@
         ],
     },
     Promise {
-        name: "On the platform: a task that crashes its minions costs few of them, and no other task is blamed",
+        name: "On the platform: a task that crashes its minions takes down few of them, and no other task fails for it",
         cells: &[
             ("it runs alone", &["a_task_that_crashes_its_minions_is_given_up"]),
-            ("others run beside it", &["tasks_beside_a_crashing_one_are_not_given_up"]),
+            (
+                "other tasks run on the same minions",
+                &["tasks_beside_a_crashing_one_are_not_given_up"],
+            ),
             ("all tasks of a job", &["a_job_of_crashing_tasks_is_given_up_with_the_first"]),
             (
                 "owner killed",
@@ -128,20 +134,23 @@
                 &["a_trial_is_stored_when_its_minion_falls_silent"],
             ),
             (
-                "call lost, answer lost, late; owner killed, paused, cut off; minion crashed or cut off; table down: \
+                "call lost, answer lost, late; owner killed, paused, partitioned; minion crashed or disconnected; table unavailable: \
                  at every call, and two to four at once",
                 &["every_fault_at_every_call", "several_faults"],
             ),
-            ("the store is away", &["a_suspected_task_waits_until_its_suspicion_is_stored"]),
+            ("the store is unavailable", &["a_suspected_task_waits_until_its_suspicion_is_stored"]),
             (
                 "minions go down together",
                 &["a_task_on_minions_that_went_down_together_is_not_given_up"],
             ),
-            ("minions are cut off", &["tasks_of_minions_that_are_cut_off_start_again_together"]),
+            (
+                "minions are disconnected",
+                &["tasks_of_minions_that_are_cut_off_start_again_together"],
+            ),
             ("minions are emptied or drain", &["planned_minion_shutdowns_raise_no_suspicion"]),
             ("its job is cancelled", &["a_cancelled_job_stays_cancelled"]),
-            ("it crashes them only after it was at work for five seconds", NOT),
-            ("a minion's room shrinks", &["nothing_is_started_beyond_a_reduced_capacity"]),
+            ("it crashes them only after it has run for five seconds", NOT),
+            ("a minion's capacity shrinks", &["nothing_is_started_beyond_a_reduced_capacity"]),
             (
                 "minions restart under the same id",
                 &["a_task_that_crashes_a_minion_which_keeps_its_id_is_given_up"],
@@ -149,17 +158,17 @@
         ],
         guards: &[
             (
-                "each unplanned end counts against what it ended",
+                "each unplanned end of a minion counts against the tasks that ran there",
                 "engine::cell::crash::record_loss",
                 "a_task_that_crashes_its_minions_is_given_up",
             ),
             (
-                "likely causes of one job are tried one at a time, the likeliest first",
+                "suspected tasks of one job are started one at a time, the likeliest cause first",
                 "engine::cell::crash::is_next_suspect",
                 "a_job_of_crashing_tasks_is_given_up_with_the_first",
             ),
             (
-                "likely causes are tried apart",
+                "suspected tasks are not on trial on one minion at the same time",
                 "engine::cell::crash::can_host_suspect",
                 "suspects_are_tried_separately",
             ),
@@ -169,108 +178,108 @@
                 "nothing_is_started_beside_a_task_on_trial",
             ),
             (
-                "what is on trial when its minion falls silent is kept as doubted",
+                "a possible crash is persisted for tasks on trial when their minion becomes silent",
                 "engine::cell::crash::mark_possible_crash",
                 "a_trial_is_stored_when_its_minion_falls_silent",
             ),
             (
-                "a suspected task is tried only after that is kept",
+                "a suspected task is started only after its suspicion is persisted",
                 "engine::cell::crash::may_start_suspect",
                 "a_suspected_task_waits_until_its_suspicion_is_stored",
             ),
             (
-                "a loss with a common cause proves nothing",
+                "losses of minions with a common cause count against no single task",
                 "engine::cell::crash::has_common_cause",
                 "a_task_on_minions_that_went_down_together_is_not_given_up",
             ),
             (
-                "a minion that is silent stays to be emptied",
+                "a silent minion remains marked for emptying",
                 "engine::cell::Cell::set_leaving",
                 "planned_minion_shutdowns_raise_no_suspicion",
             ),
             (
-                "what is at work for long is acquitted",
+                "the suspicion of a task that has run for long is cleared",
                 "engine::cell::crash::record_run_time",
                 "a_task_that_ran_for_long_is_not_suspected",
             ),
         ],
     },
     Promise {
-        name: "On the platform: what is accepted is done, what is refused as not run never runs",
+        name: "On the platform: an accepted job is completed, and a job refused as not run never runs",
         cells: &[
-            ("the same job again", &["a_job_submitted_again_runs_once"]),
+            ("the same job submitted again", &["a_job_submitted_again_runs_once"]),
             ("bad requests", &["an_invalid_job_is_refused_with_the_matching_status"]),
             ("a cancelled job", &["a_cancelled_job_ends_and_stays_cancelled"]),
-            ("a hopeless job", &["a_job_that_always_fails_is_shown_as_failed"]),
-            ("history forgotten", &["a_lost_feed_history_is_recovered_by_rereading"]),
+            ("a job that always fails", &["a_job_that_always_fails_is_shown_as_failed"]),
+            ("the feed's history lost", &["a_lost_feed_history_is_recovered_by_rereading"]),
             ("the store is a hundred times slower", &["a_slow_store_takes_in_a_burst"]),
             (
-                "the store is away for a time",
+                "the store is unavailable for a time",
                 &[
                     "jobs_are_refused_during_a_store_outage",
                     "tasks_never_started_are_started_during_a_store_outage",
                 ],
             ),
             (
-                "entries of another writer",
+                "minion rows of another writer",
                 &["minion_entries_of_another_writer_are_ignored", "decoders_take_any_bytes"],
             ),
-            ("the store turns one entry away", NOT),
+            ("the store refuses the calls of one entry", NOT),
         ],
         guards: &[
             (
-                "a caller of an entry that is cut off has time left for another",
+                "a caller of a disconnected entry has time left to retry at another one",
                 "engine::submission::Attempt::should_give_up",
                 "a_caller_of_an_entry_that_is_cut_off_has_time_left_for_another_one",
             ),
             (
-                "nothing is sent to a store that is away",
+                "nothing is written to an unavailable store",
                 "scheduler::submit::write",
                 "jobs_are_refused_during_a_store_outage",
             ),
             ("one answer ends an outage", "engine::outage", "one_answer_ends_an_outage"),
             (
-                "an element that can't be read doesn't hide the others",
+                "an unreadable element does not hide the others",
                 "adapter::lenient",
                 "a_feed_goes_on_beside_a_row_that_cannot_be_read",
             ),
             (
-                "a row whose bytes can't be read is there",
+                "a row with unreadable bytes still counts as present",
                 "adapter::store::RowBody::decode",
                 "a_spoiled_row_is_still_there",
             ),
             (
-                "an id that no header can hold names no minion",
+                "a minion id that is no valid header value is ignored",
                 "adapter::minion::Entry::decode",
                 "an_id_that_no_header_can_hold_names_no_minion",
             ),
             (
-                "the end of a late run lets its task start again",
+                "the end of a late run requeues its task",
                 "engine::cell::work::Phase",
                 "the_end_of_a_late_run_lets_its_task_start_again",
             ),
             (
-                "a stop that is repeated stays confirmed",
+                "a confirmed stop stays confirmed when it is sent again",
                 "engine::cell::plan::stop_run",
                 "a_confirmed_stop_stays_confirmed_until_the_next_look",
             ),
             (
-                "what time a caller comes back with is used",
+                "the remaining time of a caller that retries is used",
                 "engine::submission::usable_time",
                 "a_caller_with_little_time_is_served",
             ),
             (
-                "a slow store isn't given up on",
+                "writes to a slow store are waited for",
                 "engine::submission::Attempt::should_give_up",
                 "a_slow_store_is_waited_for",
             ),
             (
-                "an overdue write is looked for before it is sent again",
+                "the row of an overdue write is read before the write is sent again",
                 "scheduler::confirm::commit",
                 "a_slow_store_takes_in_a_burst",
             ),
             (
-                "a write is lost only by the measure of a read",
+                "a write counts as lost only in relation to the latency of a read",
                 "engine::timeout::is_write_lost",
                 "a_write_is_lost_only_by_the_measure_of_a_read",
             ),
@@ -280,27 +289,27 @@
                 "a_step_waits_for_all_tasks_of_the_steps_before_it",
             ),
             (
-                "a failure that is listed again counts once",
+                "a failure that is reported again counts once",
                 "engine::cell::report::process_end",
                 "a_failure_that_is_listed_again_counts_once",
             ),
             (
-                "a minion that fails whatever it starts is left out",
+                "a minion that fails every run is quarantined",
                 "engine::cell::report::update_quarantine",
                 "a_minion_that_fails_two_jobs_in_a_row_is_quarantined",
             ),
             (
-                "a run that stands still is stopped",
+                "a stalled run is stopped",
                 "engine::cell::plan::stop_stalled",
                 "a_stalled_run_is_stopped_and_its_minion_quarantined",
             ),
             (
-                "a task without room reserves a minion",
+                "a task without free capacity reserves a minion",
                 "engine::cell::plan::reserve_minion",
                 "a_lasting_task_gets_room_although_smaller_tasks_wait_for_it",
             ),
             (
-                "a lasting task finds room on a minion that is being emptied and isn't empty",
+                "a long-running task may start on a minion that is being emptied and is not empty",
                 "engine::cell::place::find_fallback",
                 "a_lasting_task_returns_to_a_minion_that_is_being_emptied_if_nothing_else_has_room",
             ),
@@ -310,40 +319,43 @@
                 "the_rest_of_a_gang_is_stopped_when_one_member_is_refused",
             ),
             (
-                "no start without a ticket where one is needed",
+                "no start without a required ticket",
                 "engine::cell::advice",
                 "nothing_is_started_without_a_ticket",
             ),
         ],
     },
     Promise {
-        name: "On the platform: keys and limits of workspaces hold",
+        name: "On the platform: keys and limits of workspaces are enforced",
         cells: &[
-            ("no key, unknown, malformed, doubled", &["a_call_without_a_valid_key_is_refused"]),
+            (
+                "key missing, unknown, malformed, duplicated",
+                &["a_call_without_a_valid_key_is_refused"],
+            ),
             ("another workspace's job", &["a_job_is_accessible_only_to_its_workspace"]),
             (
                 "keys withdrawn; entry restarted",
                 &["a_withdrawn_key_is_refused_everywhere_and_its_jobs_go_on"],
             ),
             (
-                "store turns an entry away; entry cut off from all",
+                "store refuses the calls of an entry; entry disconnected from all others",
                 &[
                     "an_entry_cut_off_from_the_store_learns_of_keys_from_its_peers",
                     "an_isolated_entry_refuses_keys_only_with_strict_keys",
                 ],
             ),
             (
-                "owners killed, frozen, cut off, replaced while alive; writes lost, late, refused; limits lowered",
+                "owners killed, paused, partitioned, replaced while alive; writes lost, late, refused; limits lowered",
                 &["a_limit_holds_under_all_drawn_faults"],
             ),
             ("owner killed", &["a_limit_holds_over_services_and_killed_owners"]),
-            ("owner frozen and woken", &["a_limit_holds_when_a_frozen_owner_wakes"]),
-            ("answers of transfers lost", &["a_limit_holds_while_the_store_loses_answers"]),
+            ("owner paused and resumed", &["a_limit_holds_when_a_frozen_owner_wakes"]),
+            ("answers to share changes lost", &["a_limit_holds_while_the_store_loses_answers"]),
             (
                 "limit lowered",
                 &["a_lowered_limit_stops_nothing_and_starts_nothing_until_there_is_room"],
             ),
-            ("a limit where there was none before, with an owner cut off", NOT),
+            ("a first limit for a workspace, with an owner disconnected", NOT),
         ],
         guards: &[
             (
@@ -352,7 +364,7 @@
                 "the_model_detects_a_broken_limit",
             ),
             (
-                "a successor counts its predecessor's whole share until all minions told",
+                "a new owner counts the former owner's whole share until all minions have reported",
                 "engine::quota::account::Account::in_use",
                 "a_successor_counts_its_predecessors_share_until_all_minions_have_reported",
             ),
@@ -362,32 +374,35 @@
                 "a_share_that_may_have_been_lowered_counts_as_lowered",
             ),
             (
-                "nothing starts while shares are more than a fallen limit",
+                "nothing starts while the sum of the shares exceeds a lowered limit",
                 "engine::quota::account::Account::may_start",
                 "nothing_starts_while_shares_exceed_a_lowered_limit",
             ),
             (
-                "nothing starts before the split is written by a lower limit's configuration",
+                "nothing starts before the split is written with the lowered limit",
                 "engine::quota::account::Account::is_split_current",
                 "nothing_starts_before_the_split_is_written_with_the_lower_limit",
             ),
             (
-                "what can't be read opens nothing",
+                "an unreadable part of a configuration grants no access",
                 "adapter::configuration::Configuration::decode",
                 "what_cannot_be_read_opens_nothing_and_hides_nothing",
             ),
         ],
     },
     Promise {
-        name: "On the platform: budgets hold through waves, moves and shared minions",
+        name: "On the platform: availability budgets hold through waves, moves and shared minions",
         cells: &[
             ("a wave under load", &["a_wave_is_completed_without_ending_what_runs"]),
-            ("the carrier of a wave killed", &["a_wave_continues_after_its_controller_is_killed"]),
-            ("a wave while the store or the interface is away", NOT),
+            (
+                "fleet controller killed during a wave",
+                &["a_wave_continues_after_its_controller_is_killed"],
+            ),
+            ("a wave while the store or the machine interface is unavailable", NOT),
         ],
         guards: &[
             (
-                "lasting tasks leave within what may be away",
+                "long-running tasks are evacuated within the number that may be unavailable",
                 "engine::cell::plan::can_evacuate",
                 "long_running_tasks_are_evacuated_within_max_unavailable",
             ),
@@ -397,7 +412,7 @@
                 "a_wave_completes_with_never_more_down_than_allowed",
             ),
             (
-                "an order that the list doesn't show yet counts",
+                "an order that the list does not show yet counts as down",
                 "engine::maintenance::Planner::down_count",
                 "an_order_that_the_list_does_not_show_yet_counts_as_down",
             ),
@@ -407,59 +422,63 @@
                 "a_machine_that_is_not_empty_stays_up",
             ),
             (
-                "machines about to be ordered stay where they are",
+                "machines that are about to be ordered are not moved",
                 "engine::pools::Planner::candidates",
                 "machines_that_must_stay_are_not_moved",
             ),
             (
-                "a pool keeps the machines of its spread",
+                "a pool keeps the machines over which long-running tasks are spread",
                 "engine::pools::Planner::machines_needed",
                 "a_pool_keeps_the_machines_over_which_lasting_tasks_are_spread",
             ),
             (
-                "what idles is in the next pool before its turn",
+                "idle machines are moved to the next pool before its turn",
                 "engine::pools::turns",
                 "machines_are_moved_ahead_of_a_known_turn",
             ),
-            ("what is no turn hides none", "engine::pools::turns", "a_single_large_job_is_no_turn"),
             (
-                "the rows of any number of machines are dropped",
+                "a peak that is no turn does not hide one",
+                "engine::pools::turns",
+                "a_single_large_job_is_no_turn",
+            ),
+            (
+                "the stale rows of any number of machines are deleted",
                 "scheduler::fleet::emptying::delete_in_chunks",
                 "any_number_of_stale_emptying_rows_is_dropped",
             ),
             (
-                "a large remainder doesn't take all machines",
+                "a pool with a large backlog does not get all machines",
                 "engine::pools::Planner::fill_shortfalls",
                 "a_pool_with_a_large_remainder_does_not_take_all",
             ),
             (
-                "what can't be started asks for no machines",
+                "tasks that cannot be started yet add no demand",
                 "engine::cell::load",
                 "what_may_still_run_elsewhere_asks_for_no_machines",
             ),
             (
-                "what fills is slowed down before a target is missed",
+                "best-effort tasks are slowed down before a serving task misses its target",
                 "engine::cell::pace",
                 "best_effort_tasks_are_slowed_down_while_a_serving_task_exceeds_its_target",
             ),
             (
-                "a call that is given up takes back what was not delivered",
+                "an abandoned call resets its connection, so that undelivered bytes are discarded",
                 "http::client::Connection::open_resetting",
                 "a_connection_that_is_given_up_is_reset",
             ),
         ],
     },
     Promise {
-        name: "On the platform: one owner a cell",
+        name: "On the platform: each cell has one owner",
         cells: &[
             ("any order of candidates", &["only_the_first_candidate_takes_a_vacant_cell"]),
             ("a planned stop", &["a_cell_is_handed_to_a_living_entry_that_stays"]),
             (
-                "the store away for longer than a term",
+                "the store unavailable for longer than a term",
                 &["an_outage_of_the_store_is_nobodys_silence"],
             ),
             ("the store is a hundred times slower", &["a_slow_store_keeps_its_owners_at_work"]),
-            ("a holder that renews at the last moment, over the store", NOT),
+            ("a holder that renews at the last moment, through the store", NOT),
         ],
         guards: &[
             (
@@ -468,32 +487,32 @@
                 "a_living_holder_keeps_its_cell",
             ),
             (
-                "the term follows the renewals",
+                "the term adapts to the duration of renewals",
                 "engine::ownership::term",
                 "the_term_follows_the_renewals",
             ),
             (
-                "a strong entry goes before a weak one",
+                "candidates are ordered by cells per core",
                 "engine::ownership::cells_per_core",
                 "a_strong_instance_with_a_cell_goes_before_a_weak_one_without",
             ),
             (
-                "what nobody could read is nobody's silence",
+                "an outage of the store does not count as silence of entries",
                 "engine::ownership::record_read",
                 "an_outage_of_the_store_is_nobodys_silence",
             ),
             (
-                "a takeover requires the holder to be silent still",
+                "a takeover requires that the holder is still silent",
                 "engine::ownership::decide",
                 "a_silent_holder_is_replaced_on_condition_that_it_stays_silent",
             ),
             (
-                "holders among many entries are missed soon",
+                "the loss of a holder is noticed as soon among many entries as among few",
                 "engine::ownership::renewal_interval",
                 "a_holder_among_many_entries_is_missed_as_soon_as_among_few",
             ),
             (
-                "who may be cut off with the holder comes later",
+                "candidates that may be disconnected together with the holder come last",
                 "engine::ownership::decide",
                 "entries_seen_since_the_holder_come_before_those_that_may_be_cut_off_with_it",
             ),
@@ -503,62 +522,62 @@
         name: "On the platform: a fleet of hundreds of machines",
         cells: &[
             (
-                "the holder of the fleet's duty is killed within a wave",
+                "fleet controller killed during a wave",
                 &["a_wave_continues_after_its_controller_is_killed"],
             ),
-            ("the store away within a wave", &["a_wave_that_falls_behind_catches_up"]),
-            ("the holder lost, or an answer of its lost, at each other of its calls", NOT),
+            ("the store unavailable during a wave", &["a_wave_that_falls_behind_catches_up"]),
+            ("fleet controller lost, or an answer to it lost, at each of its other calls", NOT),
             ("all entries dial a new owner at once", NOT),
-            ("a machine that is off, and its order's holder lost", NOT),
+            ("the fleet controller lost that ordered a machine which is off", NOT),
         ],
         guards: &[
             (
-                "a wave takes from working machines what its window asks for",
+                "a wave takes only as many working machines as its window requires",
                 "engine::maintenance::pace",
                 "a_wave_takes_no_more_working_machines_than_its_window_requires",
             ),
             (
-                "a wave that falls behind goes as fast as is allowed",
+                "a wave that falls behind proceeds as fast as allowed",
                 "engine::maintenance::pace",
                 "a_wave_that_falls_behind_catches_up",
             ),
             (
-                "lasting tasks begin to leave early",
+                "machines with long-running tasks begin to empty early",
                 "engine::maintenance::Slots::choose",
                 "machines_that_take_long_to_empty_begin_early",
             ),
             (
-                "an order refused for its rate is given again",
+                "an order refused by the rate limit is repeated",
                 "engine::maintenance::Planner::record_refusal",
                 "a_refused_order_is_repeated_at_once",
             ),
             (
-                "only what was asked to empty goes down",
+                "only a machine that was asked to empty goes down",
                 "engine::maintenance::Planner::plan_wave",
                 "a_machine_goes_down_only_after_it_was_asked_to_empty",
             ),
             (
-                "a pool asks for what it can use",
+                "tasks ask for no more cores than they can use",
                 "engine::cell::load",
                 "tasks_ask_for_no_more_cores_than_they_can_use",
             ),
             (
-                "a wider step asks ahead",
+                "a wider next step adds demand ahead of its start",
                 "engine::cell::load",
                 "a_wider_step_requests_its_missing_cores_ahead",
             ),
             (
-                "an unanswered start is looked for",
+                "the result of an unanswered start is polled before it is stopped",
                 "engine::cell::report",
                 "a_run_whose_start_was_not_answered_goes_on_if_its_minion_lists_it",
             ),
             (
-                "a standstill is told by reports",
+                "a run counts as stalled only by its minion's reports",
                 "engine::cell::plan",
                 "a_run_without_news_is_not_taken_for_one_that_stands_still",
             ),
             (
-                "machines go ahead of a turn that is due",
+                "machines are moved ahead of a turn that is due",
                 "engine::pools::turns",
                 "machines_are_moved_ahead_of_a_due_turn_while_the_last_one_has_demand",
             ),
