--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -251,7 +251,7 @@
 
 /// The error for an invalid definition.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
-pub enum Problem {
+pub enum DefinitionError {
     /// The job has no steps, or a step has no tasks.
     #[snafu(display("the job has no steps, or a step without tasks"))]
     Empty,
@@ -276,7 +276,7 @@
     ///
     /// # Errors
     /// Returns the first problem found.
-    pub fn check(&self) -> Result<(), Problem> {
+    pub fn check(&self) -> Result<(), DefinitionError> {
         if self.steps.is_empty() || self.steps.iter().any(|step| step.count == 0) {
             return EmptySnafu.fail();
         }
--- a/crates/engine/src/lease.rs
+++ b/crates/engine/src/lease.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 /// Lowest rate of a minion's clock relative to the owner's.
-const SLOWEST_CLOCK: f64 = 0.98;
+const MIN_CLOCK_RATE: f64 = 0.98;
 
 /// Allowance for calls in transit.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(150);
 
 /// Longest time on the owner's clock that a lease of this term can last.
 pub fn max_duration(term: Duration) -> Duration {
-    term.div_f64(SLOWEST_CLOCK) + EXPIRY_MARGIN
+    term.div_f64(MIN_CLOCK_RATE) + EXPIRY_MARGIN
 }
 
 /// The last reading of a minion's clock.
@@ -34,8 +34,8 @@
         self.read_ms + now.since(self.at).as_millis() as u64
     }
 
-    /// When the clock has passed `deadline_ms` even at its lowest rate.
-    pub fn passes(&self, deadline_ms: u64) -> Time {
+    /// The latest time at which the clock passes `deadline_ms`, given its lowest rate.
+    pub fn latest_time_of(&self, deadline_ms: u64) -> Time {
         self.at + max_duration(Duration::from_millis(deadline_ms.saturating_sub(self.read_ms)))
     }
 
--- a/crates/engine/tests/all/crashes.rs
+++ b/crates/engine/tests/all/crashes.rs
@@ -111,8 +111,8 @@
 }
 
 /// Guards against endless starts of a task that crashes each minion within milliseconds.  Its
-/// caller was told `running` forever, and every three seconds all tasks that ran beside it had to
-/// be restarted.
+/// caller got the state `running` forever, and every three seconds all tasks that ran beside it had
+/// to be restarted.
 #[test]
 fn a_task_that_crashes_its_minions_is_given_up() {
     let name = task(1, 0, 0);
@@ -127,7 +127,7 @@
 /// Guards against blaming tasks that ran beside a crashing one and ended with its minions.  Their
 /// jobs complete, and the crashing task crashes no more minions than it would alone.
 #[test]
-fn tasks_beside_a_crashing_one_are_not_given_up() {
+fn tasks_beside_a_crashing_one_complete() {
     let name = task(1, 0, 0);
     let mut fleet = Fleet::new(4, &[name]);
     for job in 1..8 {
@@ -144,7 +144,7 @@
 /// Guards against retrying several tasks of a job at the same time when all of them crash their
 /// minions: each would crash a second one.
 #[test]
-fn a_job_of_crashing_tasks_is_given_up_with_the_first() {
+fn a_job_of_crashing_tasks_fails_with_the_first() {
     let names: Vec<TaskName> = (0..5).map(|index| task(1, 0, index)).collect();
     let mut fleet = Fleet::new(8, &names);
     fleet.harness.submit(1, definition(vec![step(5)]));
@@ -158,7 +158,7 @@
 /// task was started there.  Idle minions of the rack fail together with the task's minion, so the
 /// task isn't the cause and its job completes.
 #[test]
-fn a_task_on_minions_that_went_down_together_is_not_given_up() {
+fn a_loss_with_a_common_cause_fails_no_job() {
     let mut harness = Harness::new(4);
     harness.submit(1, definition(vec![step(1)]));
     for round in 0..3 {
@@ -203,7 +203,7 @@
                 harness.cell.set_leaving(&minion, true);
             }
             harness.cell.record_missed_answer(&minion, harness.now);
-            // The request to empty it is dropped once its machine has another minion.
+            // The request to empty it is withdrawn once its machine has another minion.
             harness.cell.set_leaving(&minion, false);
             harness.advance_ms(2000);
             harness.cell.remove_terminated_minion(&minion, harness.now);
@@ -236,7 +236,7 @@
 /// Guards against losing a crash with an owner that is lost after a minion stopped answering and
 /// before the crash is certain.  That the task was on trial there is stored immediately.
 #[test]
-fn a_trial_is_stored_when_its_minion_falls_silent() {
+fn a_possible_crash_is_stored_when_a_minion_stops_answering() {
     let mut harness = Harness::new(2);
     harness.submit(1, definition(vec![step(1)]));
     let (minion, ..) = harness.start_all().remove(0);
@@ -245,7 +245,7 @@
     let (_, _, progress) = &batch.rows[0];
     assert_eq!(progress.suspicions.len(), 1);
     harness.cell.record_persisted(&batch);
-    // The minion was only cut off for a moment, so the suspicion is dropped.
+    // The minion was only disconnected for a moment, so the suspicion is cleared.
     let number = usize::from(minion == Harness::minion(1));
     harness.answer(
         number,
@@ -262,7 +262,7 @@
 /// Guards against stopping the tasks of a failed job before the failure is persisted: a new owner
 /// would resume the job without them.
 #[test]
-fn tasks_of_a_failed_job_are_stopped_after_its_outcome_is_kept() {
+fn tasks_of_a_failed_job_are_stopped_after_its_outcome_is_stored() {
     let mut harness = Harness::new(4);
     let progress = Progress { suspicions: vec![(0, 7)], ..Progress::default() };
     let one_per_minion = Step { max_per_minion: Some(1), ..step(3) };
@@ -299,8 +299,8 @@
     assert_eq!(starts(&harness.plan_and_store()).len(), 1);
 }
 
-/// Guards against giving up a long-running task whose minions crashed weeks apart.  Each time it
-/// had been running for long, so it isn't the cause.
+/// Guards against failing a long-running task whose minions crashed weeks apart.  Each time it had
+/// been running for long, so it isn't the cause.
 #[test]
 fn a_task_that_ran_for_long_is_not_suspected() {
     let mut harness = Harness::new(1);
@@ -366,12 +366,12 @@
     assert_eq!(harness.start_all().len(), 3);
 }
 
-/// Guards against suspecting tasks of minions that are cut off with their availability zone.  When
-/// the leases have expired, tasks that had been running for a while all start elsewhere in one
-/// plan.  Treated as suspects, the tasks of a job were tried one at a time, which delayed each by
-/// another quarter of a second.
+/// Guards against suspecting tasks of minions that are disconnected together with their
+/// availability zone.  When the leases have expired, tasks that had been running for a while all
+/// start elsewhere in one plan.  Treated as suspects, the tasks of a job were tried one at a time,
+/// which delayed each by another quarter of a second.
 #[test]
-fn tasks_of_minions_that_are_cut_off_start_again_together() {
+fn tasks_of_disconnected_minions_are_restarted_together() {
     let mut harness = Harness::new(4);
     harness.submit(1, definition(vec![step(40)]));
     let started = harness.start_all();
@@ -432,7 +432,7 @@
 /// noticed.  The start was never delivered and explains nothing.  Counted as a task on trial, it
 /// made the task that had been running the only suspect, whose job failed after two such crashes.
 #[test]
-fn a_start_that_came_to_nobody_blames_no_one_else() {
+fn an_undelivered_start_is_no_suspect() {
     let mut harness = Harness::new(1);
     harness.submit(1, definition(vec![step(1)]));
     for round in 0..2 {
--- a/crates/engine/tests/all/fixture.rs
+++ b/crates/engine/tests/all/fixture.rs
@@ -93,7 +93,7 @@
         self.cell.remove_terminated_minion(minion, self.now);
     }
 
-    /// Answers a hold that was sent at the current time.
+    /// Answers a poll that was sent at the current time.
     pub(crate) fn answer(&mut self, number: usize, report: Report) -> Vec<Order> {
         self.now = self.now + Duration::from_millis(1);
         self.cell.process_report(&Self::minion(number), &report, self.now, self.now)
--- a/crates/engine/tests/all/lease.rs
+++ b/crates/engine/tests/all/lease.rs
@@ -11,7 +11,7 @@
 fn a_lease_lasts_longer_on_a_slow_clock() {
     assert!(max_duration(Duration::from_millis(4900)) >= Duration::from_millis(5000));
     let clock = MinionClock::new(1000, AT);
-    assert!(clock.passes(5900) >= AT + Duration::from_millis(5000));
+    assert!(clock.latest_time_of(5900) >= AT + Duration::from_millis(5000));
     assert_eq!(clock.now_ms(Time(50_020)), 1020);
 }
 
--- a/crates/engine/tests/all/load.rs
+++ b/crates/engine/tests/all/load.rs
@@ -31,8 +31,8 @@
 
 /// Guards against demand for more cores than the tasks can use.  With both steps of long tasks and
 /// their whole duration counted as waiting, a pool requested three times the machines that it could
-/// use; half of them were idle, and the callers of the next turn found a twentieth of the machines
-/// that they needed.
+/// use; half of them were idle, and the pool with the next demand peak had a twentieth of the
+/// machines that it needed.
 #[test]
 fn tasks_ask_for_no_more_cores_than_they_can_use() {
     let mut harness = Harness::new(8);
@@ -50,7 +50,7 @@
     assert_eq!(
         (load.working, load.waiting),
         (cores, 0),
-        "the second step reuses the first one's room"
+        "the second step reuses the first one's capacity"
     );
 }
 
--- a/crates/engine/tests/all/model.rs
+++ b/crates/engine/tests/all/model.rs
@@ -184,13 +184,13 @@
         let ended = self.running.iter().filter_map(|(task, work)| {
             let done = work.done_at.is_some_and(|at| now >= at);
             let stopped = work.stops_at.is_some_and(|at| now >= at);
-            let how = match (done, stopped, expired) {
+            let reason = match (done, stopped, expired) {
                 (true, ..) => EndReason::Done,
                 (_, true, _) => EndReason::Stopped,
                 (_, _, true) => EndReason::Expired,
                 _ => return None,
             };
-            Some((*task, how))
+            Some((*task, reason))
         });
         for (task, reason) in ended.collect::<Vec<_>>() {
             self.end(task, reason, now, history);
--- a/crates/engine/tests/all/model/simulation.rs
+++ b/crates/engine/tests/all/model/simulation.rs
@@ -39,7 +39,7 @@
 const CRASHING_JOB: u8 = 4;
 /// Time from the start of the crashing task to the crash of its minion.
 const CRASH_DELAY: Duration = Duration::from_millis(10);
-/// Crashes of minions with the same task after which its job may be given up, whatever caused them.
+/// Crashes of minions with the same task after which its job may fail, whatever caused them.
 const CRASHES_TO_GIVE_UP: usize = 2;
 /// Starts of the crashing task that are too many: three more after the third crash.
 const TOO_MANY_STARTS: usize = 6;
@@ -63,9 +63,9 @@
     Crash,
     /// The minion restarts immediately under the same id.
     Restart,
-    /// The minion is cut off from all entries, but continues its runs.
+    /// The minion is disconnected from all entries, but continues its runs.
     Partitioned,
-    /// The owner is cut off from the table and from all minions but one.
+    /// The owner is disconnected from the table and from all minions but one.
     Isolated,
     /// The table is unavailable.
     Outage,
@@ -138,13 +138,13 @@
     }
 
     /// A new owner takes the cell and reads the table.
-    fn take_over(&mut self, former_lapse: Option<Time>) {
+    fn take_over(&mut self, former_lease_expiry: Option<Time>) {
         self.table.token += 1;
         let generation = self.table.token as u32 - 1;
-        let mut cell = Cell::new(Settings::default(), generation, former_lapse);
+        let mut cell = Cell::new(Settings::default(), generation, former_lease_expiry);
         let queue = Queue { attempts: 2, ..Queue::default() };
         cell.configure([("queue".into(), queue)]);
-        let inherited = former_lapse.is_some();
+        let inherited = former_lease_expiry.is_some();
         if inherited {
             self.roster.iter().for_each(|minion| cell.inherit_minion(minion));
         }
@@ -466,9 +466,9 @@
         }
     }
 
-    /// Whether a job may have been given up although none of its tasks crashes minions: so many
-    /// minions crashed with one of its tasks for other reasons that it can't be told apart from
-    /// such a task.
+    /// Whether a job may have failed although none of its tasks crashes minions: so many minions
+    /// crashed with one of its tasks for other reasons that it can't be distinguished from such a
+    /// task.
     fn may_give_up(&self, job: u8) -> bool {
         let is_given_up = self.table.progress.get(&id(job)).and_then(|stored| stored.outcome);
         let mut crashes: BTreeMap<TaskName, usize> = BTreeMap::new();
@@ -492,7 +492,7 @@
             let long_running = self.active_long_running();
             let crashing = self.table.progress.get(&id(CRASHING_JOB));
             found.push(format!(
-                "not finished: {chained:?}, {crashing:?}, {long_running} lasting tasks at work"
+                "not finished: {chained:?}, {crashing:?}, {long_running} long-running tasks active"
             ));
         }
         found
--- a/crates/engine/tests/all/outage.rs
+++ b/crates/engine/tests/all/outage.rs
@@ -13,8 +13,8 @@
     outage
 }
 
-/// Guards against sending jobs to a store that is down at peak load: hundreds of callers would be
-/// told that the outcome is unknown.
+/// Guards against sending jobs to a store that is down at peak load: hundreds of callers would get
+/// an unknown outcome.
 #[test]
 fn a_store_that_stops_answering_is_soon_down() {
     assert!(!outage(1040, &[]).is_ongoing(Time(1040)), "two failures may be chance");
--- a/crates/engine/tests/all/quota.rs
+++ b/crates/engine/tests/all/quota.rs
@@ -25,7 +25,7 @@
 /// transactions are lost, late or unanswered; and against tasks that wait forever after such
 /// faults.
 #[test]
-fn a_limit_holds_under_all_drawn_faults() {
+fn a_limit_holds_under_random_faults() {
     let mut failures = Vec::new();
     for seed in 0..draws() {
         if let Err(failure) = Simulation::new(seed).run() {
@@ -63,11 +63,11 @@
     account
 }
 
-const ROOM: Resources = Resources { cpu: 1 << 30, memory_mb: 1 << 30, gpu: 0 };
+const FREE_CAPACITY: Resources = Resources { cpu: 1 << 30, memory_mb: 1 << 30, gpu: 0 };
 
 /// Applies the change that is due as if the store had committed it.
 fn write(account: &mut Account, version: u64, at: u64) -> Option<Split> {
-    let change = account.next_change(&ROOM, Time(at))?;
+    let change = account.next_change(&FREE_CAPACITY, Time(at))?;
     account.record_write(&change, version, Time(at));
     Some(change.split)
 }
@@ -102,7 +102,7 @@
     // Nothing is needed for a while, and the transaction that returns the share isn't answered.
     account.reset_counts();
     for at in [1500, 2200, 2900, 3600] {
-        account.next_change(&ROOM, Time(at));
+        account.next_change(&FREE_CAPACITY, Time(at));
     }
     account.reset_counts();
     assert!(!account.may_start(&cores(80), 1, Time(3600)));
@@ -179,26 +179,26 @@
 
 const TEAM: &str = "team";
 
-fn submit(world: &mut Harness, number: u8, origin: Origin, steps: Vec<Step>) -> Id {
+fn submit(harness: &mut Harness, number: u8, origin: Origin, steps: Vec<Step>) -> Id {
     let definition = Definition { spec: "work".into(), steps, schedule: None };
     let accepted = Accepted { queue: "queue".into(), at_ms: 0, definition, origin };
-    let now = world.now;
-    world.cell.add_job(id(number), accepted, None, false, Duration::ZERO, now);
+    let now = harness.now;
+    harness.cell.add_job(id(number), accepted, None, false, Duration::ZERO, now);
     id(number)
 }
 
 fn limited(minions: usize, count: u64) -> Harness {
-    let mut world = Harness::new(minions);
-    world.cell.configure_limits([(TEAM.into(), limit(count))], 1, world.now);
-    world.cell.confirm_splits(world.now);
-    world
+    let mut harness = Harness::new(minions);
+    harness.cell.configure_limits([(TEAM.into(), limit(count))], 1, harness.now);
+    harness.cell.confirm_splits(harness.now);
+    harness
 }
 
 /// Writes all changes that are due; returns whether there were any.
-fn write_all(world: &mut Harness, version: u64) -> bool {
-    world.advance_ms(50);
-    let changes = world.cell.split_changes(world.now);
-    world.cell.record_split_changes(&changes, version, world.now);
+fn write_all(harness: &mut Harness, version: u64) -> bool {
+    harness.advance_ms(50);
+    let changes = harness.cell.split_changes(harness.now);
+    harness.cell.record_split_changes(&changes, version, harness.now);
     !changes.is_empty()
 }
 
@@ -210,59 +210,59 @@
 /// behind them.
 #[test]
 fn a_workspace_runs_no_more_than_its_limit() {
-    let mut world = limited(2, 5);
-    submit(&mut world, 1, team(), vec![step(8)]);
-    submit(&mut world, 2, Origin::Public, vec![step(8)]);
+    let mut harness = limited(2, 5);
+    submit(&mut harness, 1, team(), vec![step(8)]);
+    submit(&mut harness, 2, Origin::Public, vec![step(8)]);
     assert_eq!(
-        starts(&world.plan()).len(),
+        starts(&harness.plan()).len(),
         8,
         "nothing of the workspace before its share is written"
     );
-    assert!(write_all(&mut world, 1));
-    assert_eq!(starts(&world.plan()).len(), 5);
-    assert!(world.plan().is_empty());
-    let held = |note: &Event| matches!(note, Event::Held { is_larger: false, .. });
-    assert_eq!(world.cell.take_events().iter().filter(|note| held(note)).count(), 1);
+    assert!(write_all(&mut harness, 1));
+    assert_eq!(starts(&harness.plan()).len(), 5);
+    assert!(harness.plan().is_empty());
+    let held = |event: &Event| matches!(event, Event::Held { is_larger: false, .. });
+    assert_eq!(harness.cell.take_events().iter().filter(|event| held(event)).count(), 1);
 }
 
 /// Guards against a gang wider than its workspace's limit reserving all of it without ever
 /// starting.
 #[test]
 fn a_gang_wider_than_the_limit_blocks_no_other_job() {
-    let mut world = limited(2, 5);
-    submit(&mut world, 1, team(), vec![Step { gang: true, ..step(8) }]);
-    submit(&mut world, 2, team(), vec![step(4)]);
-    world.plan();
-    let larger = |note: &Event| matches!(note, Event::Held { is_larger: true, .. });
-    assert!(world.cell.take_events().iter().any(larger));
-    write_all(&mut world, 1);
-    assert_eq!(starts(&world.plan()).len(), 4);
+    let mut harness = limited(2, 5);
+    submit(&mut harness, 1, team(), vec![Step { gang: true, ..step(8) }]);
+    submit(&mut harness, 2, team(), vec![step(4)]);
+    harness.plan();
+    let larger = |event: &Event| matches!(event, Event::Held { is_larger: true, .. });
+    assert!(harness.cell.take_events().iter().any(larger));
+    write_all(&mut harness, 1);
+    assert_eq!(starts(&harness.plan()).len(), 4);
 }
 
 /// Guards against jobs of an older release, which stored no workspace, running without a limit, or
 /// never.
 #[test]
 fn jobs_of_an_unknown_workspace_run_one_task_at_a_time() {
-    let mut world = limited(2, 5);
+    let mut harness = limited(2, 5);
     let keyed = celerythread_engine::cell::Queue { public: false, ..Default::default() };
-    world.cell.configure([("queue".into(), keyed)]);
-    submit(&mut world, 1, Origin::Unknown, vec![step(3)]);
-    world.plan();
-    write_all(&mut world, 1);
-    assert_eq!(starts(&world.plan()).len(), 1);
-    write_all(&mut world, 2);
-    assert!(starts(&world.plan()).is_empty());
+    harness.cell.configure([("queue".into(), keyed)]);
+    submit(&mut harness, 1, Origin::Unknown, vec![step(3)]);
+    harness.plan();
+    write_all(&mut harness, 1);
+    assert_eq!(starts(&harness.plan()).len(), 1);
+    write_all(&mut harness, 2);
+    assert!(starts(&harness.plan()).is_empty());
 }
 
 /// Guards against exceeding a limit before the splits are read: until then, no limited task may
 /// start.
 #[test]
 fn nothing_limited_starts_before_the_splits_are_read() {
-    let mut world = Harness::new(1);
-    world.cell.configure_limits([(TEAM.into(), limit(5))], 1, world.now);
-    submit(&mut world, 1, team(), vec![step(1)]);
-    assert!(world.plan().is_empty());
-    assert!(!write_all(&mut world, 1));
+    let mut harness = Harness::new(1);
+    harness.cell.configure_limits([(TEAM.into(), limit(5))], 1, harness.now);
+    submit(&mut harness, 1, team(), vec![step(1)]);
+    assert!(harness.plan().is_empty());
+    assert!(!write_all(&mut harness, 1));
 }
 
 /// Rows of a release that stored no workspace decode with an unknown origin.
@@ -282,10 +282,10 @@
 /// Guards against one workspace reading or cancelling another one's job.
 #[test]
 fn a_job_is_visible_only_to_its_workspace() {
-    let mut world = Harness::new(1);
-    submit(&mut world, 1, team(), vec![step(1)]);
+    let mut harness = Harness::new(1);
+    submit(&mut harness, 1, team(), vec![step(1)]);
     let (own, other) = (team(), Origin::Workspace("other".into()));
-    assert!(world.cell.state_for(&id(1), &own).is_some());
-    assert!(world.cell.state_for(&id(1), &other).is_none());
+    assert!(harness.cell.state_for(&id(1), &own).is_some());
+    assert!(harness.cell.state_for(&id(1), &other).is_none());
     assert!(own.may_access(&Origin::Public) && Origin::Public.may_access(&own));
 }
--- a/crates/engine/tests/all/quota/model.rs
+++ b/crates/engine/tests/all/quota/model.rs
@@ -24,7 +24,7 @@
 /// The same while a task waits that needs more than half of the limit, for which others must end
 /// first.
 const MAX_WAIT_BESIDE_LARGE_TASK: Duration = Duration::from_millis(3000);
-const ROOM: Resources = Resources { cpu: 1 << 30, memory_mb: 1 << 30, gpu: 0 };
+const FREE_CAPACITY: Resources = Resources { cpu: 1 << 30, memory_mb: 1 << 30, gpu: 0 };
 const LIMITS: [u64; 5] = [40, 100, 20, 8, 60];
 
 /// Guards that are disabled to show that the checks detect what they guard against.
@@ -300,7 +300,7 @@
         if now < owner.busy_until || now < owner.isolated_until {
             return;
         }
-        let Some(change) = owner.account.next_change(&ROOM, now) else { return };
+        let Some(change) = owner.account.next_change(&FREE_CAPACITY, now) else { return };
         let fate = if now < FAULTS_END { self.random.random_range(0..20) } else { 19 };
         let owner = &mut self.cells[cell].owners[index];
         owner.busy_until = now + Duration::from_millis(20);
--- a/crates/engine/tests/all/restarts.rs
+++ b/crates/engine/tests/all/restarts.rs
@@ -48,7 +48,7 @@
         self.answer_with(Vec::new());
     }
 
-    /// Discards acknowledged ends and answers a hold with `listed` as the running tasks.
+    /// Discards acknowledged ends and answers a poll with `listed` as the running tasks.
     fn answer_with(&mut self, listed: Vec<(TaskName, u32)>) {
         let known = self.harness.cell.minion(&Harness::minion(0));
         let acknowledged = known.map_or(0, |minion| minion.acknowledged());
@@ -167,8 +167,8 @@
     assert_eq!(scenario.harness.start_all().len(), 1);
 }
 
-/// Guards against starts beyond the capacity of a restarted minion whose entry predates the
-/// restart, and against starts on a minion that hasn't answered since its entry showed a restart.
+/// Guards against starts beyond the capacity of a restarted minion whose listing predates the
+/// restart, and against starts on a minion that hasn't answered since its listing showed a restart.
 #[test]
 fn nothing_is_started_before_the_new_incarnation_is_listed_and_has_answered() {
     let mut scenario = RestartScenario::new();
@@ -190,7 +190,7 @@
 
 /// Guards against endless starts of a task that crashes a minion which restarts under the same id.
 #[test]
-fn a_task_that_crashes_a_minion_which_keeps_its_id_is_given_up() {
+fn a_task_that_crashes_a_minion_which_keeps_its_id_fails_its_job() {
     let mut scenario = RestartScenario::new();
     scenario.harness.submit(1, definition(vec![step(1)]));
     let mut starts = 0;
--- a/crates/engine/tests/all/runs.rs
+++ b/crates/engine/tests/all/runs.rs
@@ -47,10 +47,10 @@
     assert_eq!(stops(&harness.plan()).len(), 1);
 }
 
-/// A minion that is cut off continues its runs until its lease expires.  Restarted before that, its
+/// A disconnected minion continues its runs until its lease expires.  Restarted before that, its
 /// tasks would run twice; never restarted, their jobs would be lost.
 #[test]
-fn runs_of_a_silent_minion_are_given_up_after_their_lease_has_lapsed() {
+fn runs_of_a_silent_minion_are_requeued_after_their_lease_has_expired() {
     let mut harness = Harness::new(2);
     harness.submit(1, definition(vec![step(1)]));
     let (minion, name, run) = harness.start_all().remove(0);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_start_without_room_waits_for_the_next_report() {
+fn a_start_refused_for_lack_of_capacity_waits_for_the_next_report() {
     let mut harness = Harness::new(1);
     harness.submit(1, definition(vec![step(1)]));
     let (minion, name, run) = starts(&harness.plan()).remove(0);
@@ -395,7 +395,7 @@
 }
 
 /// Guards against a task that counts as placed forever, although its minions are idle.  A start was
-/// executed late, after its run had been given up and a newer run had failed elsewhere.  When the
+/// executed late, after its task had been requeued and a newer run had failed elsewhere.  When the
 /// late run ended, its end was ignored as that of an older run.
 #[test]
 fn the_end_of_a_late_run_lets_its_task_start_again() {
@@ -443,8 +443,8 @@
     harness.plan();
     harness.advance_ms(1100);
     harness.plan();
-    let notes = harness.cell.take_events();
-    let idle = notes.iter().find_map(|note| match note {
+    let events = harness.cell.take_events();
+    let idle = events.iter().find_map(|event| match event {
         Event::Idle { task, placed: None, blockers } => Some((*task, blockers.clone())),
         _ => None,
     });
--- a/crates/engine/tests/all/submission.rs
+++ b/crates/engine/tests/all/submission.rs
@@ -1,4 +1,4 @@
-//! Tests of when an entry gives up on a submission.
+//! Tests of when an entry stops retrying a submission.
 
 use celerythread_engine::submission::{Attempt, retry_after_s, usable_time};
 use std::time::Duration;
@@ -7,11 +7,11 @@
     Duration::from_millis(ms)
 }
 
-/// Guards against holding callers until their deadline in a zone that is cut off from the store.
-/// They got the outcome `unknown` after 2.85 s, had a tenth of a second left to ask an entry of
-/// another zone, and were refused for lack of time.
+/// Guards against holding callers until their deadline in a zone that is disconnected from the
+/// store.  They got the outcome `unknown` after 2.85 s, had a tenth of a second left to ask an
+/// entry of another zone, and were refused for lack of time.
 #[test]
-fn a_caller_of_an_entry_that_is_cut_off_has_time_left_for_another_one() {
+fn a_caller_of_a_disconnected_entry_has_time_to_ask_another_one() {
     let attempt = |elapsed| Attempt {
         elapsed,
         remaining: ms(2850) - elapsed,
@@ -19,12 +19,12 @@
         unanswered: true,
         ..Attempt::default()
     };
-    let over = (0..2850).step_by(50).map(ms).find(|elapsed| attempt(*elapsed).should_give_up());
-    let over = over.expect("gives up before the deadline");
-    assert!(over * 4 <= ms(2850), "four attempts fit into a caller's time: {over:?}");
+    let elapsed = (0..2850).step_by(50).map(ms).find(|elapsed| attempt(*elapsed).should_give_up());
+    let elapsed = elapsed.expect("gives up before the deadline");
+    assert!(elapsed * 4 <= ms(2850), "four attempts fit into a caller's time: {elapsed:?}");
 }
 
-/// Guards against giving up too early.  A store that is a hundred times slower than usual answers
+/// Guards against stopping too early.  A store that is a hundred times slower than usual answers
 /// reads after 0.4 s and writes a little later.  Treated as unresponsive, it would never complete a
 /// submission.
 #[test]
@@ -35,10 +35,10 @@
     assert_eq!(slow.write_timeout(), ms(850));
 }
 
-/// The store may refuse one entry and serve others, so a submission isn't given up as long as there
-/// is another entry to ask.
+/// The store may refuse one entry and serve others, so a submission is retried as long as there is
+/// another entry to ask.
 #[test]
-fn peers_are_asked_before_a_submission_is_given_up() {
+fn peers_are_asked_before_a_submission_fails() {
     let silent = Attempt {
         elapsed: ms(2000),
         remaining: ms(800),
@@ -67,7 +67,7 @@
     assert_eq!(usable_time(ms(0)), ms(0));
 }
 
-/// A caller that is told to retry after a second, but has less time than that, never retries.
+/// A caller that is asked to retry after a second, but has less time than that, never retries.
 #[test]
 fn retry_after_fits_the_remaining_time() {
     assert_eq!(retry_after_s(ms(2500)), 1);
--- a/crates/engine/tests/all/takeover.rs
+++ b/crates/engine/tests/all/takeover.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn inherited_tasks_start_after_the_former_owners_leases_have_lapsed() {
+fn inherited_tasks_start_after_the_former_owners_leases_have_expired() {
     let mut harness = successor(1);
     harness.cell.inherit_minion(&"gone".into());
     harness.add_job(1, definition(vec![step(1)]), true);
--- a/crates/engine/tests/all/termination.rs
+++ b/crates/engine/tests/all/termination.rs
@@ -16,9 +16,8 @@
 }
 
 /// Guards against a new owner that waits for a minion which was shut down for maintenance.  If its
-/// machine goes down just before the cell changes owner, the minion's entry stays listed for some
-/// seconds; nothing of the inherited jobs was started for six seconds, with thirty machines in the
-/// pool.
+/// machine goes down just before the cell changes owner, the minion stays listed for some seconds;
+/// nothing of the inherited jobs was started for six seconds, with thirty machines in the pool.
 #[test]
 fn a_minion_whose_machine_has_another_one_is_over() {
     let machines = machines(&[("m1", Some("new")), ("m2", None)]);
--- a/crates/engine/tests/all/timeout.rs
+++ b/crates/engine/tests/all/timeout.rs
@@ -6,7 +6,7 @@
 /// Half of the answers are lost.  With a timeout of a second each, callers would miss their
 /// deadlines, although a retry is answered within milliseconds.
 #[test]
-fn a_lost_answer_costs_little_while_others_come_fast() {
+fn a_lost_answer_times_out_soon_while_others_are_fast() {
     let mut timeout = Timeout::default();
     for _ in 0..20 {
         timeout.record_answer(Duration::from_millis(8));
--- a/crates/engine/tests/all/turns.rs
+++ b/crates/engine/tests/all/turns.rs
@@ -173,10 +173,10 @@
 }
 
 /// A third of the idle machines was moved to a pool whose turn doesn't come.  They have run no
-/// tasks there, so the pool with the turn must get them at once, not after the least stay of three
-/// seconds.
+/// tasks there, so the pool with the turn must get them at once, not after the minimum stay of
+/// three seconds.
 #[test]
-fn machines_moved_ahead_in_vain_can_leave_at_once() {
+fn machines_moved_to_the_wrong_pool_can_leave_at_once() {
     let mut fleet = Fleet::new();
     fleet.turn("a", 500);
     let ahead = loop {
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -85,7 +85,7 @@
         match result {
             Ok(page) => {
                 sink.read_answered();
-                note_unreadable(node, table, &page);
+                log_unreadable_rows(node, table, &page);
                 apply_page(page, version, sink);
                 sink.read_applied();
             }
@@ -107,7 +107,7 @@
 }
 
 /// Logs unreadable rows.  They do not prevent the others from being applied.
-fn note_unreadable(node: &Node, table: &Table, page: &Page) {
+fn log_unreadable_rows(node: &Node, table: &Table, page: &Page) {
     if page.unreadable > 0 {
         let fields: [(&'static str, &dyn std::fmt::Display); 3] =
             [("table", &table.name), ("rows", &page.unreadable), ("version", &page.version)];
@@ -133,7 +133,7 @@
         node.record_store_result(&result);
         if let Ok(page) = result {
             sink.read_answered();
-            note_unreadable(node, table, &page);
+            log_unreadable_rows(node, table, &page);
             sink.replace(page.rows, page.version);
             sink.read_applied();
             return Some(page.version);
--- a/crates/scheduler/src/front.rs
+++ b/crates/scheduler/src/front.rs
@@ -12,7 +12,7 @@
 use celerythread_adapter::credential;
 use celerythread_adapter::store::{Error, Transaction};
 use celerythread_adapter::submission;
-use celerythread_engine::job::{Accepted, Id, Origin, Problem, State, encode};
+use celerythread_engine::job::{Accepted, DefinitionError, Id, Origin, State, encode};
 use celerythread_engine::submission::{Attempt, retry_after_s, usable_time};
 use celerythread_engine::time::Time;
 use celerythread_http::Fault;
@@ -215,7 +215,7 @@
         };
         if let Err(problem) = definition.check() {
             let status = match problem {
-                Problem::TooLarge { .. } => StatusCode::PayloadTooLarge,
+                DefinitionError::TooLarge { .. } => StatusCode::PayloadTooLarge,
                 _ => StatusCode::BadRequest,
             };
             return self.reject(context, id, status, &problem);
--- a/crates/scheduler/src/owner/supervisor.rs
+++ b/crates/scheduler/src/owner/supervisor.rs
@@ -323,7 +323,9 @@
     let known = (*supervisor.clock.lock())?;
     let term_ms = owner.node.settings.run_lease.0.as_millis() as u64;
     let deadline_ms = known.now_ms(clock::now()) + term_ms;
-    owner.with(|cell| cell.extend_lease_expiry(&supervisor.target.id, known.passes(deadline_ms)));
+    owner.with(|cell| {
+        cell.extend_lease_expiry(&supervisor.target.id, known.latest_time_of(deadline_ms))
+    });
     Some(deadline_ms)
 }
 
--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -14,7 +14,7 @@
             ("owner stopped", &["a_stopping_owner_hands_over_and_ends"]),
             ("all entries killed", &["accepted_jobs_survive_the_loss_of_all_entries"]),
             ("starts answered late or never", &["unanswered_starts_run_nothing_twice"]),
-            ("minion disconnected", &["a_silent_worker_keeps_its_tasks_until_their_lease_lapses"]),
+            ("minion disconnected", &["a_silent_worker_keeps_its_tasks_until_their_lease_expires"]),
             ("minion crashed", &["tasks_of_a_crashed_worker_run_elsewhere"]),
             (
                 "store refuses calls, does not answer, loses answers",
@@ -84,7 +84,7 @@
             (
                 "a silent minion's runs count until their lease must have expired",
                 "engine::cell::plan::expire_leases",
-                "runs_of_a_silent_minion_are_given_up_after_their_lease_has_lapsed",
+                "runs_of_a_silent_minion_are_requeued_after_their_lease_has_expired",
             ),
             (
                 "an unanswered start is stopped with certainty before its task starts elsewhere",
@@ -117,11 +117,8 @@
         name: "On the platform: a task that crashes its minions takes down few of them, and no other task fails for it",
         cells: &[
             ("it runs alone", &["a_task_that_crashes_its_minions_is_given_up"]),
-            (
-                "other tasks run on the same minions",
-                &["tasks_beside_a_crashing_one_are_not_given_up"],
-            ),
-            ("all tasks of a job", &["a_job_of_crashing_tasks_is_given_up_with_the_first"]),
+            ("other tasks run on the same minions", &["tasks_beside_a_crashing_one_complete"]),
+            ("all tasks of a job", &["a_job_of_crashing_tasks_fails_with_the_first"]),
             (
                 "owner killed",
                 &[
@@ -131,7 +128,7 @@
             ),
             (
                 "owner killed before the crash is known",
-                &["a_trial_is_stored_when_its_minion_falls_silent"],
+                &["a_possible_crash_is_stored_when_a_minion_stops_answering"],
             ),
             (
                 "call lost, answer lost, late; owner killed, paused, partitioned; minion crashed or disconnected; table unavailable: \
@@ -139,21 +136,15 @@
                 &["every_fault_at_every_call", "several_faults"],
             ),
             ("the store is unavailable", &["a_suspected_task_waits_until_its_suspicion_is_stored"]),
-            (
-                "minions go down together",
-                &["a_task_on_minions_that_went_down_together_is_not_given_up"],
-            ),
-            (
-                "minions are disconnected",
-                &["tasks_of_minions_that_are_cut_off_start_again_together"],
-            ),
+            ("minions go down together", &["a_loss_with_a_common_cause_fails_no_job"]),
+            ("minions are disconnected", &["tasks_of_disconnected_minions_are_restarted_together"]),
             ("minions are emptied or drain", &["planned_minion_shutdowns_raise_no_suspicion"]),
             ("its job is cancelled", &["a_cancelled_job_stays_cancelled"]),
             ("it crashes them only after it has run for five seconds", NOT),
             ("a minion's capacity shrinks", &["nothing_is_started_beyond_a_reduced_capacity"]),
             (
                 "minions restart under the same id",
-                &["a_task_that_crashes_a_minion_which_keeps_its_id_is_given_up"],
+                &["a_task_that_crashes_a_minion_which_keeps_its_id_fails_its_job"],
             ),
         ],
         guards: &[
@@ -165,7 +156,7 @@
             (
                 "suspected tasks of one job are started one at a time, the likeliest cause first",
                 "engine::cell::crash::is_next_suspect",
-                "a_job_of_crashing_tasks_is_given_up_with_the_first",
+                "a_job_of_crashing_tasks_fails_with_the_first",
             ),
             (
                 "suspected tasks are not on trial on one minion at the same time",
@@ -180,7 +171,7 @@
             (
                 "a possible crash is persisted for tasks on trial when their minion becomes silent",
                 "engine::cell::crash::mark_possible_crash",
-                "a_trial_is_stored_when_its_minion_falls_silent",
+                "a_possible_crash_is_stored_when_a_minion_stops_answering",
             ),
             (
                 "a suspected task is started only after its suspicion is persisted",
@@ -190,7 +181,7 @@
             (
                 "losses of minions with a common cause count against no single task",
                 "engine::cell::crash::has_common_cause",
-                "a_task_on_minions_that_went_down_together_is_not_given_up",
+                "a_loss_with_a_common_cause_fails_no_job",
             ),
             (
                 "a silent minion remains marked for emptying",
@@ -230,7 +221,7 @@
             (
                 "a caller of a disconnected entry has time left to retry at another one",
                 "engine::submission::Attempt::should_give_up",
-                "a_caller_of_an_entry_that_is_cut_off_has_time_left_for_another_one",
+                "a_caller_of_a_disconnected_entry_has_time_to_ask_another_one",
             ),
             (
                 "nothing is written to an unavailable store",
@@ -346,10 +337,10 @@
             ),
             (
                 "owners killed, paused, partitioned, replaced while alive; writes lost, late, refused; limits lowered",
-                &["a_limit_holds_under_all_drawn_faults"],
+                &["a_limit_holds_under_random_faults"],
             ),
             ("owner killed", &["a_limit_holds_over_services_and_killed_owners"]),
-            ("owner paused and resumed", &["a_limit_holds_when_a_frozen_owner_wakes"]),
+            ("owner paused and resumed", &["a_limit_holds_when_a_paused_owner_resumes"]),
             ("answers to share changes lost", &["a_limit_holds_while_the_store_loses_answers"]),
             (
                 "limit lowered",
@@ -444,7 +435,7 @@
             (
                 "the stale rows of any number of machines are deleted",
                 "scheduler::fleet::emptying::delete_in_chunks",
-                "any_number_of_stale_emptying_rows_is_dropped",
+                "any_number_of_stale_emptying_rows_is_deleted",
             ),
             (
                 "a pool with a large backlog does not get all machines",
--- a/tests/all/site/explain.rs
+++ b/tests/all/site/explain.rs
@@ -26,9 +26,9 @@
     .await;
 }
 
-/// Guards against a held job being explained by a lack of room instead of its workspace's limit.
-/// That happened when the owner logged the limit a millisecond before the accepting entry logged
-/// the job.
+/// Guards against a held job being explained by a lack of capacity instead of its workspace's
+/// limit.  That happened when the owner logged the limit a millisecond before the accepting entry
+/// logged the job.
 #[test]
 fn a_held_job_is_explained_in_any_order_of_log_lines() {
     let line = |ms: u32, event: &str, kvs: Value| {
@@ -65,9 +65,9 @@
     wait_for_cause(&deployment, &id(1), &["refused as not run", "had lost the store", "503"]).await;
 }
 
-/// A job is late because its minion became unresponsive and its lease had to lapse.
+/// A job is late because its minion stopped answering and its lease had to expire.
 #[async_std::test]
-async fn a_late_job_is_explained_by_the_minion_that_fell_silent() {
+async fn a_late_job_is_explained_by_the_minion_that_stopped_answering() {
     let deployment = Deployment::start("explain-late", 1, 2).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "ms=1500").await, 200);
     let worker = eventually("the task runs", async || {
@@ -82,7 +82,7 @@
 
 /// A job fails because its task crashed the minions that started it.
 #[async_std::test]
-async fn a_job_that_was_given_up_is_explained_by_the_minions_that_it_crashed() {
+async fn a_job_that_failed_by_crashes_is_explained_by_the_crashed_minions() {
     let deployment = Deployment::start("explain-crash", 1, 4).await;
     assert_eq!(deployment.submit(0, &id(1), 1, "crash").await, 200);
     deployment.wait_for_state(0, &id(1), "failed").await;
--- a/tests/all/site/loss.rs
+++ b/tests/all/site/loss.rs
@@ -44,8 +44,8 @@
 }
 
 /// Guards against lost and repeated runs when the owner is killed while tasks run and reports of
-/// ended runs are under way.  The successor must adopt what runs, keep what has ended, and run
-/// nothing a second time.
+/// ended runs are under way.  The successor must adopt current runs, retain the results of ended
+/// ones, and run nothing a second time.
 #[async_std::test]
 async fn a_killed_owner_is_replaced_and_nothing_runs_twice() {
     let mut deployment = Deployment::start("kill", 3, 3).await;
@@ -155,10 +155,10 @@
     assert_once(&deployment, &answers, 2);
 }
 
-/// A worker is cut off and continues to run; its tasks are restarted only after their leases have
-/// expired.
+/// A worker is disconnected and continues to run; its tasks are restarted only after their leases
+/// have expired.
 #[async_std::test]
-async fn a_silent_worker_keeps_its_tasks_until_their_lease_lapses() {
+async fn a_silent_worker_keeps_its_tasks_until_their_lease_expires() {
     let mut deployment = Deployment::start("cut", 2, 2).await;
     let answers = submit_through(&mut deployment, 20, 2, "ms=900", |deployment, number| {
         if number == 5 {
--- a/tests/all/site/maintenance.rs
+++ b/tests/all/site/maintenance.rs
@@ -2,8 +2,9 @@
 
 use super::*;
 
-/// A wave covers all machines while a lasting job runs that may miss one task.  Guards against
-/// maintenance that ends running tasks, or takes more machines down at once than the wave allows.
+/// A wave covers all machines while a long-running job runs that may have one task unavailable.
+/// Guards against maintenance that ends running tasks, or takes more machines down at once than the
+/// wave allows.
 #[async_std::test]
 async fn a_wave_is_completed_without_ending_what_runs() {
     let deployment = Deployment::start("wave", 2, 5).await;
--- a/tests/all/site/store.rs
+++ b/tests/all/site/store.rs
@@ -4,7 +4,7 @@
 use celerythread_standin::site::check;
 use celerythread_standin::site::store::Trouble;
 
-/// Submits jobs one after the other, with the store in trouble from the tenth to the thirtieth.
+/// Submits jobs one after the other, with the store failing from the tenth to the thirtieth.
 async fn submit_during(
     test: &'static str,
     trouble: Trouble,
@@ -23,8 +23,8 @@
     (deployment, answers)
 }
 
-/// Refused jobs never ran, and accepted jobs ran once.  A job whose caller wasn't told the outcome
-/// may be either.
+/// Refused jobs never ran, and accepted jobs ran once.  A job whose caller got no outcome may be
+/// either.
 async fn check_outcomes(deployment: &Deployment, answers: &BTreeMap<String, u16>) {
     for (job, _) in answers.iter().filter(|(_, status)| **status == 200) {
         deployment.wait_for_state(0, job, "completed").await;
@@ -52,7 +52,7 @@
 }
 
 /// Guards against reporting a job as refused when its transaction was committed and the answer
-/// lost.  Callers must be told that the outcome is unknown.
+/// lost.  Callers must get an unknown outcome.
 #[async_std::test]
 async fn lost_answers_of_the_store_are_not_taken_for_refusals() {
     let (deployment, answers) = submit_during("store-loses", Trouble::LosesAnswers).await;
@@ -71,9 +71,9 @@
     }
 }
 
-/// Guards against refusing callers of a burst, or leaving them in doubt, for as long as the store
-/// is slow.  Each unanswered write was sent again and each copy queued in its partition, until no
-/// write was answered in time for its caller.
+/// Guards against refusing callers of a burst, or giving them unknown outcomes, for as long as the
+/// store is slow.  Each unanswered write was sent again and each copy queued in its partition,
+/// until no write was answered in time for its caller.
 #[async_std::test]
 async fn a_slow_store_takes_in_a_burst() {
     const JOBS: u32 = 60;
@@ -120,7 +120,7 @@
     assert!(deployment.entries.iter().all(|entry| !entry.has_logged("cell_lost")));
 }
 
-/// Guards against callers that wait forever because of another writer's entries among the minions':
+/// Guards against callers that wait forever because of another writer's rows in the minion table:
 /// with missing fields, fields of another type, unknown states, keys that no header can hold, or
 /// unreadable bytes.  Either nothing of their page was applied, or tasks were sent to minions that
 /// don't exist.
@@ -149,11 +149,11 @@
     assert_eq!(check::once(&history), Vec::<String>::new());
 }
 
-/// Guards against machines that get no work after they were once to be emptied.  A former fleet
-/// controller left more rows than one transaction may drop; the next one sent them all the same,
-/// and the transaction was refused each time.
+/// Guards against machines that get no work after a request to empty them.  A former fleet
+/// controller left more rows than one transaction may delete; the next one sent them in one
+/// transaction all the same, and the transaction was refused each time.
 #[async_std::test]
-async fn any_number_of_stale_emptying_rows_is_dropped() {
+async fn any_number_of_stale_emptying_rows_is_deleted() {
     let deployment = Deployment::start("store-many", 1, 2).await;
     for number in 0..130 {
         let key = format!("emptying/old-{number}");
@@ -166,9 +166,9 @@
     }
 }
 
-/// Guards against reporting unknown outcomes while the store is unavailable for some seconds at a
-/// turn's peak.  Each job was sent to the store although it was known to be unavailable, so callers
-/// could not submit it again.  Callers that are told that it didn't run retry and are served.
+/// Guards against reporting unknown outcomes while the store is unavailable for some seconds at
+/// peak load.  Each job was sent to the store although it was known to be unavailable, so callers
+/// could not submit it again.  Callers whose job is refused as not run retry and are served.
 #[async_std::test]
 async fn jobs_are_refused_during_a_store_outage() {
     let deployment = Deployment::start("store-away", 2, 2).await;
--- a/tests/all/site/workspaces.rs
+++ b/tests/all/site/workspaces.rs
@@ -161,7 +161,7 @@
 }
 
 /// Guards against an isolated entry that accepts keys which it cannot confirm, although
-/// `strict_keys` is set.  Without that setting it must go on serving.
+/// `strict_keys` is set.  Without that setting it must continue to serve.
 #[async_std::test]
 async fn an_isolated_entry_refuses_keys_only_with_strict_keys() {
     for (strict, wanted) in [("strict_keys = true\ntrust_keys_for = 1500ms\n", true), ("", false)] {
@@ -298,7 +298,7 @@
 /// Guards against an owner that is suspended for longer than its term, resumes, and starts tasks
 /// based on outdated shares.
 #[async_std::test]
-async fn a_limit_holds_when_a_frozen_owner_wakes() {
+async fn a_limit_holds_when_a_paused_owner_resumes() {
     let deployment = start_limited("limit-frozen", 4).await;
     let first = submit_all(&deployment, 4, "ms=300").await;
     let owner = deployment.owner().unwrap();
@@ -329,7 +329,7 @@
     assert_limited(&deployment, 6);
 }
 
-/// Guards against a share that is used twice because the answer to its transfer was lost.
+/// Guards against a share that is used twice because the answer to its change was lost.
 #[async_std::test]
 async fn a_limit_holds_while_the_store_loses_answers() {
     use celerythread_standin::site::store::Trouble;
