--- a/crates/engine/src/maintenance.rs
+++ b/crates/engine/src/maintenance.rs
@@ -2,13 +2,13 @@
 //!
 //! A machine's maintenance ends everything that runs on it at once, so it is emptied first: the
 //! owner of its cell moves its long-running tasks, within the number that may be unavailable, and
-//! lets the others finish.  Machines that are off or idle go first; [`pace`] limits how many of
+//! lets the others finish.  Machines that are off or idle go first; [`concurrency`] limits how many of
 //! the others are out of service at a time.
 
-mod pace;
+mod concurrency;
 
 use crate::time::Time;
-use pace::{Pace, Window};
+use concurrency::{Concurrency, Window};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -118,7 +118,7 @@
     ordered_at: BTreeMap<String, Time>,
     /// Machines that this planner asked to be emptied, with the time of the request.
     emptying_since: BTreeMap<String, Time>,
-    pace: Pace,
+    concurrency: Concurrency,
 }
 
 /// The input of one round of planning.
@@ -189,7 +189,7 @@
         }
         let asked = self.emptying_since.remove(machine);
         if let (Some(asked), Some(ordered)) = (asked, self.ordered_at.get(machine)) {
-            self.pace.observe(ordered.since(asked));
+            self.concurrency.observe(ordered.since(asked));
         }
     }
 
@@ -293,9 +293,10 @@
         }
         let max = wave.at_once + self.settings.extra_emptying;
         let down_time = self.settings.duration + self.settings.list_lag;
-        let paced = self.pace.out_of_service_target(open.len(), wave.window(wall_ms), down_time);
+        let target =
+            self.concurrency.out_of_service_target(open.len(), wave.window(wall_ms), down_time);
         candidates.sort();
-        let slots = Slots { max, paced_max: paced.unwrap_or(max).min(max), in_use };
+        let slots = Slots { max, non_idle_max: target.unwrap_or(max).min(max), in_use };
         for (machine, minion) in slots.choose(&candidates) {
             actions.push(Action::Empty { machine: machine.into(), minion: minion.into() });
         }
@@ -322,7 +323,7 @@
     /// The number of slots.
     max: usize,
     /// The number of slots that machines which aren't idle may use.
-    paced_max: usize,
+    non_idle_max: usize,
     in_use: usize,
 }
 
@@ -350,7 +351,7 @@
         let mut long_running = with_occupation(|one| one == Occupation::LongRunning);
         let mut working = with_occupation(|one| matches!(one, Occupation::Working(_)));
         let mut is_long_running_next = false;
-        while self.in_use < self.paced_max {
+        while self.in_use < self.non_idle_max {
             is_long_running_next = !is_long_running_next;
             let next = if is_long_running_next {
                 long_running.next().or_else(|| working.next())
--- a/crates/engine/src/maintenance/pace.rs
+++ b/crates/engine/src/maintenance/concurrency.rs
@@ -34,19 +34,19 @@
     }
 }
 
-/// The pace of this planner's waves, measured on the machines that it emptied.
+/// The concurrency of this planner's waves, derived from the time that machines took to empty.
 #[derive(Debug)]
-pub(crate) struct Pace {
+pub(crate) struct Concurrency {
     mean_emptying: Duration,
 }
 
-impl Default for Pace {
+impl Default for Concurrency {
     fn default() -> Self {
         Self { mean_emptying: INITIAL_EMPTYING_TIME }
     }
 }
 
-impl Pace {
+impl Concurrency {
     /// Records how long a machine took from the request to empty until it went down.
     pub(crate) fn observe(&mut self, duration: Duration) {
         self.mean_emptying =
--- a/crates/engine/src/ownership.rs
+++ b/crates/engine/src/ownership.rs
@@ -45,8 +45,8 @@
 ///
 /// Only the loss of a holder affects callers, so holders renew as often as if they were the only
 /// entries.  With one interval for all, 147 entries renewed every 2.65 s and had a term of 8 s: a
-/// cell whose holder was cut off stalled for that long, and a holder gave orders only in the first
-/// 1.5 s after each renewal.
+/// cell whose holder was disconnected stalled for that long, and a holder gave orders only in the
+/// first 1.5 s after each renewal.
 pub fn renewal_interval(min: Duration, entries: usize, cells: usize, owns: bool) -> Duration {
     let renewing = if owns { cells } else { entries };
     min.max(RENEWAL_INTERVAL_PER_ENTRY * renewing as u32)
@@ -188,8 +188,8 @@
         .filter(|(name, entry)| !entry.stopping && (name.as_str() == me || !silent(entry)))
         .map(|(name, _)| name)
         .collect();
-    // Entries without cells renew rarely, so those cut off together with the holder's availability
-    // zone still count as alive.  Entries that renewed after the holder precede them.
+    // Entries without cells renew rarely, so those disconnected together with the holder's
+    // availability zone still count as alive.  Entries that renewed after the holder precede them.
     let holder_seen =
         holding.and_then(|holding| entries.get(&holding.holder)).map(|row| row.last_renewal);
     candidates.sort_by_key(|name| {
--- a/crates/engine/src/submission.rs
+++ b/crates/engine/src/submission.rs
@@ -1,6 +1,6 @@
 //! When an entry stops retrying a submission and answers its caller.
 //!
-//! If an availability zone is cut off from the platform's store, its callers still reach its
+//! If an availability zone is disconnected from the platform's store, its callers still reach its
 //! entries, but these can't write.  An entry that retried until the deadline would leave the caller
 //! some 100 ms for another entry, and the submission would be lost.  Answering early lets the
 //! caller retry in time; within three seconds the load balancer routes it to another zone.  A store
--- a/crates/engine/tests/all/ownership.rs
+++ b/crates/engine/tests/all/ownership.rs
@@ -188,8 +188,8 @@
     assert!(take("weak", 4) && !take("strong", 4), "ten for each core against eight");
 }
 
-/// One of 147 entries holds a cell and is cut off.  If its term were as long as that of entries
-/// without cells, its cell would stall for eight seconds.
+/// One of 147 entries holds a cell and is disconnected.  If its term were as long as that of
+/// entries without cells, its cell would stall for eight seconds.
 #[test]
 fn a_holder_among_many_entries_is_missed_as_soon_as_among_few() {
     let least = Duration::from_millis(300);
@@ -204,9 +204,9 @@
     );
 }
 
-/// An availability zone is cut off with the holder of a cell and thirty entries without one, which
-/// renew rarely and still count as alive.  Each of them that precedes a reachable entry would delay
-/// the takeover.
+/// An availability zone is disconnected with the holder of a cell and thirty entries without one,
+/// which renew rarely and still count as alive.  Each of them that precedes a reachable entry would
+/// delay the takeover.
 #[test]
 fn entries_seen_since_the_holder_come_before_those_that_may_be_cut_off_with_it() {
     let names = ["a", "b", "c", "d", "e", "f", "holder"];
--- a/crates/engine/tests/all/quota.rs
+++ b/crates/engine/tests/all/quota.rs
@@ -21,8 +21,8 @@
     given.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_DRAWS)
 }
 
-/// Guards against a workspace exceeding its limit when owners crash, stall or are cut off, and when
-/// transactions are lost, late or unanswered; and against tasks that wait forever after such
+/// Guards against a workspace exceeding its limit when owners crash, stall or are disconnected, and
+/// when transactions are lost, late or unanswered; and against tasks that wait forever after such
 /// faults.
 #[test]
 fn a_limit_holds_under_random_faults() {
--- a/crates/engine/tests/all/quota/model.rs
+++ b/crates/engine/tests/all/quota/model.rs
@@ -1,5 +1,5 @@
-//! Simulation of cells whose owners crash, stall and are cut off, of a store that loses answers,
-//! and of the runs that actually exist.
+//! Simulation of cells whose owners crash, stall and are disconnected, of a store that loses
+//! answers, and of the runs that actually exist.
 
 use celerythread_engine::job::Resources;
 use celerythread_engine::quota::{Account, Change, Holder, Limit, Split};
@@ -179,7 +179,7 @@
                 self.take_over(cell, false);
             }
             3..6 => {
-                // The owner stalls or is cut off, and is replaced although it is alive.
+                // The owner stalls or is disconnected, and is replaced although it is alive.
                 let owner = self.cells[cell].owners.last_mut().unwrap();
                 if span.as_millis().is_multiple_of(2) {
                     owner.paused_until = now + span;
--- a/crates/engine/tests/all/restarts.rs
+++ b/crates/engine/tests/all/restarts.rs
@@ -33,7 +33,7 @@
         self.answer();
     }
 
-    /// Starts a new incarnation that the cell hasn't been told of.
+    /// Starts a new incarnation that the cell doesn't know yet.
     fn start_incarnation(&mut self) {
         self.incarnation += 1;
         self.ends.clear();
--- a/crates/engine/tests/all/takeover.rs
+++ b/crates/engine/tests/all/takeover.rs
@@ -177,8 +177,8 @@
 }
 
 /// Guards against a task that runs on after its job was cancelled.  Its start was sent before the
-/// cancellation and executed twelve seconds later on a minion that was cut off, after the sending
-/// entry had terminated.  The next owner stops the run as soon as the minion reports it.
+/// cancellation and executed twelve seconds later on a minion that was disconnected, after the
+/// sending entry had terminated.  The next owner stops the run as soon as the minion reports it.
 #[test]
 fn a_late_run_of_a_cancelled_job_is_stopped_by_the_next_owner() {
     let mut harness = successor(2);
--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -17,7 +17,7 @@
 const QUEUE_CAPACITY: usize = 1000;
 
 /// Maximum number of lines of one event in a second.  Thirty jobs a second with ten decisions each,
-/// spread over eight entries, stay below this; a flood is cut off.
+/// spread over eight entries, stay below this; a flood is truncated.
 const MAX_EVENT_LINES_PER_SECOND: u32 = 60;
 
 /// Field names and values of a line.
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -257,10 +257,10 @@
     /// Which tasks may be started.
     ///
     /// After the silence for which other entries wait before they take over a cell, a successor may
-    /// have adopted what this owner started.  An owner that is cut off together with some of the
-    /// minions would see the other leases expire and start their tasks a second time, on minions
-    /// that its successor can't reach to fence.  So from shortly before that time on it starts only
-    /// tasks that were never started.
+    /// have adopted what this owner started.  An owner that is disconnected together with some of
+    /// the minions would see the other leases expire and start their tasks a second time, on
+    /// minions that its successor can't reach to fence.  So from shortly before that time on it
+    /// starts only tasks that were never started.
     pub(crate) fn permit(&self) -> Permit {
         let Renewal { sent, term, .. } = *self.renewal.lock();
         let silence = clock::now().since(sent) + START_MARGIN;
--- a/crates/scheduler/src/owner.rs
+++ b/crates/scheduler/src/owner.rs
@@ -1,8 +1,8 @@
 //! The owner of a cell: takes it over, carries out its plans, and persists its progress.
 //!
 //! [`load`] reads the stored rows, [`supervisor`] polls and commands one minion, [`persist`] writes
-//! progress, [`advice`] asks for tickets, [`quota`] enforces workspaces' limits, and [`events`] logs
-//! the decisions of plans.  This file holds what they share, the planning loop, and the answers to
+//! progress, [`advice`] asks for tickets, [`quota`] enforces workspaces' limits, and [`events`]
+//! logs the cell's events.  This file holds what they share, the planning loop, and the answers to
 //! other entries' questions.
 
 mod advice;
--- a/crates/scheduler/src/owner/supervisor.rs
+++ b/crates/scheduler/src/owner/supervisor.rs
@@ -162,7 +162,7 @@
     async_std::task::spawn(poll_forever(owner.clone(), supervisor));
 }
 
-/// Polls a minion until it is gone or the cell is lost.
+/// Polls a minion until it needs no supervision any more or the cell is lost.
 async fn poll_forever(owner: Arc<Owner>, supervisor: Arc<Supervisor>) {
     use stop_token::future::FutureExt;
     let stopped = owner.stopped.clone();
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -55,8 +55,8 @@
 /// Writes a job's row on condition that there is none.
 ///
 /// An unanswered write is repeated until its outcome is certain.  A row that already exists is from
-/// this request or an earlier one of the same caller, and is the same job either way.  The caller
-/// may be told that the job will not run only if every attempt was certainly not carried out.
+/// this request or an earlier one of the same caller, and is the same job either way.  The response
+/// may state that the job will not run only if every attempt was certainly not carried out.
 ///
 /// Nothing is written to an unavailable store: it would not be known whether such a write is
 /// carried out later, so the caller could not be asked to retry.
--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -524,12 +524,12 @@
         guards: &[
             (
                 "a wave takes only as many working machines as its window requires",
-                "engine::maintenance::pace",
+                "engine::maintenance::concurrency",
                 "a_wave_takes_no_more_working_machines_than_its_window_requires",
             ),
             (
                 "a wave that falls behind proceeds as fast as allowed",
-                "engine::maintenance::pace",
+                "engine::maintenance::concurrency",
                 "a_wave_that_falls_behind_catches_up",
             ),
             (
