--- a/tests/all/faults/platform.rs
+++ b/tests/all/faults/platform.rs
@@ -196,7 +196,7 @@
         ],
     },
     Promise {
-        name: "On the platform: an accepted job is completed, and a job refused as not run never runs",
+        name: "On the platform: an accepted job is run, and a job refused as not run never runs",
         cells: &[
             ("the same job submitted again", &["a_job_submitted_again_runs_once"]),
             ("bad requests", &["an_invalid_job_is_refused_with_the_matching_status"]),
