--- a/crates/engine/src/cell.rs
+++ b/crates/engine/src/cell.rs
@@ -8,8 +8,8 @@
 //! - [`restart`]: detects a new incarnation of a minion
 //! - [`plan`]: decides which runs to start and stop
 //! - [`place`]: selects a minion for a task
-//! - [`sequence`]: ranks the waiting jobs
-//! - [`keep`]: tracks what must be persisted before a run end may be acknowledged
+//! - [`ranking`]: ranks the waiting jobs
+//! - [`persist`]: tracks what must be persisted before a run end may be acknowledged
 //! - [`advice`]: holds tickets
 //! - [`pace`]: throttles tasks that disturb serving tasks
 //! - [`straggler`]: finds slow minions
@@ -29,17 +29,17 @@
 pub mod advice;
 pub mod crash;
 pub mod idle;
-pub mod keep;
 mod load;
 pub mod minion;
 mod pace;
 pub mod permit;
+pub mod persist;
 pub mod place;
 pub mod plan;
 pub mod quota;
+pub mod ranking;
 pub mod report;
 mod restart;
-pub mod sequence;
 mod straggler;
 pub mod work;
 
@@ -48,9 +48,9 @@
 use crate::time::Time;
 pub use advice::Query;
 pub use idle::Blocker;
-pub use keep::{Batch, EndCursor};
 pub use minion::{Incarnation, Listing, Minion, MinionId};
 pub use permit::Permit;
+pub use persist::{Batch, EndCursor};
 pub use plan::Order;
 pub use quota::Charge;
 pub use report::{End, EndReason, Refusal, Report, Running, StartResult};
@@ -161,7 +161,7 @@
     pub(crate) events: Vec<Event>,
     /// Accounts of the workspaces, which limit what they have running.
     pub(crate) accounts: quota::Accounts,
-    /// Recently lost minions, used to detect losses with a common cause.
+    /// Recent losses of minions, used to detect losses with a common cause.
     pub(crate) recent_losses: Vec<crash::Loss>,
 }
 
@@ -179,7 +179,7 @@
         end: End,
     },
     /// The lease of a run must have expired, so the run counts as ended.
-    Lapsed {
+    LeaseExpired {
         /// The minion.
         minion: MinionId,
         /// The task.
@@ -252,7 +252,8 @@
         /// The run's number.
         run: u32,
     },
-    /// A run was stopped because it makes no progress or is far behind on a slow minion.
+    /// A run was stopped because it makes no progress, or because it is far behind on a slow
+    /// minion.
     Stalled {
         /// The minion.
         minion: MinionId,
@@ -364,7 +365,7 @@
         if let Some(progress) = progress {
             job.restore(progress);
         }
-        // The last owner was lost before it learned of the crash that reached the threshold.
+        // The former owner was lost before it learned of the crash that reached the threshold.
         if !job.state().is_final() && job.crashes_minions() {
             job.fail(now);
             self.changed_jobs.insert(id);
--- a/crates/engine/src/cell/plan.rs
+++ b/crates/engine/src/cell/plan.rs
@@ -124,7 +124,7 @@
             }
             for (task, run) in runs {
                 let run = run.number;
-                self.record_event(Event::Lapsed { minion: id.clone(), task, run, at });
+                self.record_event(Event::LeaseExpired { minion: id.clone(), task, run, at });
                 self.requeue_task(&id, &task, run, now);
             }
         }
@@ -159,10 +159,10 @@
 
     /// Stops the members of gangs that have other members without a run.
     ///
-    /// If a member's start was refused or not answered, the others would wait for it and hold their
-    /// cores until they time out, seconds later, and only then would the gang be tried again.  A
-    /// new owner may still find the missing members, so it stops none before every minion has
-    /// answered.
+    /// If a member's start was refused or not answered, the others would wait for it and occupy
+    /// their cores until they time out, seconds later, and only then would the gang be started
+    /// again.  A new owner may still find the missing members, so it stops none before every minion
+    /// has answered.
     fn stop_broken_gangs(&mut self, now: Time, orders: &mut Vec<Order>) {
         if !self.is_takeover_complete(now) {
             return;
@@ -195,8 +195,8 @@
 
     /// Stops runs that make no progress, and quarantines their minions.
     ///
-    /// A hanging minion keeps answering, so nothing else would detect it, and its tasks would hold
-    /// their jobs until the callers gave up.  A task that stalled on another minion before is
+    /// A hanging minion keeps answering, so nothing else would detect it, and its tasks would delay
+    /// their jobs until the callers stop waiting.  A task that stalled on another minion before is
     /// itself the cause.  Quarantining minions for it would idle one after the other while other
     /// tasks wait for capacity.
     fn stop_stalled(&mut self, now: Time, orders: &mut Vec<Order>) {
@@ -418,12 +418,12 @@
             }
             let no_spread = Default::default();
             let used = spread.as_ref().unwrap_or(&no_spread);
-            let can_try = |id: &str| {
+            let can_host = |id: &str| {
                 let minion = || self.minions.get(id);
                 !suspected || minion().is_some_and(|minion| minion.can_host_suspect(suspicion, now))
             };
             let has_ticket = |id: &str| !needs_ticket || self.ticket(&name, id, now).is_some();
-            let may_run = |id: &str| can_try(id) && has_ticket(id);
+            let may_run = |id: &str| can_host(id) && has_ticket(id);
             let minion = self.find_minion(&step, task, used, now, may_run);
             let minion = minion.or_else(|| self.find_fallback(&step, task, used, now, may_run));
             let Some(minion) = minion else {
--- a/crates/engine/src/cell/quota.rs
+++ b/crates/engine/src/cell/quota.rs
@@ -11,7 +11,8 @@
 /// Minimum time between two changes of a cell's shares.
 const SHARE_CHANGE_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Each split takes a condition and a write, and a transaction is limited to a hundred entries.
+/// Each change takes a condition and a write, and a transaction is limited to a hundred of both
+/// together.
 const MAX_CHANGES_PER_TRANSACTION: usize = 45;
 
 /// The account for jobs whose workspace is unknown.  No configuration gives it a limit, so one of
@@ -129,12 +130,12 @@
             return Vec::new();
         }
         let accepting = self.minions.values().filter(|minion| minion.accepts_tasks(now));
-        let room = accepting.fold(Resources::default(), |sum, minion| sum.plus(&minion.free()));
+        let free = accepting.fold(Resources::default(), |sum, minion| sum.plus(&minion.free()));
         let changes: Vec<Change> = self
             .accounts
             .list
             .iter_mut()
-            .filter_map(|account| account.next_change(&room, now))
+            .filter_map(|account| account.next_change(&free, now))
             .take(MAX_CHANGES_PER_TRANSACTION)
             .collect();
         if !changes.is_empty() {
--- a/crates/engine/src/cell/report.rs
+++ b/crates/engine/src/cell/report.rs
@@ -83,7 +83,7 @@
     pub checkpoint: Option<Box<str>>,
 }
 
-/// A minion's answer to a hold request.
+/// A minion's answer to a poll.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
     /// Incarnation of the minion, if the answer contains one.
@@ -126,7 +126,7 @@
 }
 
 impl Minion {
-    /// Returns the runs absent from the answer to a hold sent at `sent` that were active before
+    /// Returns the runs absent from the answer to a poll sent at `sent` that were active before
     /// then, or whose stop was confirmed before then.
     pub(crate) fn missing_runs(&self, report: &Report, sent: Time) -> Vec<(TaskName, u32)> {
         // A full list of ends may hide the end of a run that is no longer listed.
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Processes a minion's answer to a hold sent at `sent`; returns stops of unwanted runs.
+    /// Processes a minion's answer to a poll sent at `sent`; returns stops of unwanted runs.
     pub fn process_report(
         &mut self,
         id: &MinionId,
@@ -243,7 +243,7 @@
         orders
     }
 
-    /// Stops runs with an unanswered start that are missing from an answer to a later hold, because
+    /// Stops runs with an unanswered start that are missing from an answer to a later poll, because
     /// they may still start.
     fn stop_unanswered(&mut self, id: &MinionId, sent: Time) {
         let Some(minion) = self.minions.get_mut(id) else { return };
@@ -256,7 +256,7 @@
     }
 
     /// Requeues the tasks of runs that the minion no longer lists although it had them when the
-    /// hold was sent, and of unanswered starts that a confirmed stop keeps from running.
+    /// poll was sent, and of unanswered starts that a confirmed stop keeps from running.
     fn drop_vanished_runs(&mut self, id: &MinionId, report: &Report, sent: Time, now: Time) {
         let Some(minion) = self.minions.get(id) else { return };
         let (seen, acknowledged) = (minion.seen, minion.acknowledged);
@@ -412,10 +412,10 @@
             .get(&job.accepted.queue)
             .map_or(crate::cell::Queue::default().attempts, |queue| queue.attempts);
         let step = &job.accepted.definition.steps[end.task.step as usize];
-        let (lasting, gang) = (step.long_running, step.gang);
+        let (long_running, gang) = (step.long_running, step.gang);
         job.started = true;
         match end.reason {
-            EndReason::Done if !lasting => {
+            EndReason::Done if !long_running => {
                 job.finish_task(&end.task);
                 if gang {
                     // The members of a gang complete together, so one such end counts for all.
@@ -428,7 +428,7 @@
                 }
                 return;
             }
-            EndReason::Failed if !lasting => {
+            EndReason::Failed if !long_running => {
                 let cancelled = job.state().is_final();
                 let Some(task) = job.task_mut(&end.task) else { return };
                 if task.phase == Phase::Done {
@@ -515,20 +515,20 @@
         now: Time,
     ) {
         let Some(minion) = self.minions.get_mut(id) else { return };
-        let Some(entry) = minion.runs.get_mut(task).filter(|entry| entry.number == run) else {
+        let Some(known) = minion.runs.get_mut(task).filter(|known| known.number == run) else {
             return;
         };
         match result {
             StartResult::Started => {
-                entry.is_start_confirmed = true;
-                if entry.phase == RunPhase::Ordered {
-                    entry.phase = RunPhase::Active;
-                    entry.progressed_at = now;
+                known.is_start_confirmed = true;
+                if known.phase == RunPhase::Ordered {
+                    known.phase = RunPhase::Active;
+                    known.progressed_at = now;
                 }
             }
             StartResult::Unknown => {
-                if entry.phase == RunPhase::Ordered {
-                    entry.phase = RunPhase::Unanswered { since: now };
+                if known.phase == RunPhase::Ordered {
+                    known.phase = RunPhase::Unanswered { since: now };
                 }
             }
             StartResult::Refused(reason) => {
@@ -553,10 +553,10 @@
     /// Records that a minion confirmed a stop at `now`.
     pub fn confirm_stop(&mut self, id: &MinionId, task: &TaskName, run: u32, now: Time) {
         let Some(minion) = self.minions.get_mut(id) else { return };
-        let Some(entry) = minion.runs.get_mut(task).filter(|entry| entry.number == run) else {
+        let Some(known) = minion.runs.get_mut(task).filter(|known| known.number == run) else {
             return;
         };
-        if let RunPhase::Stopping { confirmed, .. } = &mut entry.phase {
+        if let RunPhase::Stopping { confirmed, .. } = &mut known.phase {
             confirmed.get_or_insert(now);
         }
     }
--- a/crates/engine/tests/all/takeover.rs
+++ b/crates/engine/tests/all/takeover.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn inherited_tasks_start_after_the_former_owners_leases_have_lapsed() {
+fn inherited_tasks_start_after_the_former_owners_leases_have_expired() {
     let mut harness = successor(1);
     harness.cell.inherit_minion(&"gone".into());
     harness.add_job(1, definition(vec![step(1)]), true);
@@ -177,8 +177,8 @@
 }
 
 /// Guards against a task that runs on after its job was cancelled.  Its start was sent before the
-/// cancellation and executed twelve seconds later on a minion that was cut off, after the sending
-/// entry had terminated.  The next owner stops the run as soon as the minion reports it.
+/// cancellation and executed twelve seconds later on a minion that was disconnected, after the
+/// sending entry had terminated.  The next owner stops the run as soon as the minion reports it.
 #[test]
 fn a_late_run_of_a_cancelled_job_is_stopped_by_the_next_owner() {
     let mut harness = successor(2);
--- a/crates/scheduler/src/confirm.rs
+++ b/crates/scheduler/src/confirm.rs
@@ -14,7 +14,8 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// A read takes some 4 ms, and 400 ms when the store is a hundred times slower.
+/// Longest wait for the read.  It takes some 4 ms, and 400 ms when the store is a hundred times
+/// slower.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Evidence that a transaction was committed.
@@ -31,16 +32,16 @@
 ///
 /// # Errors
 /// `Conflict` and `Refused` mean that nothing was written.  `Unanswered` means that the outcome is
-/// unknown, after `limit` or earlier, when a read indicates that the transaction is lost.
+/// unknown, after `timeout` or earlier, when a read indicates that the transaction is lost.
 pub(crate) async fn commit(
     node: &Node,
     change: &Transaction,
-    limit: Duration,
+    timeout: Duration,
     name: &Name,
     is_done: impl Fn(&Row) -> bool,
 ) -> Result<Confirmed, Error> {
     let began = clock::now();
-    let mut answer = pin!(node.commit_with_timeout(change, limit));
+    let mut answer = pin!(node.commit_with_timeout(change, timeout));
     loop {
         let wait = node.commit_timeout.lock().current();
         let overdue = pin!(async_std::task::sleep(wait));
--- a/crates/scheduler/src/front.rs
+++ b/crates/scheduler/src/front.rs
@@ -12,7 +12,7 @@
 use celerythread_adapter::credential;
 use celerythread_adapter::store::{Error, Transaction};
 use celerythread_adapter::submission;
-use celerythread_engine::job::{Accepted, Id, Origin, Problem, State, encode};
+use celerythread_engine::job::{Accepted, DefinitionError, Id, Origin, State, encode};
 use celerythread_engine::submission::{Attempt, retry_after_s, usable_time};
 use celerythread_engine::time::Time;
 use celerythread_http::Fault;
@@ -38,7 +38,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(120);
 
 /// Serves the requests of callers.
-pub(crate) struct Front {
+pub(crate) struct CallerHandler {
     node: Arc<Node>,
 }
 
@@ -97,7 +97,7 @@
     }
 }
 
-impl Front {
+impl CallerHandler {
     pub(crate) fn new(node: Arc<Node>) -> Self {
         Self { node }
     }
@@ -215,7 +215,7 @@
         };
         if let Err(problem) = definition.check() {
             let status = match problem {
-                Problem::TooLarge { .. } => StatusCode::PayloadTooLarge,
+                DefinitionError::TooLarge { .. } => StatusCode::PayloadTooLarge,
                 _ => StatusCode::BadRequest,
             };
             return self.reject(context, id, status, &problem);
@@ -445,7 +445,7 @@
 }
 
 #[async_trait]
-impl Handler for Front {
+impl Handler for CallerHandler {
     fn admit(&self, head: &http_types::Request) -> Option<Response> {
         if head.url().path() == submission::READY_PATH {
             return None;
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -96,8 +96,8 @@
     /// Records minions to be emptied, named by a message that arrived before their rows.
     ///
     /// This counts only until the rows must have been read.  A message can be delayed until its
-    /// rows have been dropped again; if it counted forever, it would keep a minion idle while tasks
-    /// wait for it.
+    /// rows have been deleted again; if it counted forever, the minion would stay idle while tasks
+    /// wait.
     pub(crate) fn release(&mut self, minions: impl Iterator<Item = String>) {
         let now = clock::now();
         self.released.retain(|_, until| now < *until);
@@ -257,10 +257,10 @@
     /// Which tasks may be started.
     ///
     /// After the silence for which other entries wait before they take over a cell, a successor may
-    /// have adopted what this owner started.  An owner that is cut off together with some of the
-    /// minions would see the other leases expire and start their tasks a second time, on minions
-    /// that its successor can't reach to fence.  So from shortly before that time on it starts only
-    /// tasks that were never started.
+    /// have adopted what this owner started.  An owner that is disconnected together with some of
+    /// the minions would see the other leases expire and start their tasks a second time, on
+    /// minions that its successor can't reach to fence.  So from shortly before that time on it
+    /// starts only tasks that were never started.
     pub(crate) fn permit(&self) -> Permit {
         let Renewal { sent, term, .. } = *self.renewal.lock();
         let silence = clock::now().since(sent) + START_MARGIN;
@@ -301,25 +301,25 @@
         self.outage.lock().is_ongoing(clock::now())
     }
 
-    /// Commits a transaction and records the outcome.  Waits at most `limit`, and less when recent
+    /// Commits a transaction and records the outcome.  Waits at most `timeout`, and less when recent
     /// answers were fast.
     pub(crate) async fn commit(
         &self,
         change: &store::Transaction,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<u64, store::Error> {
-        let limit = limit.min(self.commit_timeout.lock().current());
-        self.commit_with_timeout(change, limit).await
+        let timeout = timeout.min(self.commit_timeout.lock().current());
+        self.commit_with_timeout(change, timeout).await
     }
 
-    /// The same, but waits for the whole of `limit`.
+    /// The same, but waits for the whole of `timeout`.
     pub(crate) async fn commit_with_timeout(
         &self,
         change: &store::Transaction,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<u64, store::Error> {
         let began = clock::now();
-        let result = self.store.commit(change, limit).await;
+        let result = self.store.commit(change, timeout).await;
         let took = clock::now().since(began);
         self.metrics.time(crate::metrics::Timing::Commit, took);
         match &result {
--- a/crates/scheduler/src/owner.rs
+++ b/crates/scheduler/src/owner.rs
@@ -1,13 +1,13 @@
 //! The owner of a cell: takes it over, carries out its plans, and persists its progress.
 //!
 //! [`load`] reads the stored rows, [`supervisor`] polls and commands one minion, [`persist`] writes
-//! progress, [`advice`] asks for tickets, [`quota`] enforces workspaces' limits, and [`notes`] logs
-//! the decisions of plans.  This file holds what they share, the planning loop, and the answers to
+//! progress, [`advice`] asks for tickets, [`quota`] enforces workspaces' limits, and [`events`]
+//! logs the cell's events.  This file holds what they share, the planning loop, and the answers to
 //! other entries' questions.
 
 mod advice;
+mod events;
 pub(crate) mod load;
-mod notes;
 pub(crate) mod persist;
 mod quota;
 pub(crate) mod supervisor;
@@ -210,8 +210,8 @@
         self.plan_wake.wake();
     }
 
-    /// Answers a question of another entry or of this entry's own front; none while the cell is not
-    /// loaded.
+    /// Answers a question of another entry or of this entry's HTTP interface; none while the cell
+    /// is not loaded.
     pub(crate) fn answer(&self, question: &Question) -> Option<Answer> {
         if self.is_stopped() || self.cell.lock().is_none() {
             return None;
@@ -318,7 +318,7 @@
             let plan = |cell: &mut Cell| cell.plan(now, clock::wall_ms(), permit);
             let orders = owner.with(plan).unwrap_or_default();
             dispatch(&owner, orders);
-            notes::log_all(&owner);
+            events::log_events(&owner);
             advice::send_queries(&owner);
             quota::write_shares(&owner);
             if owner.with(|cell| cell.has_unpersisted()).unwrap_or(false) {
@@ -377,10 +377,10 @@
     }
 }
 
-/// Takes back a start that can't be carried out because its minion has no supervisor.
+/// Reverts a start that can't be carried out because its minion has no supervisor.
 ///
 /// Otherwise its run would be neither listed nor answered by anyone, and the task would count as
-/// placed for as long as the minion lives.
+/// placed until the minion terminates.
 fn revert_start(owner: &Owner, minion: &Arc<str>, task: &TaskName, run: u32) {
     let fields: [(&'static str, &dyn Display); 4] =
         [("job", &task.job), ("task", task), ("run", &run), ("minion", minion)];
--- a/crates/scheduler/src/owner/supervisor.rs
+++ b/crates/scheduler/src/owner/supervisor.rs
@@ -51,7 +51,7 @@
 /// Resolution of [`clock::now`].
 const CLOCK_RESOLUTION: Duration = Duration::from_millis(1);
 
-/// Orders sent to one minion at a time, so that an unanswered one doesn't hold up the others.
+/// Orders sent to one minion at a time, so that an unanswered one doesn't block the others.
 const MAX_CONCURRENT_ORDERS: usize = 3;
 
 /// The owner's state of one supervised minion.
@@ -162,7 +162,7 @@
     async_std::task::spawn(poll_forever(owner.clone(), supervisor));
 }
 
-/// Polls a minion until it is gone or the cell is lost.
+/// Polls a minion until it needs no supervision any more or the cell is lost.
 async fn poll_forever(owner: Arc<Owner>, supervisor: Arc<Supervisor>) {
     use stop_token::future::FutureExt;
     let stopped = owner.stopped.clone();
@@ -210,13 +210,13 @@
             })
         })
     };
-    let (ended, busy, fresh, unkept, acknowledgement_sent) = state()??;
+    let (ended, busy, fresh, unpersisted, acknowledgement_sent) = state()??;
     if ended && acknowledgement_sent {
         return None;
     }
     // Unacknowledged ended runs are reported again at once, so a poll before they are persisted
     // would only repeat the last one.
-    if unkept {
+    if unpersisted {
         supervisor.poll_wake.wait(MAX_PERSIST_WAIT).await;
     } else if !busy && !fresh && acknowledgement_sent {
         let supervised = owner.supervisors.lock().len() as u32;
@@ -228,8 +228,8 @@
     if !supervisor.is_current(owner) {
         return None;
     }
-    let (_, busy, fresh, unkept, _) = state()??;
-    let wait = if busy && !fresh && !unkept { MAX_POLL_WAIT } else { Duration::ZERO };
+    let (_, busy, fresh, unpersisted, _) = state()??;
+    let wait = if busy && !fresh && !unpersisted { MAX_POLL_WAIT } else { Duration::ZERO };
     let (incarnation, acknowledged) = acknowledgement(owner, supervisor)?;
     Some(Poll { acknowledged, incarnation, wait })
 }
@@ -290,10 +290,10 @@
     let hold = Hold { token: owner.token, acknowledged, incarnation, deadline_ms, wait };
     let sent = clock::now();
     owner.node.metrics.count(Counter::Holds);
-    let (target, limit) = (&supervisor.target, wait + ANSWER_TIMEOUT);
+    let (target, timeout) = (&supervisor.target, wait + ANSWER_TIMEOUT);
     let answer = match session {
-        Some(session) => session.hold(target, &hold, limit).await,
-        None => owner.node.minion_client.hold(target, &hold, limit).await,
+        Some(session) => session.hold(target, &hold, timeout).await,
+        None => owner.node.minion_client.hold(target, &hold, timeout).await,
     };
     match answer {
         Ok(Reply::Done(report, clock_ms)) => {
@@ -314,7 +314,7 @@
     }
 }
 
-/// The lease deadline to send to a minion, recorded as a promise beforehand; none while leases must
+/// The lease deadline to send to a minion, recorded in the cell beforehand; none while leases must
 /// not be extended or its clock is unknown.
 fn grant_deadline(owner: &Owner, supervisor: &Supervisor) -> Option<u64> {
     if !owner.node.may_extend_leases() || owner.is_stopped() {
@@ -323,7 +323,9 @@
     let known = (*supervisor.clock.lock())?;
     let term_ms = owner.node.settings.run_lease.0.as_millis() as u64;
     let deadline_ms = known.now_ms(clock::now()) + term_ms;
-    owner.with(|cell| cell.extend_lease_expiry(&supervisor.target.id, known.passes(deadline_ms)));
+    owner.with(|cell| {
+        cell.extend_lease_expiry(&supervisor.target.id, known.latest_time_of(deadline_ms))
+    });
     Some(deadline_ms)
 }
 
@@ -441,8 +443,8 @@
 /// stop, since only a report from after it shows that such a start never ran.  The poll under way
 /// may wait a second for a run to end.
 ///
-/// A poll that is sent in the same millisecond as what it is to settle can't be told from one sent
-/// before it, which settles nothing; so it is sent in the next one.
+/// A poll proves something only if it was sent after the start or stop in question.  Times have a
+/// resolution of 1 ms, so it is sent in the next millisecond.
 async fn poll_now(owner: &Arc<Owner>, supervisor: &Supervisor) {
     async_std::task::sleep(CLOCK_RESOLUTION).await;
     let next = Poll { acknowledged: 0, incarnation: None, wait: Duration::ZERO };
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -63,7 +63,7 @@
     ///
     /// After all entries have lost power, all of them dial the few new owners at once.  Each
     /// handshake takes some milliseconds of an owner that has half of a core.  When dials were
-    /// dropped with the question after a third of a second and started anew a second later, owners
+    /// cancelled with the question after a third of a second and restarted a second later, owners
     /// of large cells had no time for anything else, and the machines of their pools were idle for
     /// six seconds.
     dials: Mutex<HashMap<SocketAddr, Dial>>,
@@ -144,10 +144,10 @@
         if self.is_backing_off(address) {
             return Err(AskError::NotAsked);
         }
-        let limit = answer_timeout(&question);
+        let max_wait = answer_timeout(&question);
         let began = std::time::Instant::now();
         let opening = async { self.link(address).await?.open().await.ok() };
-        let opened = timeout(limit, opening).await.ok().flatten();
+        let opened = timeout(max_wait, opening).await.ok().flatten();
         let Some(mut channel) = opened else {
             self.start_backoff(address);
             return Err(AskError::NotAsked);
@@ -160,7 +160,7 @@
                 _ => None,
             }
         };
-        let left = limit.saturating_sub(began.elapsed());
+        let left = max_wait.saturating_sub(began.elapsed());
         let answer = timeout(left, exchange).await.ok().flatten();
         if answer.is_some() {
             self.misses.lock().remove(&address);
