--- a/crates/scheduler/src/fleet/emptying.rs
+++ b/crates/scheduler/src/fleet/emptying.rs
@@ -85,9 +85,9 @@
     controller.state.lock().deleting_rows.retain(|machine| !machines.contains(machine));
 }
 
-/// Deletes the rows in several transactions of at most [`MAX_TRANSACTION_ENTRIES`]; the rows are independent of
-/// each other.  After an outage there can be more stale rows than one transaction may hold.  In a
-/// single transaction they were refused each time, and no row was deleted any more.
+/// Deletes the rows in several transactions of at most [`MAX_TRANSACTION_ENTRIES`]; the rows are
+/// independent of each other.  After an outage there can be more stale rows than one transaction
+/// may hold.  In a single transaction they were refused each time, and no row was deleted any more.
 async fn delete_in_chunks(node: &Node, machines: &[String]) {
     let row = |machine: &String| rows::control(rows::EMPTYING_PREFIX, machine);
     for chunk in machines.chunks(MAX_TRANSACTION_ENTRIES) {
