--- a/crates/engine/src/cell/place.rs
+++ b/crates/engine/src/cell/place.rs
@@ -41,8 +41,8 @@
 /// At peak load hundreds of jobs wait for a pool that is full, and the owner plans after each run
 /// end.  Capacity only shrinks while a plan is made, so a need that found none rules out every need
 /// at least as large.  Without this, every plan checked all minions for each waiting job.  It
-/// reduces a plan for 85 minions and 400 jobs from 1.0 ms to 0.75 ms of a core (`cargo bench
-/// --bench owner`), on instances with an eighth to half of a core.
+/// reduces a plan for 85 minions and 400 jobs from 1.0 ms to 0.75 ms of a core, on instances with
+/// an eighth to half of a core.
 #[derive(Debug, Default)]
 pub(crate) struct UnmetNeeds(SmallVec<[Resources; 8]>);
 
--- a/crates/engine/src/cell/plan.rs
+++ b/crates/engine/src/cell/plan.rs
@@ -25,7 +25,7 @@
 /// Time between two checks of all runs for what must stop or slow down, unless an event requires
 /// one at once.  At peak load plans follow each other within milliseconds and a cell has a thousand
 /// runs, while the shortest timeout checked is ten times this.  It saves two fifths of a plan's
-/// time at 85 minions and 400 jobs (0.46 ms instead of 0.75 ms, `cargo bench --bench owner`).
+/// time at 85 minions and 400 jobs (0.46 ms instead of 0.75 ms).
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// With less time than this left, a draining minion's long-running tasks are moved whatever their
